--- a/internal/planlease/clock.go
+++ b/internal/planlease/clock.go
@@ -6,9 +6,9 @@
 	"golang.org/x/sys/unix"
 )
 
-// Boottime returns the time since boot including suspension. time.Now's
-// monotonic part stops while a virtual machine is suspended: a holder resumed
-// after an hour would believe its lease fresh and act beside its successor.
+// Boottime returns the time since boot, including time spent suspended. The monotonic part of
+// time.Now stops while a virtual machine is suspended: a holder resumed after an hour would
+// consider its lease valid and act concurrently with its successor.
 func Boottime() time.Duration {
 	var ts unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &ts); err != nil {
--- a/internal/planlease/decide.go
+++ b/internal/planlease/decide.go
@@ -2,82 +2,81 @@
 
 import "time"
 
-// Timing of the lease. All of it is measured on a clock that goes on while the
+// Timing configures the lease. All durations are measured on a clock that keeps running while the
 // machine is suspended.
 type Timing struct {
-	// TTL is how long a challenger waits without having seen a renewal.
+	// TTL is how long a challenger waits without seeing a renewal before it claims.
 	TTL time.Duration
-	// RenewEvery is the holder's period; a third of TTL leaves room for two
-	// lost renewals.
+	// RenewEvery is the holder's renewal interval; a third of TTL tolerates two lost renewals.
 	RenewEvery time.Duration
-	// Stagger is added per rank to a challenger's wait, so that of many
-	// challengers one appends a claim rather than all.
+	// Stagger is added per rank to a challenger's wait, so that usually only one of several
+	// challengers appends a claim.
 	Stagger time.Duration
 }
 
-// Action is what the contender should do now.
+// Action is what a contender should do now.
 type Action uint8
 
-// Actions of a contender.
 const (
 	ActWait Action = iota
 	ActClaim
 	ActRenew
 )
 
-// Contender decides when one process claims or renews the lease. It holds what
-// this process saw on its own clock; the fold's State holds who has the lease.
+// Contender decides when one process claims or renews the lease. It holds what this process
+// observed on its own clock; State, which is folded from the log, names the holder.
 type Contender struct {
-	self, boot string
-	timing     Timing
+	self, bootID string
+	timing       Timing
 
-	seenRenewed uint64        // newest State.Renewed seen
-	seenAt      time.Duration // own clock when it was first seen
-	sentAt      time.Duration // own clock before our newest claim or renewal was sent
-	confirmed   time.Duration // sentAt of the newest one that the fold accepted
-	holds       uint64        // epoch we hold, 0 for none
-	pending     bool          // a claim or renewal is on its way
+	seenRenewed   uint64        // latest State.Renewed observed
+	seenAt        time.Duration // own clock when seenRenewed was first observed
+	sentAt        time.Duration // own clock just before the latest claim or renewal was sent
+	confirmedAt   time.Duration // sentAt of the latest one that the fold accepted
+	heldEpoch     uint64        // epoch held by this process, 0 if none
+	appendPending bool          // a claim or renewal is in flight
 }
 
-// NewContender returns a contender for process self at boot.
-func NewContender(self, boot string, timing Timing) *Contender {
-	return &Contender{self: self, boot: boot, timing: timing}
+// NewContender returns a contender for the process self in its boot bootID.
+func NewContender(self, bootID string, timing Timing) *Contender {
+	return &Contender{self: self, bootID: bootID, timing: timing}
 }
 
-// Observe takes the folded lease at own-clock time now.
+// Observe updates the contender with the folded lease at time now on its own clock.
 func (c *Contender) Observe(s State, now time.Duration) {
 	if s.Renewed != c.seenRenewed || c.seenAt == 0 {
 		c.seenRenewed, c.seenAt = s.Renewed, now
 	}
-	mine := s.Holder == c.self && s.BootID == c.boot && !s.Released
-	if !mine {
-		c.holds = 0
+	isHolder := s.Holder == c.self && s.BootID == c.bootID && !s.Released
+	if !isHolder {
+		c.heldEpoch = 0
 		return
 	}
-	c.holds = s.Epoch
+	c.heldEpoch = s.Epoch
 }
 
-// Sent notes that a claim or renewal is about to be appended at now.
-func (c *Contender) Sent(now time.Duration) { c.sentAt, c.pending = now, true }
+// Sent records that a claim or renewal is about to be appended at now.
+func (c *Contender) Sent(now time.Duration) { c.sentAt, c.appendPending = now, true }
 
-// Settled notes that the record announced by Sent was folded or given up.
+// Settled records that the append announced by Sent is no longer in flight: the fold has accepted
+// or rejected its record, or the caller has given it up.
 func (c *Contender) Settled(accepted bool) {
 	if accepted {
-		// Validity counts from before the append was sent: a challenger sees
-		// the record later than that, hence waits longer than we act.
-		c.confirmed = c.sentAt
+		// The lease is valid from the time before the append was sent. A challenger sees the
+		// record later than that, so it waits until after the holder has stopped acting.
+		c.confirmedAt = c.sentAt
 	}
-	c.pending = false
+	c.appendPending = false
 }
 
-// Decide tells what to do at now, given the folded lease; rank is this
-// process's place among the challengers.
+// Decide returns the action to take at now, given the folded lease. rank is this process's
+// position among the challengers.
 func (c *Contender) Decide(s State, rank int, now time.Duration) Action {
 	c.Observe(s, now)
-	if c.pending {
+	if c.appendPending {
 		return ActWait
 	}
-	if c.holds != 0 {
+	if c.heldEpoch != 0 {
 		if now-c.sentAt >= c.timing.RenewEvery {
 			return ActRenew
 		}
@@ -93,16 +92,16 @@
 	return ActWait
 }
 
-// Holds reports the epoch under which this process may act at now, or 0. It is
-// asked before every act: a process that was frozen past its TTL finds the
-// lease lapsed by its own clock before it has read the successor's claim.
+// Holds returns the epoch under which this process may act at now, or 0. It must be called before
+// every action: a process that was suspended for longer than its TTL then finds the lease expired
+// by its own clock, even before it has read the successor's claim.
 func (c *Contender) Holds(now time.Duration) uint64 {
-	if c.holds == 0 || now-c.confirmed >= c.timing.TTL {
+	if c.heldEpoch == 0 || now-c.confirmedAt >= c.timing.TTL {
 		return 0
 	}
-	return c.holds
+	return c.heldEpoch
 }
 
-// Retire makes the contender hold and want nothing any more: its process is
-// about to release the lease and to end.
-func (c *Contender) Retire() { c.holds, c.pending = 0, true }
+// Retire makes the contender drop the lease and stop contending, before its process releases the
+// lease and exits.
+func (c *Contender) Retire() { c.heldEpoch, c.appendPending = 0, true }
--- a/internal/planlease/decide_test.go
+++ b/internal/planlease/decide_test.go
@@ -13,10 +13,10 @@
 
 var timing = planlease.Timing{TTL: 3 * time.Second, RenewEvery: time.Second, Stagger: 100 * time.Millisecond}
 
-// A holder is frozen for longer than its TTL, and wakes before it has read its
-// successor's claim. By its own clock the lease has lapsed, so it acts no more
-// though the state it knows still names it.
-func TestFrozenHolderActsNoMore(t *testing.T) {
+// A holder is suspended for longer than its TTL and resumes before it has read its successor's
+// claim. It must not act: the lease has expired by its own clock, although the state that it last
+// read still names it as holder.
+func TestSuspendedHolderStopsActing(t *testing.T) {
 	g := NewWithT(t)
 	c := planlease.NewContender("p1", "b1", timing)
 	var s planlease.State
@@ -30,9 +30,9 @@
 	g.Expect(c.Holds(13 * time.Second)).To(BeZero())
 }
 
-// A renewal was sent and its answer never came: the holder's right counts from
-// the last renewal that the fold accepted.
-func TestUnconfirmedRenewalDoesNotExtend(t *testing.T) {
+// The result of a renewal never arrives. The lease must count from the last renewal that the fold
+// accepted.
+func TestUnconfirmedRenewalDoesNotExtendLease(t *testing.T) {
 	g := NewWithT(t)
 	c := planlease.NewContender("p1", "b1", timing)
 	s := planlease.State{Epoch: 1, Holder: "p1", BootID: "b1", Renewed: 1}
@@ -45,75 +45,74 @@
 	g.Expect(c.Holds(4 * time.Second)).To(BeZero())
 }
 
-// A challenger reads the log late. It takes its own lag for the holder's
-// silence and claims; the holder had renewed, acts on, and would go on for up
-// to a TTL beside the challenger. The fold refuses the claim, because it was
-// written without knowledge of the renewal. Found by the property below.
-func TestLateReaderDoesNotTakeALiveLease(t *testing.T) {
+// A challenger that reads the log late mistakes its own lag for an expired lease and claims it,
+// while the holder has renewed and could go on acting for up to a TTL. The fold must reject the
+// claim, because its author had not read the renewal.
+func TestLaggingReaderCannotClaimLiveLease(t *testing.T) {
 	g := NewWithT(t)
 	var s planlease.State
 	s.ApplyClaim(fold.Meta{Offset: 1}, planlease.Claim{Holder: "a", BootID: "b1"})
-	known := s
+	stale := s
 	s.ApplyRenew(fold.Meta{Offset: 2}, planlease.Renew{Epoch: 1, Holder: "a", BootID: "b1"})
-	v := s.ApplyClaim(fold.Meta{Offset: 3}, planlease.Claim{Follows: known.Epoch, Renewed: known.Renewed, Holder: "b", BootID: "b1"})
+	v := s.ApplyClaim(fold.Meta{Offset: 3}, planlease.Claim{Follows: stale.Epoch, Renewed: stale.Renewed, Holder: "b", BootID: "b1"})
 	g.Expect(v.Reason).To(Equal(planlease.ReasonRenewed))
 }
 
-// Two contenders read the log late, and lose records, at will. They never both
-// believe that they hold the lease, as long as neither clock runs faster.
-func TestNeverTwoHolders(t *testing.T) {
+// Two contenders read the log at arbitrary times and lose arbitrary records. They must never both
+// consider themselves holder, provided that neither clock runs faster than the other.
+func TestAtMostOneHolder(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		w := &world{now: time.Second}
+		sim := &simulation{now: time.Second}
 		for _, name := range []string{"a", "b"} {
-			w.sides = append(w.sides, &side{name: name, c: planlease.NewContender(name, "b1", timing)})
+			sim.participants = append(sim.participants, &participant{name: name, contender: planlease.NewContender(name, "b1", timing)})
 		}
 		for range 200 {
-			w.now += time.Duration(rapid.IntRange(0, 900).Draw(rt, "ms")) * time.Millisecond
-			s := w.sides[rapid.IntRange(0, 1).Draw(rt, "who")]
+			sim.now += time.Duration(rapid.IntRange(0, 900).Draw(rt, "ms")) * time.Millisecond
+			p := sim.participants[rapid.IntRange(0, 1).Draw(rt, "who")]
 			if rapid.Bool().Draw(rt, "reads") {
-				s.known = w.log
-				s.c.Observe(s.known, w.now)
+				p.lastRead = sim.log
+				p.contender.Observe(p.lastRead, sim.now)
 			}
-			w.act(s, rapid.Bool().Draw(rt, "lost"))
-			if w.sides[0].c.Holds(w.now) != 0 && w.sides[1].c.Holds(w.now) != 0 {
-				rt.Fatalf("two holders at %v", w.now)
+			sim.step(p, rapid.Bool().Draw(rt, "lost"))
+			if sim.participants[0].contender.Holds(sim.now) != 0 && sim.participants[1].contender.Holds(sim.now) != 0 {
+				rt.Fatalf("two holders at %v", sim.now)
 			}
 		}
 	})
 }
 
-type side struct {
-	name  string
-	c     *planlease.Contender
-	known planlease.State
+type participant struct {
+	name      string
+	contender *planlease.Contender
+	lastRead  planlease.State
 }
 
-type world struct {
-	now    time.Duration
-	offset uint64
-	log    planlease.State
-	sides  []*side
+type simulation struct {
+	now          time.Duration
+	offset       uint64
+	log          planlease.State
+	participants []*participant
 }
 
-// act lets a side decide by what it knows, and writes what it decides.
-func (w *world) act(s *side, lost bool) {
-	act := s.c.Decide(s.known, 0, w.now)
-	if act == planlease.ActWait {
+// step lets a participant decide from the state it last read, and appends the resulting record.
+func (sim *simulation) step(p *participant, lost bool) {
+	action := p.contender.Decide(p.lastRead, 0, sim.now)
+	if action == planlease.ActWait {
 		return
 	}
-	s.c.Sent(w.now)
+	p.contender.Sent(sim.now)
 	if lost {
-		s.c.Settled(false)
+		p.contender.Settled(false)
 		return
 	}
-	w.offset++
-	m, v := fold.Meta{Offset: w.offset}, fold.Verdict{}
-	if act == planlease.ActClaim {
-		v = w.log.ApplyClaim(m, planlease.Claim{Follows: s.known.Epoch, Renewed: s.known.Renewed, Holder: s.name, BootID: "b1"})
+	sim.offset++
+	m, v := fold.Meta{Offset: sim.offset}, fold.Verdict{}
+	if action == planlease.ActClaim {
+		v = sim.log.ApplyClaim(m, planlease.Claim{Follows: p.lastRead.Epoch, Renewed: p.lastRead.Renewed, Holder: p.name, BootID: "b1"})
 	} else {
-		v = w.log.ApplyRenew(m, planlease.Renew{Epoch: s.known.Epoch, Holder: s.name, BootID: "b1"})
+		v = sim.log.ApplyRenew(m, planlease.Renew{Epoch: p.lastRead.Epoch, Holder: p.name, BootID: "b1"})
 	}
-	s.known = w.log // reading its own record back, it reads all before it
-	s.c.Settled(v.Accepted)
-	s.c.Observe(s.known, w.now)
+	p.lastRead = sim.log // reading back its own record implies reading all earlier ones
+	p.contender.Settled(v.Accepted)
+	p.contender.Observe(p.lastRead, sim.now)
 }
