--- a/internal/fleetops/balance.go
+++ b/internal/fleetops/balance.go
@@ -13,29 +13,29 @@
 	pool string
 	// have counts instances that are on their way here.
 	have, need float64
-	// least is the part of need that lasting tasks can't do without.
-	least float64
-	// keep is what the pool needs by the time that an instance which it gives away
+	// lastingNeed is the part of need that lasting tasks can't do without.
+	lastingNeed float64
+	// futureNeed is what the pool needs by the time that an instance which it gives away
 	// could be back.
-	keep float64
+	futureNeed float64
 }
 
-func (b balance) gap() float64 { return b.need - b.have }
+func (b balance) shortfall() float64 { return b.need - b.have }
 
-// spareFor is what the pool can give to another one without being as short as that
+// availableFor is what the pool can give to another one without being as short as that
 // one is.
-func (b balance) spareFor(to balance, unit float64) float64 {
-	if b.gap()+unit > to.gap()-shortBy*unit {
-		return -b.gap()
+func (b balance) availableFor(to balance, unit float64) float64 {
+	if b.shortfall()+unit > to.shortfall()-minShortfall*unit {
+		return -b.shortfall()
 	}
-	return b.have - b.keep
+	return b.have - b.futureNeed
 }
 
-// lacks reports whether the pool has too little for its lasting tasks.
-func (b balance) lacks(unit float64) bool { return b.least-b.have > shortBy*unit }
+// lacksLasting reports whether the pool has too little for its lasting tasks.
+func (b balance) lacksLasting(unit float64) bool { return b.lastingNeed-b.have > minShortfall*unit }
 
-// typicalCPU is the mean size of an instance.
-func (s *State) typicalCPU() float64 {
+// meanInstanceCPU is the mean size of an instance.
+func (s *State) meanInstanceCPU() float64 {
 	sum := 0
 	for _, i := range s.instances {
 		sum += i.CPUMilli
@@ -49,43 +49,43 @@
 func (s *State) balances(now time.Duration, unit float64) []balance {
 	var out []balance
 	for pool, v := range s.pools {
-		b := balance{pool: pool, have: float64(v.Summary.CapacityMilli) + s.incoming(now, pool)}
-		s.fillNeeds(&b, v.Summary, unit)
+		b := balance{pool: pool, have: float64(v.Summary.CapacityMilli) + s.incomingCPU(now, pool)}
+		s.computeNeeds(&b, v.Summary, unit)
 		out = append(out, b)
 	}
 	slices.SortFunc(out, func(x, y balance) int { return cmp.Compare(x.pool, y.pool) })
 	return out
 }
 
-// fillNeeds works out what a pool needs now, and what it needs to keep.
-func (s *State) fillNeeds(b *balance, sum executor.Summary, unit float64) {
+// computeNeeds works out what a pool needs now, and what it needs to keep.
+func (s *State) computeNeeds(b *balance, sum executor.Summary, unit float64) {
 	rate := 0.0
 	if d := s.demand[b.pool]; d != nil {
-		rate = d.expected()
+		rate = d.forecast()
 	}
 	running := float64(sum.RunningCPUMilli - sum.LastingCPUMilli)
-	drain := sum.ReadyCoreMs * 1000 / float64(drainWithin.Milliseconds())
-	least := float64(sum.LastingCPUMilli)
+	drain := sum.ReadyCoreMs * 1000 / float64(backlogDrainTime.Milliseconds())
+	lastingNeed := float64(sum.LastingCPUMilli)
 	// Lasting tasks that must be apart need endpoints of their own, of whatever
 	// size, and one more to go to when one of these leaves.
 	if sum.LeastHosts > 0 {
-		least = max(least, float64(sum.LeastHosts+1)*unit)
+		lastingNeed = max(lastingNeed, float64(sum.LeastHosts+1)*unit)
 	}
 	if sum.Starved > 0 {
-		least = max(least, float64(sum.CapacityMilli)+float64(min(sum.Starved, mostStarved))*unit)
+		lastingNeed = max(lastingNeed, float64(sum.CapacityMilli)+float64(min(sum.Starved, maxStarvedSteps))*unit)
 	}
 	needFor := func(work float64) float64 {
-		return max(least, float64(sum.LastingCPUMilli)+max(leastInstances*unit, headroom*(work+drain)))
+		return max(lastingNeed, float64(sum.LastingCPUMilli)+max(minInstances*unit, headroom*(work+drain)))
 	}
-	b.least = least
+	b.lastingNeed = lastingNeed
 	b.need = needFor(max(rate, running))
-	b.keep = needFor(max(rate, stillRunning*running))
+	b.futureNeed = needFor(max(rate, runningRetained*running))
 }
 
 // Balances returns each pool's room and need, for the log.
 func (s *State) Balances(now time.Duration) []Balance {
 	var out []Balance
-	for _, b := range s.balances(now, s.typicalCPU()) {
+	for _, b := range s.balances(now, s.meanInstanceCPU()) {
 		v := s.pools[b.pool]
 		line := Balance{Pool: b.pool, HaveCores: b.have / 1000, NeedCores: b.need / 1000,
 			ReadyCoreS: v.Summary.ReadyCoreMs / 1000, RunningCores: float64(v.Summary.RunningCPUMilli) / 1000,
--- a/internal/fleetops/decide.go
+++ b/internal/fleetops/decide.go
@@ -6,17 +6,17 @@
 )
 
 const (
-	// clearFresh is how long the word of an owner holds that an endpoint is
+	// clearMaxAge is how long the word of an owner holds that an endpoint is
 	// clear; it is below the time for which the owner keeps it so.
-	clearFresh = 1200 * time.Millisecond
-	// orderRepeat is how long the platform's list has to show an order's
+	clearMaxAge = 1200 * time.Millisecond
+	// orderRetryAfter is how long the platform's list has to show an order's
 	// effect before it is given again.
-	orderRepeat = 900 * time.Millisecond
-	// hurryShare of a wave's time is left to tasks that end by themselves;
+	orderRetryAfter = 900 * time.Millisecond
+	// stopAfterShare of a wave's time is left to tasks that end by themselves;
 	// after it what is left on an instance is stopped.
-	hurryShare = 0.6
-	// hurryAfter is the longest that one instance waits for its tasks.
-	hurryAfter = 4 * time.Second
+	stopAfterShare = 0.6
+	// maxClearWait is the longest that one instance waits for its tasks.
+	maxClearWait = 4 * time.Second
 )
 
 // Order is an order for the platform.
@@ -56,29 +56,29 @@
 // Decide goes on with what is under way and begins what is due.
 func (s *State) Decide(now time.Duration, wallMs int64) Actions {
 	a := Actions{Due: map[string][]string{}}
-	s.wantsList = false
-	s.expire(now)
+	s.needsList = false
+	s.dropExpired(now)
 	for _, name := range s.sortedOps() {
-		s.advance(now, s.ops[name], &a)
+		s.reconcileOperation(now, s.ops[name], &a)
 	}
 	s.decideMoves(now, &a)
 	for _, n := range s.sortedWaves() {
 		s.advanceWave(now, wallMs, s.waves[n], &a)
 	}
 	for _, name := range s.sortedOps() {
-		s.carryOn(now, wallMs, s.ops[name], &a)
+		s.clearAndOrder(now, wallMs, s.ops[name], &a)
 	}
-	s.tellEnds(&a)
+	s.reportEndedIncarnations(&a)
 	return a
 }
 
-// tellEnds lets the pools' owners know of incarnations that operations have ended.
+// reportEndedIncarnations lets the pools' owners know of incarnations that operations have ended.
 // Service discovery lists them for some seconds more, longer than their owner was
 // asked to leave them alone: a task placed there waits for a lease to run out that
 // nobody holds, and its job is late by three to four seconds.
-func (s *State) tellEnds(a *Actions) {
+func (s *State) reportEndedIncarnations(a *Actions) {
 	for name, op := range s.ops {
-		if op.Phase == PhaseOver && op.Ended && !op.told && op.Endpoint != "" && s.pools[op.From] != nil {
+		if op.Phase == PhaseOver && op.Ended && !op.endConfirmed && op.Endpoint != "" && s.pools[op.From] != nil {
 			a.Clears = append(a.Clears, Clear{Instance: name, Pool: op.From, Endpoint: op.Endpoint, StartedMs: op.StartedMs, Ended: true})
 		}
 	}
@@ -95,14 +95,14 @@
 	return names
 }
 
-// shownAfter is how long after an accepted order the list has surely been made
+// listSettleTime is how long after an accepted order the list has surely been made
 // with its effect. An instance that is up then, unchanged, had been through
 // already when the order came.
-const shownAfter = 900 * time.Millisecond
+const listSettleTime = 900 * time.Millisecond
 
-// advance ends an operation whose effect the list shows, or follows its
+// reconcileOperation ends an operation whose effect the list shows, or follows its
 // instance into a new incarnation.
-func (s *State) advance(now time.Duration, op *Operation, a *Actions) {
+func (s *State) reconcileOperation(now time.Duration, op *Operation, a *Actions) {
 	if s.listedAt == 0 {
 		return
 	}
@@ -113,16 +113,16 @@
 		a.Events = append(a.Events, Event{What: "operation dropped", Instance: op.Instance, Reason: "instance is gone", Wave: op.Wave})
 	case !i.Up:
 	case op.Phase == PhaseOrdered && op.Kind == KindMove && i.Pool == op.To:
-		s.completed(now, op, i, a)
-	case op.accepted > 0 && s.listedAt > op.accepted && (i.Endpoint != op.Endpoint || s.listedAt > op.accepted+shownAfter):
-		s.completed(now, op, i, a)
-	case op.accepted == 0 && i.Endpoint != op.Endpoint:
+		s.completeOperation(now, op, i, a)
+	case op.acceptedAt > 0 && s.listedAt > op.acceptedAt && (i.Endpoint != op.Endpoint || s.listedAt > op.acceptedAt+listSettleTime):
+		s.completeOperation(now, op, i, a)
+	case op.acceptedAt == 0 && i.Endpoint != op.Endpoint:
 		op.Endpoint, op.StartedMs, op.cleared = i.Endpoint, 0, false
 		s.dirtyOps[op.Instance] = true
 	}
 }
 
-func (s *State) completed(now time.Duration, op *Operation, i Instance, a *Actions) {
+func (s *State) completeOperation(now time.Duration, op *Operation, i Instance, a *Actions) {
 	if op.Kind == KindMaintain {
 		s.markDone(op.Wave, op.Instance)
 	}
@@ -131,58 +131,58 @@
 	a.Events = append(a.Events, Event{What: "operation completed", Instance: op.Instance, Reason: op.Kind.String(), Wave: op.Wave, Pool: i.Pool})
 }
 
-// carryOn asks for an endpoint to be cleared, and gives the order once it is.
-func (s *State) carryOn(now time.Duration, wallMs int64, op *Operation, a *Actions) {
+// clearAndOrder asks for an endpoint to be cleared, and gives the order once it is.
+func (s *State) clearAndOrder(now time.Duration, wallMs int64, op *Operation, a *Actions) {
 	i, listed := s.instances[op.Instance]
-	if !listed || now < s.quiet[op.Instance] {
+	if !listed || now < s.noOrdersUntil[op.Instance] {
 		return
 	}
 	// An instance that is up without an endpoint may get one at any moment.
-	empty := i.Pool == s.spare
-	if op.Endpoint != "" && !empty {
+	switchedOff := i.Pool == s.spare
+	if op.Endpoint != "" && !switchedOff {
 		a.Clears = append(a.Clears, Clear{Instance: op.Instance, Pool: op.From, Endpoint: op.Endpoint, StartedMs: op.StartedMs,
-			Hurry: s.hurry(now, wallMs, op), Ended: s.ended(op, i)})
+			Hurry: s.mustStopTasks(now, wallMs, op), Ended: s.incarnationEnded(op, i)})
 	}
-	clear := empty || op.cleared && now-op.clearAt < clearFresh
+	clear := switchedOff || op.cleared && now-op.clearReportedAt < clearMaxAge
 	// The endpoint that was cleared may have died meanwhile, and another live on
 	// the instance: only a list asked for after the owner's word shows that the
 	// two still belong together.
-	if clear && !empty && s.listedAt < op.clearFrom {
-		s.wantsList = true
+	if clear && !switchedOff && s.listedAt < op.clearSince {
+		s.needsList = true
 		return
 	}
-	if !clear || op.ordering || op.orderedAt > 0 && now-op.orderedAt < orderRepeat || op.accepted > 0 && !i.Up {
+	if !clear || op.orderInFlight || op.orderedAt > 0 && now-op.orderedAt < orderRetryAfter || op.acceptedAt > 0 && !i.Up {
 		return
 	}
-	if op.accepted > 0 && s.listedAt < op.accepted+orderRepeat {
+	if op.acceptedAt > 0 && s.listedAt < op.acceptedAt+orderRetryAfter {
 		return
 	}
 	if op.Phase != PhaseOrdered || op.Holder != s.limits.Holder {
 		op.Phase, op.Holder = PhaseOrdered, s.limits.Holder
 		s.dirtyOps[op.Instance] = true
 	}
-	op.ordering, op.orderedAt = true, now
+	op.orderInFlight, op.orderedAt = true, now
 	op.OrderedMs, op.OrderedIn = now.Milliseconds(), s.limits.Epoch
 	a.Orders = append(a.Orders, Order{*op})
 }
 
-// ended reports whether the platform has ended the incarnation that an operation
+// incarnationEnded reports whether the platform has incarnationEnded the incarnation that an operation
 // is about: it has accepted the order, and its list has shown the effect since.
 // An order that only repeats one that was done ends nothing.
-func (s *State) ended(op *Operation, i Instance) bool {
-	return op.accepted > 0 && s.listedAt > op.accepted && (!i.Up || i.Endpoint != op.Endpoint)
+func (s *State) incarnationEnded(op *Operation, i Instance) bool {
+	return op.acceptedAt > 0 && s.listedAt > op.acceptedAt && (!i.Up || i.Endpoint != op.Endpoint)
 }
 
-// hurry reports whether an instance can wait no longer for its tasks to end.
-func (s *State) hurry(now time.Duration, wallMs int64, op *Operation) bool {
+// mustStopTasks reports whether an instance can wait no longer for its tasks to end.
+func (s *State) mustStopTasks(now time.Duration, wallMs int64, op *Operation) bool {
 	w := s.waves[op.Wave]
 	if op.Kind != KindMaintain || w == nil {
 		return false
 	}
-	if now-op.since > hurryAfter {
+	if now-op.beganAt > maxClearWait {
 		return true
 	}
-	return wallMs-w.SeenMs > int64(hurryShare*float64(w.within.Milliseconds()))
+	return wallMs-w.SeenMs > int64(stopAfterShare*float64(w.within.Milliseconds()))
 }
 
 // OrderResult says how the platform took an order.
@@ -207,22 +207,22 @@
 	if op == nil {
 		return
 	}
-	op.ordering = false
+	op.orderInFlight = false
 	switch result {
 	case OrderAccepted:
-		op.accepted = now
+		op.acceptedAt = now
 	case OrderRefused:
 		if op.Kind == KindMaintain {
 			s.markDone(op.Wave, instance)
 		} else {
-			s.unfit[fit{s.instances[instance].Kind, op.To}] = true
+			s.rejectedKinds[kindInPool{s.instances[instance].Kind, op.To}] = true
 		}
 		s.finish(now, op)
 	}
 }
 
 // WantsList reports that an order waits for a fresh instance list.
-func (s *State) WantsList() bool { return s.wantsList }
+func (s *State) WantsList() bool { return s.needsList }
 
 // Idle reports whether nothing is under way or due.
 func (s *State) Idle() bool {
--- a/internal/fleetops/fleet_test.go
+++ b/internal/fleetops/fleet_test.go
@@ -13,15 +13,15 @@
 )
 
 const (
-	spare  = "spare"
-	unit   = 1000
-	tick   = 150 * time.Millisecond
-	wall   = int64(1_000_000)
-	moving = 1500 * time.Millisecond
+	sparePool     = "spare"
+	instanceCPU   = 1000
+	roundInterval = 150 * time.Millisecond
+	wallStart     = int64(1_000_000)
+	moveTime      = 1500 * time.Millisecond
 )
 
 func limits(holder string) fleetops.Limits {
-	return fleetops.Limits{Holder: holder, MoveTime: moving, MaintainTime: moving, HolderTTL: 3 * time.Second}
+	return fleetops.Limits{Holder: holder, MoveTime: moveTime, MaintainTime: moveTime, HolderTTL: 3 * time.Second}
 }
 
 // fleet is the platform's side: instances that move, and owners that clear them.
@@ -29,16 +29,16 @@
 	now       time.Duration
 	state     *fleetops.State
 	instances []fleetops.Instance
-	back      map[string]time.Duration
+	returnsAt map[string]time.Duration
 	// tasks are what runs on an endpoint; owners stop nothing.
 	tasks map[string]int
 	// demand is the work offered to a pool, in core-ms, and its ready backlog.
 	offered, ready, running map[string]float64
 	// listLag keeps the instance list as it was read first.
-	listLag, listed time.Duration
-	leastHosts      map[string]int
-	// ends are incarnations whose ends the owners were told of.
-	ends map[executor.Incarnation]bool
+	listLag, listedAt time.Duration
+	leastHosts        map[string]int
+	// reportedEnds are incarnations whose reportedEnds the owners were told of.
+	reportedEnds map[executor.Incarnation]bool
 	// keepIDs: endpoints come back under their ids. started are the starts of those that
 	// have.
 	keepIDs bool
@@ -46,18 +46,18 @@
 	starved map[string]int
 	// lasting endpoints are cleared one at a time, each within clearing; cleared
 	// is when the last one was.
-	lasting map[string]bool
-	cleared time.Duration
-	ordered []fleetops.Operation
-	journal map[string][]byte
-	slow    bool
+	lasting          map[string]bool
+	lastClearedAt    time.Duration
+	ordered          []fleetops.Operation
+	journal          map[string][]byte
+	ordersUnanswered bool
 	// proofAge is how old the owners' proofs are.
 	proofAge time.Duration
 }
 
 func newFleet(pools map[string]int) *fleet {
-	f := &fleet{now: time.Second, state: fleetops.NewState(limits("a")), back: map[string]time.Duration{}, tasks: map[string]int{},
-		offered: map[string]float64{}, ready: map[string]float64{}, running: map[string]float64{}, journal: map[string][]byte{}, ends: map[executor.Incarnation]bool{}, started: map[string]int64{}}
+	f := &fleet{now: time.Second, state: fleetops.NewState(limits("a")), returnsAt: map[string]time.Duration{}, tasks: map[string]int{},
+		offered: map[string]float64{}, ready: map[string]float64{}, running: map[string]float64{}, journal: map[string][]byte{}, reportedEnds: map[executor.Incarnation]bool{}, started: map[string]int64{}}
 	var names []string
 	for pool := range pools {
 		names = append(names, pool)
@@ -66,14 +66,14 @@
 	for _, pool := range names {
 		for n := range pools[pool] {
 			name := fmt.Sprintf("%s-%02d", pool, n)
-			f.instances = append(f.instances, fleetops.Instance{Name: name, Pool: pool, Up: true, CPUMilli: unit, Endpoint: endpointOf(pool, name, 0)})
+			f.instances = append(f.instances, fleetops.Instance{Name: name, Pool: pool, Up: true, CPUMilli: instanceCPU, Endpoint: endpointOf(pool, name, 0)})
 		}
 	}
 	return f
 }
 
-// succeed lets another holder take the duty over from the journal alone.
-func (f *fleet) succeed() {
+// takeOver lets another holder take the duty over from the journal alone.
+func (f *fleet) takeOver() {
 	GinkgoHelper()
 	f.state = fleetops.NewState(limits("b"))
 	var records []executor.Record
@@ -82,14 +82,14 @@
 			records = append(records, executor.Record{Key: key, Value: value})
 		}
 	}
-	Expect(f.state.Restore(records, f.now, wall+f.now.Milliseconds())).To(Succeed())
+	Expect(f.state.Restore(records, f.now, wallStart+f.now.Milliseconds())).To(Succeed())
 }
 
-func endpointOf(pool, name string, life time.Duration) string {
-	if pool == spare {
+func endpointOf(pool, name string, startedAt time.Duration) string {
+	if pool == sparePool {
 		return ""
 	}
-	return fmt.Sprintf("%s/%d", name, life)
+	return fmt.Sprintf("%s/%d", name, startedAt)
 }
 
 func (f *fleet) count(pool string) int {
@@ -104,35 +104,35 @@
 
 // round is one round of the duty, as Runner makes it.
 func (f *fleet) round(pools ...string) {
-	f.now += tick
+	f.now += roundInterval
 	for n := range f.instances {
 		i := &f.instances[n]
-		if at, away := f.back[i.Name]; away && f.now >= at {
-			delete(f.back, i.Name)
-			life := f.now
+		if at, restarting := f.returnsAt[i.Name]; restarting && f.now >= at {
+			delete(f.returnsAt, i.Name)
+			startedAt := f.now
 			if f.keepIDs {
-				life = 0
+				startedAt = 0
 			}
-			i.Up, i.Endpoint = true, endpointOf(i.Pool, i.Name, life)
+			i.Up, i.Endpoint = true, endpointOf(i.Pool, i.Name, startedAt)
 			f.started[i.Endpoint] = f.now.Milliseconds()
 		}
 	}
-	if f.listLag == 0 || f.listed == 0 {
-		f.state.ObserveInstances(f.now, slices.Clone(f.instances), spare)
-		f.listed = f.now
+	if f.listLag == 0 || f.listedAt == 0 {
+		f.state.ObserveInstances(f.now, slices.Clone(f.instances), sparePool)
+		f.listedAt = f.now
 	}
 	for _, pool := range pools {
 		f.state.ObservePool(f.now, pool, f.summary(pool))
 	}
-	actions := f.state.Decide(f.now, wall+f.now.Milliseconds())
-	for _, r := range append(f.state.TakeRecords(f.now, wall+f.now.Milliseconds()), f.state.TickRecord(f.now, wall+f.now.Milliseconds())) {
+	actions := f.state.Decide(f.now, wallStart+f.now.Milliseconds())
+	for _, r := range append(f.state.TakeRecords(f.now, wallStart+f.now.Milliseconds()), f.state.TickRecord(f.now, wallStart+f.now.Milliseconds())) {
 		f.journal[r.Key] = r.Value
 	}
 	f.state.Saved(f.now)
 	f.clearLasting(actions.Clears)
 	for _, c := range actions.Clears {
 		if c.Ended {
-			f.ends[executor.Incarnation{ID: c.Endpoint, StartedMs: c.StartedMs}] = true
+			f.reportedEnds[executor.Incarnation{ID: c.Endpoint, StartedMs: c.StartedMs}] = true
 			f.state.EndTold(c.Instance, c.Endpoint)
 		}
 		f.state.Cleared(f.now+time.Millisecond, f.now-f.proofAge, c.Instance, c.Endpoint, executor.Vacancy{Left: f.tasks[c.Endpoint], StartedMs: f.started[c.Endpoint]})
@@ -148,23 +148,23 @@
 	for _, i := range f.instances {
 		if i.Pool == pool && i.Up {
 			s.Endpoints++
-			s.CapacityMilli += unit
+			s.CapacityMilli += instanceCPU
 			s.Hosts = append(s.Hosts, executor.HostLoad{Endpoint: i.Endpoint, Tasks: f.tasks[i.Endpoint], Lasting: f.lasting[i.Endpoint]})
 		}
 	}
 	return s
 }
 
-// clearing is how long it takes to move one endpoint's lasting tasks.
-const clearing = 2500 * time.Millisecond
+// lastingClearTime is how long it takes to move one endpoint's lasting tasks.
+const lastingClearTime = 2500 * time.Millisecond
 
 // clearLasting lets the owner move one endpoint's lasting tasks at a time.
 func (f *fleet) clearLasting(asked []fleetops.Clear) {
 	for _, c := range asked {
-		if !f.lasting[c.Endpoint] || f.now-f.cleared < clearing {
+		if !f.lasting[c.Endpoint] || f.now-f.lastClearedAt < lastingClearTime {
 			continue
 		}
-		f.cleared = f.now
+		f.lastClearedAt = f.now
 		f.tasks[c.Endpoint] = 0
 		delete(f.lasting, c.Endpoint)
 	}
@@ -172,7 +172,7 @@
 
 func (f *fleet) order(op fleetops.Operation) {
 	f.ordered = append(f.ordered, op)
-	if f.slow {
+	if f.ordersUnanswered {
 		return
 	}
 	for n := range f.instances {
@@ -184,7 +184,7 @@
 		if op.Kind == fleetops.KindMove {
 			i.Pool = op.To
 		}
-		f.back[i.Name] = f.now + moving
+		f.returnsAt[i.Name] = f.now + moveTime
 	}
 	f.state.Ordered(f.now, op.Instance, fleetops.OrderAccepted)
 }
@@ -199,7 +199,7 @@
 	return out
 }
 
-func (f *fleet) down() int { return len(f.back) }
+func (f *fleet) down() int { return len(f.returnsAt) }
 
 func (f *fleet) names(pool string) []string {
 	var out []string
--- a/internal/fleetops/fleetops_test.go
+++ b/internal/fleetops/fleetops_test.go
@@ -15,8 +15,8 @@
 var _ = Describe("a maintenance wave", func() {
 	It("takes every instance, never more at once than allowed, and is then announced as completed", func() {
 		f := newFleet(map[string]int{"a": 6, "b": 6})
-		f.state.ObserveWave(1, f.names("a"), 10*time.Second, 2, wall)
-		f.running["a"], f.running["b"] = 5*unit, 5*unit // no instance to spare
+		f.state.ObserveWave(1, f.names("a"), 10*time.Second, 2, wallStart)
+		f.running["a"], f.running["b"] = 5*instanceCPU, 5*instanceCPU // no instance to spare
 		most := 0
 		for range 80 {
 			f.round("a", "b")
@@ -36,8 +36,8 @@
 		for _, i := range f.instances[:8] {
 			f.lasting[i.Endpoint], f.tasks[i.Endpoint] = true, 1
 		}
-		f.running["a"], f.running["b"] = 8*unit, 4*unit // no instance to spare
-		f.state.ObserveWave(1, f.names("a"), 25*time.Second, 8, wall)
+		f.running["a"], f.running["b"] = 8*instanceCPU, 4*instanceCPU // no instance to spare
+		f.state.ObserveWave(1, f.names("a"), 25*time.Second, 8, wallStart)
 		for f.now < 25*time.Second {
 			f.round("a", "b")
 		}
@@ -49,8 +49,8 @@
 	// as many at once as it may.
 	It("takes instances that are needed evenly over its time", func() {
 		f := newFleet(map[string]int{"a": 16, "b": 4})
-		f.running["a"], f.running["b"] = 16*unit, 4*unit
-		f.state.ObserveWave(1, f.names("a")[:12], 25*time.Second, 12, wall+f.now.Milliseconds())
+		f.running["a"], f.running["b"] = 16*instanceCPU, 4*instanceCPU
+		f.state.ObserveWave(1, f.names("a")[:12], 25*time.Second, 12, wallStart+f.now.Milliseconds())
 		begun, most := f.now, 0
 		for f.now < begun+24*time.Second {
 			f.round("a", "b")
@@ -64,7 +64,7 @@
 	// would end them at once.
 	It("leaves an instance alone while tasks are on it", func() {
 		f := newFleet(map[string]int{"a": 4})
-		f.state.ObserveWave(1, f.names("a")[:1], time.Hour, 1, wall)
+		f.state.ObserveWave(1, f.names("a")[:1], time.Hour, 1, wallStart)
 		f.tasks[f.instances[0].Endpoint] = 1
 		for range 40 {
 			f.round("a")
@@ -83,7 +83,7 @@
 	// them on one instance, and its other instances are switched off or lent: the
 	// tasks wait for ever while the sums say that all is well.
 	It("keep as many instances as they need", func() {
-		f := newFleet(map[string]int{"a": 8, "b": 8, spare: 2})
+		f := newFleet(map[string]int{"a": 8, "b": 8, sparePool: 2})
 		f.leastHosts = map[string]int{"a": 5}
 		for range 60 {
 			f.round("a", "b")
@@ -98,17 +98,17 @@
 	// the work offered from zero, and while callers find it, little runs: taken for
 	// the end of the turn, the pool loses its instances to others just then.
 	It("keeps its instances", func() {
-		f := newFleet(map[string]int{"a": 12, "b": 2, spare: 2})
+		f := newFleet(map[string]int{"a": 12, "b": 2, sparePool: 2})
 		for range 20 {
-			f.offered["a"] += 10 * unit * tick.Seconds()
-			f.running["a"] = 10 * unit
+			f.offered["a"] += 10 * instanceCPU * roundInterval.Seconds()
+			f.running["a"] = 10 * instanceCPU
 			f.round("a", "b")
 		}
 		Expect(f.count("a")).To(BeNumerically(">=", 12))
-		f.offered["a"], f.running["a"], f.ready["b"] = 0, 3*unit, 20*unit
+		f.offered["a"], f.running["a"], f.ready["b"] = 0, 3*instanceCPU, 20*instanceCPU
 		for range 6 {
 			f.round("a", "b")
-			f.offered["a"] += 10 * unit * tick.Seconds()
+			f.offered["a"] += 10 * instanceCPU * roundInterval.Seconds()
 		}
 		Expect(f.count("a")).To(BeNumerically(">=", 11))
 	})
@@ -120,7 +120,7 @@
 	// instance that comes free, and nobody has more than it needs.
 	It("gets an instance though another pool asks for all of them", func() {
 		f := newFleet(map[string]int{"a": 16, "b": 2})
-		f.ready["a"], f.running["a"] = 100*unit, 16*unit
+		f.ready["a"], f.running["a"] = 100*instanceCPU, 16*instanceCPU
 		f.leastHosts = map[string]int{"b": 1}
 		f.starved = map[string]int{"b": 1}
 		for range 20 {
@@ -139,7 +139,7 @@
 	It("is made known to its pool's owner, and to the owner's successor", func() {
 		f := newFleet(map[string]int{"a": 4})
 		name, endpoint := f.instances[0].Name, f.instances[0].Endpoint
-		f.state.ObserveWave(1, []string{name}, 10*time.Second, 1, wall)
+		f.state.ObserveWave(1, []string{name}, 10*time.Second, 1, wallStart)
 		for range 10 {
 			if f.down() == 0 && len(f.maintained()) == 0 {
 				f.round("a")
@@ -151,10 +151,10 @@
 			f.round("a")
 		}
 		Expect(f.down()).To(BeZero())
-		Expect(f.ends).To(BeEmpty())
+		Expect(f.reportedEnds).To(BeEmpty())
 		f.listLag = 0
 		f.round("a")
-		Expect(f.ends).To(HaveKey(executor.Incarnation{ID: endpoint}))
+		Expect(f.reportedEnds).To(HaveKey(executor.Incarnation{ID: endpoint}))
 		var records []executor.Record
 		for key, value := range f.journal {
 			records = append(records, executor.Record{Key: key, Value: value})
@@ -172,15 +172,15 @@
 		name, endpoint := f.instances[0].Name, f.instances[0].Endpoint
 		former := executor.Incarnation{ID: endpoint, StartedMs: 7}
 		f.started[endpoint] = former.StartedMs
-		f.state.ObserveWave(1, []string{name}, 10*time.Second, 1, wall)
+		f.state.ObserveWave(1, []string{name}, 10*time.Second, 1, wallStart)
 		for range 60 {
 			f.round("a")
 		}
 		Expect(f.maintained()).To(ConsistOf(name))
 		Expect(f.down()).To(BeZero())
 		Expect(f.started[endpoint]).To(BeNumerically(">", former.StartedMs))
-		Expect(f.ends).To(HaveKey(former))
-		for in := range f.ends {
+		Expect(f.reportedEnds).To(HaveKey(former))
+		for in := range f.reportedEnds {
 			Expect(in).To(Or(Equal(former), HaveField("ID", Not(Equal(endpoint)))))
 		}
 	})
@@ -192,7 +192,7 @@
 	// list that the duty last read does not show.
 	It("leaves its successor on the instance alone until that is clear", func() {
 		f := newFleet(map[string]int{"a": 4})
-		f.state.ObserveWave(1, f.names("a")[:1], time.Second, 1, wall)
+		f.state.ObserveWave(1, f.names("a")[:1], time.Second, 1, wallStart)
 		f.listLag = time.Hour // the list stays as it was first read
 		f.round("a")
 		f.instances[0].Endpoint = "reborn"
@@ -217,13 +217,13 @@
 // Guards against tasks that run twice at once: an owner is told that the incarnation on which
 // they run has ended. The operation ended the one before; the instance list was read while the
 // instance was away, and the owner's word on the next one came before it was read again.
-func TestOnlyTheIncarnationThatAnOperationEndedIsToldOf(t *testing.T) {
+func TestOnlyTheEndedIncarnationIsReported(t *testing.T) {
 	g := NewWithT(t)
 	f := newFleet(map[string]int{"a": 4})
 	f.keepIDs = true
 	name, endpoint := f.instances[0].Name, f.instances[0].Endpoint
 	f.started[endpoint] = 7
-	f.state.ObserveWave(1, []string{name}, 10*time.Second, 1, wall)
+	f.state.ObserveWave(1, []string{name}, 10*time.Second, 1, wallStart)
 	for len(f.maintained()) == 0 {
 		f.round("a")
 	}
@@ -234,7 +234,7 @@
 	}
 	g.Expect(f.down()).To(BeZero())
 	g.Expect(f.started[endpoint]).To(BeNumerically(">", 7))
-	g.Expect(f.ends).NotTo(HaveKey(executor.Incarnation{ID: endpoint, StartedMs: f.started[endpoint]}))
+	g.Expect(f.reportedEnds).NotTo(HaveKey(executor.Incarnation{ID: endpoint, StartedMs: f.started[endpoint]}))
 }
 
 var _ = Describe("a late word on an endpoint that has died", func() {
@@ -242,7 +242,7 @@
 	// incarnation, which runs tasks; then the answer about the first one comes.
 	It("does not clear the incarnation that lives now", func() {
 		f := newFleet(map[string]int{"a": 4})
-		f.state.ObserveWave(1, f.names("a")[:1], time.Second, 1, wall)
+		f.state.ObserveWave(1, f.names("a")[:1], time.Second, 1, wallStart)
 		first := f.instances[0].Endpoint
 		f.tasks[first] = 1
 		f.round("a")
@@ -262,7 +262,7 @@
 	// while the new one, which has not read the operation, runs tasks on it.
 	It("clears nothing", func() {
 		f := newFleet(map[string]int{"a": 4})
-		f.state.ObserveWave(1, f.names("a")[:1], time.Second, 1, wall)
+		f.state.ObserveWave(1, f.names("a")[:1], time.Second, 1, wallStart)
 		f.proofAge = time.Hour
 		for range 40 {
 			f.round("a")
@@ -281,18 +281,18 @@
 	// platform remembers the last: the instance would be taken twice. The
 	// successor leaves alone what its predecessor may have ordered, and only that.
 	It("leaves alone only instances that its predecessor ordered", func() {
-		f := newFleet(map[string]int{"a": 4, spare: 2})
-		f.state.ObserveWave(1, f.names("a"), 4*time.Second, 1, wall)
-		f.slow = true
+		f := newFleet(map[string]int{"a": 4, sparePool: 2})
+		f.state.ObserveWave(1, f.names("a"), 4*time.Second, 1, wallStart)
+		f.ordersUnanswered = true
 		for len(f.ordered) == 0 {
 			f.round("a")
 		}
 		ordered := f.ordered[0].Instance
-		f.slow, f.ordered = false, nil
-		f.succeed()
-		f.state.ObserveWave(1, f.names("a"), 4*time.Second, 2, wall)
-		took := f.now
-		for f.now < took+3*time.Second {
+		f.ordersUnanswered, f.ordered = false, nil
+		f.takeOver()
+		f.state.ObserveWave(1, f.names("a"), 4*time.Second, 2, wallStart)
+		takenOverAt := f.now
+		for f.now < takenOverAt+3*time.Second {
 			f.round("a")
 			for _, op := range f.ordered {
 				Expect(op.Instance).NotTo(Equal(ordered))
@@ -312,9 +312,9 @@
 	// not before.
 	It("uses instances whose orders are old enough by its predecessor's clock", func() {
 		f := newFleet(map[string]int{"a": 6, "b": 6})
-		f.running["a"], f.running["b"] = 6*unit, 6*unit // nothing moves
-		f.state.ObserveWave(1, f.names("a")[:1], 10*time.Second, 1, wall)
-		f.state.ObserveWave(2, f.names("b")[:6], 10*time.Second, 1, wall)
+		f.running["a"], f.running["b"] = 6*instanceCPU, 6*instanceCPU // nothing moves
+		f.state.ObserveWave(1, f.names("a")[:1], 10*time.Second, 1, wallStart)
+		f.state.ObserveWave(2, f.names("b")[:6], 10*time.Second, 1, wallStart)
 		for len(f.ordered) == 0 {
 			f.round("a", "b")
 		}
@@ -323,29 +323,29 @@
 			f.round("a", "b")
 		}
 		f.ordered = nil
-		took := f.now
-		f.succeed()
-		f.state.ObserveWave(3, []string{first}, time.Second, 1, wall)
+		takenOverAt := f.now
+		f.takeOver()
+		f.state.ObserveWave(3, []string{first}, time.Second, 1, wallStart)
 		for !slices.ContainsFunc(f.ordered, func(op fleetops.Operation) bool { return op.Instance == first && op.Wave == 3 }) {
 			f.round("a", "b")
-			Expect(f.now).To(BeNumerically("<", took+3*time.Second), "an instance stands idle")
+			Expect(f.now).To(BeNumerically("<", takenOverAt+3*time.Second), "an instance stands idle")
 		}
 		Expect(f.now).To(BeNumerically(">=", at+limits("a").HolderTTL))
 	})
 
 	It("need not wait for orders whose age its predecessor has told", func() {
 		f := newFleet(map[string]int{"a": 4})
-		f.state.ObserveWave(1, f.names("a")[:1], time.Second, 1, wall)
-		f.slow = true
+		f.state.ObserveWave(1, f.names("a")[:1], time.Second, 1, wallStart)
+		f.ordersUnanswered = true
 		for len(f.ordered) == 0 {
 			f.round("a")
 		}
 		f.now += 2800 * time.Millisecond
 		last := f.state.Release(f.now)
 		f.journal[last.Key] = last.Value
-		f.slow, f.ordered = false, nil
-		f.succeed()
-		f.state.ObserveWave(1, f.names("a")[:1], time.Second, 1, wall)
+		f.ordersUnanswered, f.ordered = false, nil
+		f.takeOver()
+		f.state.ObserveWave(1, f.names("a")[:1], time.Second, 1, wallStart)
 		for range 6 {
 			f.round("a")
 		}
@@ -357,20 +357,20 @@
 	// The holder of the duty dies in a turn of demand. Its successor has seen nothing
 	// offered, and gives the instances of the pool in its turn to the next that asks.
 	It("is known to a successor", func() {
-		f := newFleet(map[string]int{"a": 12, "b": 2, spare: 2})
-		turn := func() {
-			f.offered["a"] += 12 * unit * tick.Seconds()
-			f.running["a"] = 2 * unit // between two large jobs
+		f := newFleet(map[string]int{"a": 12, "b": 2, sparePool: 2})
+		burstRound := func() {
+			f.offered["a"] += 12 * instanceCPU * roundInterval.Seconds()
+			f.running["a"] = 2 * instanceCPU // between two large jobs
 			f.round("a", "b")
 		}
-		f.state.ObserveWave(1, f.names("b")[:1], 10*time.Second, 1, wall)
+		f.state.ObserveWave(1, f.names("b")[:1], 10*time.Second, 1, wallStart)
 		for range 20 {
-			turn()
+			burstRound()
 		}
-		f.succeed()
-		f.ready["b"], f.ordered = 20*unit, nil
+		f.takeOver()
+		f.ready["b"], f.ordered = 20*instanceCPU, nil
 		for range 4 {
-			turn()
+			burstRound()
 		}
 		for _, op := range f.ordered {
 			Expect(op.From).NotTo(Equal("a"))
@@ -384,16 +384,16 @@
 	// pool whose turn is over stand idle, as if its callers still came.
 	It("has faded by the time that passed", func() {
 		f := newFleet(map[string]int{"a": 24, "b": 2})
-		f.state.ObserveWave(1, f.names("b")[:1], 10*time.Second, 1, wall)
+		f.state.ObserveWave(1, f.names("b")[:1], 10*time.Second, 1, wallStart)
 		for range 20 {
-			f.offered["a"] += 20 * unit * tick.Seconds()
-			f.running["a"] = 20 * unit
+			f.offered["a"] += 20 * instanceCPU * roundInterval.Seconds()
+			f.running["a"] = 20 * instanceCPU
 			f.round("a", "b")
 		}
 		f.now += 2 * time.Second
 		f.running["a"] = 0
-		f.succeed()
-		f.ready["b"], f.ordered = 30*unit, nil
+		f.takeOver()
+		f.ready["b"], f.ordered = 30*instanceCPU, nil
 		for range 4 {
 			f.round("a", "b")
 		}
@@ -413,7 +413,7 @@
 	// an instance that is given away could be back.
 	It("gives instances to the pool that is short", func() {
 		f := newFleet(map[string]int{"a": 16, "b": 4})
-		f.running["a"], f.ready["b"] = 14*unit, 18*unit
+		f.running["a"], f.ready["b"] = 14*instanceCPU, 18*instanceCPU
 		for range 12 {
 			f.round("a", "b")
 		}
@@ -428,7 +428,7 @@
 
 	It("keeps them where nobody is short", func() {
 		f := newFleet(map[string]int{"a": 16, "b": 4})
-		f.running["a"] = 14 * unit
+		f.running["a"] = 14 * instanceCPU
 		for range 40 {
 			f.round("a", "b")
 		}
@@ -440,23 +440,23 @@
 // seconds, more than it holds, and almost nothing in between.
 var _ = Describe("moves while demand goes by turns", func() {
 	pools := []string{"a", "b", "c", "d"}
-	turns := func(move bool) (served, offered float64, moves int) {
-		f := newFleet(map[string]int{"a": 10, "b": 10, "c": 10, "d": 10, spare: 4})
+	runRotation := func(move bool) (served, offered float64, moves int) {
+		f := newFleet(map[string]int{"a": 10, "b": 10, "c": 10, "d": 10, sparePool: 4})
 		queued := map[string]float64{}
-		for step := range 32 * 1000 / int(tick.Milliseconds()) {
+		for step := range 32 * 1000 / int(roundInterval.Milliseconds()) {
 			for n, pool := range pools {
 				rate := 0.5 // cores
-				if step*int(tick.Milliseconds())/8000 == n {
+				if step*int(roundInterval.Milliseconds())/8000 == n {
 					rate = 22
 				}
-				work := rate * float64(tick.Milliseconds())
+				work := rate * float64(roundInterval.Milliseconds())
 				f.offered[pool] += work
 				offered += work
 				queued[pool] += work
-				room := float64(f.count(pool)) * float64(tick.Milliseconds())
+				room := float64(f.count(pool)) * float64(roundInterval.Milliseconds())
 				run := min(room, queued[pool])
 				served += run
-				f.running[pool] = run / float64(tick.Milliseconds()) * unit
+				f.running[pool] = run / float64(roundInterval.Milliseconds()) * instanceCPU
 				// What has waited for two seconds of this work is given up.
 				queued[pool] = min(queued[pool]-run, 2000*rate)
 				f.ready[pool] = queued[pool]
@@ -469,8 +469,8 @@
 	}
 
 	It("serve more than nine tenths, against two thirds where instances stay", func() {
-		stay, offered, _ := turns(false)
-		served, _, moves := turns(true)
+		stay, offered, _ := runRotation(false)
+		served, _, moves := runRotation(true)
 		Expect(stay / offered).To(BeNumerically("<", 0.70))
 		Expect(served / offered).To(BeNumerically(">", 0.90))
 		GinkgoWriter.Printf("stay %.3f move %.3f moves %d\n", stay/offered, served/offered, moves)
--- a/internal/fleetops/moves.go
+++ b/internal/fleetops/moves.go
@@ -17,10 +17,10 @@
 // while is switched off. A move costs as much as a second of an instance in a
 // pool, so a wrong one is cheap and a missed one is not.
 const (
-	// drainWithin is how fast a backlog should drain: about the slack of a job's
+	// backlogDrainTime is how fast a backlog should drain: about the slack of a job's
 	// objective. Drained much faster, pools in their turn call for more instances than
 	// there are and keep them from each other.
-	drainWithin = 1800 * time.Millisecond
+	backlogDrainTime = 1800 * time.Millisecond
 	// headroom covers tasks that don't fill their endpoints evenly.
 	headroom = 1.15
 	// riseWindow and fallWindow smooth the offered work: jobs come some five a
@@ -28,68 +28,68 @@
 	// that it has ended costs little to learn late.
 	riseWindow = 300 * time.Millisecond
 	fallWindow = 1200 * time.Millisecond
-	// riseLead and riseMost are how far a rise is drawn out, and the most that
+	// trendFactor and riseMost are how far a rise is drawn out, and the most that
 	// is believed of it: jobs come in clumps.
-	riseLead = 1.0
-	riseMost = 1.8
-	// noticeTime is what passes beside the move itself until a called instance
+	trendFactor   = 1.0
+	maxRiseFactor = 1.8
+	// joinTime is what passes beside the move itself until a called instance
 	// works: it registers, is looked at, and gets its first tasks.
-	noticeTime = 300 * time.Millisecond
-	// stillRunning is the part of what runs that a pool keeps room for when another
+	joinTime = 300 * time.Millisecond
+	// runningRetained is the part of what runs that a pool keeps room for when another
 	// is short: the rest ends before an instance that it gives away could be back.
 	// Load: one queue's turn ends as another's begins. Counted whole, what runs holds
 	// all instances for another second or two, in which the next turn's jobs are
 	// lost.
-	stillRunning = 0.5
-	// viewEvery is how long a pool's owner takes to have a new instance in use
+	runningRetained = 0.5
+	// viewLag is how long a pool's owner takes to have a new instance in use
 	// and to be asked about it.
-	viewEvery = 250 * time.Millisecond
-	// viewFresh is how old an owner's word may be to move instances by it.
-	viewFresh = 1500 * time.Millisecond
-	// idleFor is how long instances are too many before they are switched off.
-	idleFor = 2500 * time.Millisecond
-	// leastInstances stay in a pool beside those with lasting tasks, so that
+	viewLag = 250 * time.Millisecond
+	// maxViewAge is how old an owner's word may be to move instances by it.
+	maxViewAge = 1500 * time.Millisecond
+	// idleTimeout is how long instances are too many before they are switched off.
+	idleTimeout = 2500 * time.Millisecond
+	// minInstances stay in a pool beside those with lasting tasks, so that
 	// the first jobs of a turn find room.
-	leastInstances = 2
-	// mostStarved bounds the instances that are called at once for lasting tasks
+	minInstances = 2
+	// maxStarvedSteps bounds the instances that are called at once for lasting tasks
 	// that find no endpoint.
-	mostStarved = 3
-	// shortBy is the share of an instance that must be missing to move one.
-	shortBy = 0.35
+	maxStarvedSteps = 3
+	// minShortfall is the share of an instance that must be missing to move one.
+	minShortfall = 0.35
 )
 
 // decideMoves begins moves towards pools that need more, and switches off what
 // none needs.
 func (s *State) decideMoves(now time.Duration, a *Actions) {
-	unit := s.typicalCPU()
+	unit := s.meanInstanceCPU()
 	if unit == 0 || !s.viewsFresh(now) {
 		return
 	}
 	balances := s.balances(now, unit)
 	sortByNeed(balances, unit)
 	for i := range balances {
-		for balances[i].gap() > shortBy*unit {
+		for balances[i].shortfall() > minShortfall*unit {
 			if op := s.redirect(balances[i].pool); op != nil {
 				balances[i].have += float64(s.instances[op.Instance].CPUMilli)
 				a.Events = append(a.Events, Event{What: "move redirected", Instance: op.Instance, Reason: "needed", Pool: op.To})
 				continue
 			}
-			donor, from := s.donor(now, unit, balances, balances[i])
+			donor, donorIndex := s.donor(now, unit, balances, balances[i])
 			if donor == nil {
 				break
 			}
 			s.beginMove(now, donor, balances[i].pool, "needed", a)
 			balances[i].have += float64(donor.CPUMilli)
-			if from >= 0 {
-				balances[from].have -= float64(donor.CPUMilli)
+			if donorIndex >= 0 {
+				balances[donorIndex].have -= float64(donor.CPUMilli)
 			}
 		}
 	}
 	s.switchOff(now, unit, balances, a)
-	s.free = s.idleSpare()
+	s.fleetSurplus = s.idleSpareCPU()
 	for _, b := range balances {
-		s.surplus[b.pool] = -b.gap()
-		s.free -= b.gap()
+		s.poolSurplus[b.pool] = -b.shortfall()
+		s.fleetSurplus -= b.shortfall()
 	}
 }
 
@@ -99,13 +99,13 @@
 // of another pool that has lost its endpoint stays away for the whole turn.
 func sortByNeed(balances []balance, unit float64) {
 	slices.SortFunc(balances, func(x, y balance) int {
-		if a, b := x.lacks(unit), y.lacks(unit); a != b {
+		if a, b := x.lacksLasting(unit), y.lacksLasting(unit); a != b {
 			if a {
 				return -1
 			}
 			return 1
 		}
-		return cmp.Compare(y.gap(), x.gap())
+		return cmp.Compare(y.shortfall(), x.shortfall())
 	})
 }
 
@@ -114,7 +114,7 @@
 func (s *State) redirect(pool string) *Operation {
 	for _, name := range s.sortedOps() {
 		op := s.ops[name]
-		if op.Kind != KindMove || op.To != s.spare || op.Phase != PhaseClearing || op.From == pool || s.unfit[fit{s.instances[name].Kind, pool}] {
+		if op.Kind != KindMove || op.To != s.spare || op.Phase != PhaseClearing || op.From == pool || s.rejectedKinds[kindInPool{s.instances[name].Kind, pool}] {
 			continue
 		}
 		op.To = pool
@@ -126,7 +126,7 @@
 
 func (s *State) viewsFresh(now time.Duration) bool {
 	for _, v := range s.pools {
-		if now-v.At > viewFresh {
+		if now-v.At > maxViewAge {
 			return false
 		}
 	}
@@ -136,64 +136,64 @@
 // donor returns the instance that is cheapest to give to a pool, and the place
 // of the pool that gives it among balances, or -1 for the spare pool.
 func (s *State) donor(now time.Duration, unit float64, balances []balance, to balance) (*Instance, int) {
-	for _, name := range s.names {
+	for _, name := range s.instanceNames {
 		i := s.instances[name]
 		if i.Pool == s.spare && s.movable(now, i, to.pool) {
 			return &i, -1
 		}
 	}
-	if giver := richest(balances, to.pool, func(b balance) float64 { return b.spareFor(to, unit) }, unit); giver >= 0 {
-		return s.leastLoaded(now, balances[giver].pool, to.pool, busyShare*unit), giver
+	if index := largestDonor(balances, to.pool, func(b balance) float64 { return b.availableFor(to, unit) }, unit); index >= 0 {
+		return s.leastLoaded(now, balances[index].pool, to.pool, maxDonorLoad*unit), index
 	}
-	if !to.lacks(unit) {
+	if !to.lacksLasting(unit) {
 		return nil, -1
 	}
 	// Nobody has more than it needs: lasting tasks come before short ones.
-	if giver := richest(balances, to.pool, func(b balance) float64 { return b.have - b.least }, unit); giver >= 0 {
-		return s.leastLoaded(now, balances[giver].pool, to.pool, unit), giver
+	if index := largestDonor(balances, to.pool, func(b balance) float64 { return b.have - b.lastingNeed }, unit); index >= 0 {
+		return s.leastLoaded(now, balances[index].pool, to.pool, unit), index
 	}
 	return nil, -1
 }
 
-// richest returns the place of the pool that can give the most, at least one
+// largestDonor returns the place of the pool that can give the most, at least one
 // instance, or -1.
-func richest(balances []balance, to string, canGive func(balance) float64, unit float64) int {
-	giver := -1
+func largestDonor(balances []balance, to string, canGive func(balance) float64, unit float64) int {
+	best := -1
 	for n, b := range balances {
 		if b.pool == to || canGive(b) < unit {
 			continue
 		}
-		if giver < 0 || canGive(b) > canGive(balances[giver]) {
-			giver = n
+		if best < 0 || canGive(b) > canGive(balances[best]) {
+			best = n
 		}
 	}
-	return giver
+	return best
 }
 
 // movable reports whether nothing else is done with an instance, it may be ordered
 // about, and may serve the pool.
 func (s *State) movable(now time.Duration, i Instance, to string) bool {
-	return i.Up && now >= s.quiet[i.Name] && !s.reserved[i.Name] && s.active(i.Name) == nil && !s.unfit[fit{i.Kind, to}]
+	return i.Up && now >= s.noOrdersUntil[i.Name] && !s.reserved[i.Name] && s.activeOperation(i.Name) == nil && !s.rejectedKinds[kindInPool{i.Kind, to}]
 }
 
-// busyShare is how much of an instance may be in use when it is chosen to
+// maxDonorLoad is how much of an instance may be in use when it is chosen to
 // leave: its tasks run out within about their usual second.
-const busyShare = 0.4
+const maxDonorLoad = 0.4
 
 // leastLoaded returns the instance of a pool with the least to wait for, at most
 // most milli-cores in use and none with lasting tasks.
-func (s *State) leastLoaded(now time.Duration, pool, to string, most float64) *Instance {
+func (s *State) leastLoaded(now time.Duration, pool, to string, maxUsed float64) *Instance {
 	hosts := s.pools[pool].hosts
 	var best *Instance
-	least := most
-	for _, name := range s.names {
+	leastUsed := maxUsed
+	for _, name := range s.instanceNames {
 		i := s.instances[name]
 		h, known := hosts[i.Endpoint]
 		if i.Pool != pool || !known || h.Lasting || !s.movable(now, i, to) {
 			continue
 		}
-		if used := float64(h.UsedMilli); best == nil && used <= least || best != nil && used < least {
-			best, least = &i, used
+		if used := float64(h.UsedMilli); best == nil && used <= leastUsed || best != nil && used < leastUsed {
+			best, leastUsed = &i, used
 		}
 	}
 	return best
@@ -215,18 +215,18 @@
 		if d == nil {
 			continue
 		}
-		if b.gap() > -unit {
-			d.tooMany = 0
+		if b.shortfall() > -unit {
+			d.surplusSince = 0
 			continue
 		}
-		if d.tooMany == 0 {
-			d.tooMany = now
+		if d.surplusSince == 0 {
+			d.surplusSince = now
 		}
-		if now-d.tooMany < idleFor {
+		if now-d.surplusSince < idleTimeout {
 			continue
 		}
 		for have := b.have; have-b.need >= unit; have -= unit {
-			i := s.leastLoaded(now, b.pool, s.spare, busyShare*unit)
+			i := s.leastLoaded(now, b.pool, s.spare, maxDonorLoad*unit)
 			if i == nil {
 				break
 			}
--- a/internal/fleetops/records.go
+++ b/internal/fleetops/records.go
@@ -16,12 +16,12 @@
 	keyOperation = "o"
 	keyWave      = "w"
 	keyRelease   = "r"
-	keyTick      = "t"
+	keyClock     = "t"
 )
 
-// tick is a holder's steady clock at its newest batch of records. Beside the times of
+// clockRecord is a holder's steady clock at its newest batch of records. Beside the times of
 // its orders it says how old these were by then, whatever the time of day did.
-type tick struct {
+type clockRecord struct {
 	Epoch     int64 `cbor:"1,keyasint"`
 	ClaimedMs int64 `cbor:"2,keyasint"`
 	NowMs     int64 `cbor:"3,keyasint"`
@@ -33,22 +33,22 @@
 
 // demandRecord is a pool's demand, in milli-cores.
 type demandRecord struct {
-	Rate float64 `cbor:"1,keyasint"`
-	Slow float64 `cbor:"2,keyasint"`
+	Rate     float64 `cbor:"1,keyasint"`
+	SlowRate float64 `cbor:"2,keyasint"`
 }
 
-// ageOf is how long ago at least an operation's order was given as the tick was
+// minOrderAge is how long ago at least an operation's order was given as the tick was
 // written. Of an earlier holder's order it is known that the tick's own has had the
 // duty since.
-func (t *tick) ageOf(op *Operation) time.Duration {
-	if t == nil {
+func (c *clockRecord) minOrderAge(op *Operation) time.Duration {
+	if c == nil {
 		return 0
 	}
-	since := t.ClaimedMs
-	if op.OrderedIn == t.Epoch {
+	since := c.ClaimedMs
+	if op.OrderedIn == c.Epoch {
 		since = op.OrderedMs
 	}
-	return time.Duration(max(0, t.NowMs-since)) * time.Millisecond
+	return time.Duration(max(0, c.NowMs-since)) * time.Millisecond
 }
 
 // release is written by a holder that gives the duty up in order: it gives no
@@ -72,22 +72,22 @@
 // since 1970.
 func (s *State) Restore(records []executor.Record, now time.Duration, wallMs int64) error {
 	var released *release
-	var last *tick
+	var clock *clockRecord
 	var restored []*Operation
 	s.claimedAt = now
 	for _, r := range records {
 		var err error
 		switch {
 		case r.Key == "":
-		case r.Key == keyTick:
-			last = &tick{}
-			err = cbor.Unmarshal(r.Value, last)
+		case r.Key == keyClock:
+			clock = &clockRecord{}
+			err = cbor.Unmarshal(r.Value, clock)
 		case r.Key == keyRelease:
 			released = &release{}
 			err = cbor.Unmarshal(r.Value, released)
-			s.released = true
+			s.releaseOnRecord = true
 		case r.Key[:1] == keyOperation:
-			op := &Operation{since: now}
+			op := &Operation{beganAt: now}
 			if err = cbor.Unmarshal(r.Value, op); err == nil {
 				restored = append(restored, op)
 			}
@@ -105,26 +105,26 @@
 		}
 	}
 	for _, op := range restored {
-		s.restoreOperation(op, last, now)
+		s.restoreOperation(op, clock, now)
 	}
-	if last != nil {
-		s.restoreDemand(last.Demand, time.Duration(wallMs-last.WallMs)*time.Millisecond)
+	if clock != nil {
+		s.restoreDemand(clock.Demand, time.Duration(wallMs-clock.WallMs)*time.Millisecond)
 	}
 	if released != nil {
-		s.shortenQuiet(released, now)
+		s.applyRelease(released, now)
 	}
 	return nil
 }
 
-// shortenQuiet applies what a predecessor said when it gave the duty up.
-func (s *State) shortenQuiet(r *release, now time.Duration) {
-	for name := range s.quiet {
+// applyRelease applies what a predecessor said when it gave the duty up.
+func (s *State) applyRelease(r *release, now time.Duration) {
+	for name := range s.noOrdersUntil {
 		age, ordered := r.AgesMs[name]
 		left := s.limits.HolderTTL - time.Duration(age)*time.Millisecond
 		if !ordered {
 			continue // by an earlier holder still
 		}
-		s.quiet[name] = now + max(0, left) + releaseMargin
+		s.noOrdersUntil[name] = now + max(0, left) + releaseMargin
 	}
 }
 
@@ -141,24 +141,24 @@
 // record. Load: while demand goes by turns, most instances have been ordered about
 // in the last few seconds. Left alone for as long as those under way, they stood
 // idle for five seconds after each loss of a holder, while a queue's turn went by.
-func (s *State) restoreOperation(op *Operation, last *tick, now time.Duration) {
+func (s *State) restoreOperation(op *Operation, clock *clockRecord, now time.Duration) {
 	switch {
 	case op.Phase == PhaseClearing || op.Holder == s.limits.Holder:
-	case op.Phase == PhaseOver && last != nil:
-		s.quiet[op.Instance] = now + max(0, s.limits.HolderTTL-last.ageOf(op)) + releaseMargin
+	case op.Phase == PhaseOver && clock != nil:
+		s.noOrdersUntil[op.Instance] = now + max(0, s.limits.HolderTTL-clock.minOrderAge(op)) + releaseMargin
 	default:
-		s.quiet[op.Instance] = now + s.limits.HolderTTL + orderSilence
+		s.noOrdersUntil[op.Instance] = now + s.limits.HolderTTL + lateOrderWindow
 	}
 	if op.Phase == PhaseOver {
-		op.over = now
+		op.endedAt = now
 	}
-	op.recorded = now
+	op.durableAt = now
 	s.ops[op.Instance] = op
 }
 
-// orderSilence outlasts an order that a displaced holder sends with its last
+// lateOrderWindow outlasts an order that a displaced holder sends with its last
 // proof of the epoch, and the time that the call may take.
-const orderSilence = proofMax + time.Second
+const lateOrderWindow = maxProofAge + time.Second
 
 // OperationsOf reads the endpoints of a pool that operations are about to clear,
 // and those that they have ended of late, from the records of the duty's journal.
@@ -210,8 +210,8 @@
 		slices.Sort(w.Done)
 		out = append(out, executor.Record{Key: keyWave + strconv.Itoa(n), Value: executor.Encode(w)})
 	}
-	if len(out) > 0 && s.released {
-		s.released = false
+	if len(out) > 0 && s.releaseOnRecord {
+		s.releaseOnRecord = false
 		out = append(out, executor.Record{Key: keyRelease})
 	}
 	if len(out) > 0 {
@@ -227,15 +227,15 @@
 // demand, which goes with each batch and each proof of the epoch: a successor takes the
 // demand for as old as this record.
 func (s *State) TickRecord(now time.Duration, wallMs int64) executor.Record {
-	return executor.Record{Key: keyTick, Value: executor.Encode(tick{Epoch: s.limits.Epoch,
+	return executor.Record{Key: keyClock, Value: executor.Encode(clockRecord{Epoch: s.limits.Epoch,
 		ClaimedMs: s.claimedAt.Milliseconds(), NowMs: now.Milliseconds(), Demand: s.demandRecords(), WallMs: wallMs})}
 }
 
 // Saved takes in that all records taken so far are durable.
 func (s *State) Saved(now time.Duration) {
 	for _, op := range s.ops {
-		if op.recorded == 0 {
-			op.recorded = now
+		if op.durableAt == 0 {
+			op.durableAt = now
 		}
 	}
 }
--- a/internal/fleetops/run.go
+++ b/internal/fleetops/run.go
@@ -21,18 +21,18 @@
 const (
 	// Topic holds the duty's records.
 	Topic = "keyed.fleet"
-	// roundEvery spaces rounds.
-	roundEvery = 150 * time.Millisecond
-	// listBusy and listIdle are how old the instance list may be while
+	// roundInterval spaces rounds.
+	roundInterval = 150 * time.Millisecond
+	// maxListAgeBusy and listIdle are how old the instance list may be while
 	// something is under way, and otherwise.
-	listBusy = 450 * time.Millisecond
-	listIdle = 2 * time.Second
-	// proofMax is how old the proof of the epoch may be when an instance is
+	maxListAgeBusy = 450 * time.Millisecond
+	maxListAgeIdle = 2 * time.Second
+	// maxProofAge is how old the proof of the epoch may be when an instance is
 	// ordered about; a successor waits out what was sent with it.
-	proofMax   = 900 * time.Millisecond
-	proofEvery = 600 * time.Millisecond
-	// claimRetry spaces attempts at a claim.
-	claimRetry = 200 * time.Millisecond
+	maxProofAge   = 900 * time.Millisecond
+	proofInterval = 600 * time.Millisecond
+	// claimRetryDelay spaces attempts at a claim.
+	claimRetryDelay = 200 * time.Millisecond
 )
 
 // Cloud is the part of the platform's client that commands instances.
@@ -102,31 +102,31 @@
 	state  *State
 	shares *quota.Ledger
 	tenure *tenure.Tenure
-	// rounded is when the last round began.
-	rounded time.Duration
-	// balanced is when the pools' room and need were last logged.
-	balanced time.Duration
-	inbox    chan func(now time.Duration)
-	listing  bool
-	asking   map[string]bool
+	// lastRoundAt is when the last round began.
+	lastRoundAt time.Duration
+	// balancesLoggedAt is when the pools' room and need were last logged.
+	balancesLoggedAt time.Duration
+	inbox            chan func(now time.Duration)
+	listInFlight     bool
+	clearInFlight    map[string]bool
 }
 
 // Run claims the duty and does it until ctx ends or a newer epoch shows.
 func Run(ctx context.Context, opts Options) {
-	r := &Runner{opts: opts, inbox: make(chan func(time.Duration), 1024), asking: map[string]bool{}}
+	r := &Runner{opts: opts, inbox: make(chan func(time.Duration), 1024), clearInFlight: map[string]bool{}}
 	if !r.claim(ctx) {
 		return
 	}
 	opts.Logger.Info("fleet duty claimed", "epoch", r.tenure.Epoch)
 	opts.Claimed(ctx, r.tenure.Epoch)
-	tick := time.NewTicker(roundEvery)
+	tick := time.NewTicker(roundInterval)
 	defer tick.Stop()
 	for ctx.Err() == nil {
 		select {
 		case <-ctx.Done():
 		case msg := <-r.inbox:
 			msg(planlease.Boottime())
-			if !r.early() {
+			if !r.roundDueEarly() {
 				continue
 			}
 		case <-tick.C:
@@ -139,13 +139,13 @@
 	r.release()
 }
 
-// earlyGap is the least time between two rounds.
-const earlyGap = 30 * time.Millisecond
+// minRoundGap is the least time between two rounds.
+const minRoundGap = 30 * time.Millisecond
 
-// early reports whether a round is worth its while before the next tick: answers
+// roundDueEarly reports whether a round is worth its while before the next tick: answers
 // have come, and operations wait for them.
-func (r *Runner) early() bool {
-	return (!r.state.Idle() || r.shares.Pending()) && planlease.Boottime()-r.rounded > earlyGap
+func (r *Runner) roundDueEarly() bool {
+	return (!r.state.Idle() || r.shares.Pending()) && planlease.Boottime()-r.lastRoundAt > minRoundGap
 }
 
 // releaseTimeout bounds what a stopping process spends on its last record.
@@ -155,18 +155,18 @@
 func (r *Runner) release() {
 	ctx, cancel := context.WithTimeout(context.Background(), releaseTimeout)
 	defer cancel()
-	last := r.state.Release(planlease.Boottime())
-	err := r.tenure.Append(ctx, StoreRecords([]executor.Record{last}))
+	record := r.state.Release(planlease.Boottime())
+	err := r.tenure.Append(ctx, StoreRecords([]executor.Record{record}))
 	r.opts.Logger.Info("fleet duty given up", "epoch", r.tenure.Epoch, "error", errorText(err))
 }
 
 func (r *Runner) claim(ctx context.Context) bool {
 	for ctx.Err() == nil {
-		held, records, err := tenure.Claim(ctx, r.opts.Store, Topic, r.opts.Member, r.opts.Claims, r.opts.Logger)
+		claimed, records, err := tenure.Claim(ctx, r.opts.Store, Topic, r.opts.Member, r.opts.Claims, r.opts.Logger)
 		if err == nil {
-			r.tenure = held
+			r.tenure = claimed
 			limits := r.opts.Limits
-			limits.Epoch = held.Epoch
+			limits.Epoch = claimed.Epoch
 			r.state = NewState(limits)
 			r.shares = quota.NewLedger()
 			err = r.restore(RecordsOf(records))
@@ -178,7 +178,7 @@
 		if errors.HasType(err, (*tenure.HeldError)(nil)) {
 			return false
 		}
-		pause.For(ctx, claimRetry)
+		pause.For(ctx, claimRetryDelay)
 	}
 	return false
 }
@@ -214,12 +214,12 @@
 // round decides, makes the decisions durable, and carries them out.
 func (r *Runner) round(ctx context.Context) error {
 	now := planlease.Boottime()
-	r.rounded = now
+	r.lastRoundAt = now
 	facts := r.opts.Facts()
 	for _, w := range facts.Waves {
 		r.state.ObserveWave(w.Number, w.Instances, w.Within, w.MaxAtOnce, time.Now().UnixMilli())
 	}
-	r.list(ctx, facts.Spare)
+	r.refreshInstances(ctx, facts.Spare)
 	actions := r.state.Decide(now, time.Now().UnixMilli())
 	if facts.Accounts != nil {
 		r.shares.Decide(now, facts.Accounts, facts.Pools)
@@ -235,26 +235,26 @@
 	r.logBalances(now)
 	if r.state.WantsList() {
 		// An order waits for it: left to the next round it would wait for that, too.
-		r.list(ctx, facts.Spare)
+		r.refreshInstances(ctx, facts.Spare)
 	}
-	r.ask(ctx, facts.Pools, actions)
+	r.callOwners(ctx, facts.Pools, actions)
 	for _, o := range actions.Orders {
-		r.order(ctx, o)
+		r.sendOrder(ctx, o)
 	}
 	for _, a := range actions.Announce {
-		r.announce(ctx, a)
+		r.publishWaveStatus(ctx, a)
 	}
 	return nil
 }
 
-// balanceEvery spaces the lines on pools' room and need.
-const balanceEvery = time.Second
+// balanceLogInterval spaces the lines on pools' room and need.
+const balanceLogInterval = time.Second
 
 func (r *Runner) logBalances(now time.Duration) {
-	if now-r.balanced < balanceEvery {
+	if now-r.balancesLoggedAt < balanceLogInterval {
 		return
 	}
-	r.balanced = now
+	r.balancesLoggedAt = now
 	for _, b := range r.state.Balances(now) {
 		r.opts.Logger.Info("pool balance", "epoch", r.tenure.Epoch, "pool", b.Pool, "endpoints", b.Endpoints,
 			"have_cores", round1(b.HaveCores), "need_cores", round1(b.NeedCores), "offered_cores", round1(b.OfferedCores),
@@ -275,10 +275,10 @@
 	for _, record := range shares {
 		changed = append(changed, executor.Record(record))
 	}
-	if len(changed) == 0 && r.tenure.ProofAge() < proofEvery {
+	if len(changed) == 0 && r.tenure.ProofAge() < proofInterval {
 		return nil
 	}
-	if len(changed) == 0 && r.state.Idle() && r.tenure.ProofAge() < listIdle {
+	if len(changed) == 0 && r.state.Idle() && r.tenure.ProofAge() < maxListAgeIdle {
 		return nil
 	}
 	if len(changed) == 0 {
@@ -287,25 +287,25 @@
 	return r.tenure.Append(ctx, StoreRecords(changed))
 }
 
-// list reads the instance list in the background where it is due.
-func (r *Runner) list(ctx context.Context, spare string) {
-	age := listIdle
+// refreshInstances reads the instance refreshInstances in the background where it is due.
+func (r *Runner) refreshInstances(ctx context.Context, spare string) {
+	age := maxListAgeIdle
 	if !r.state.Idle() {
-		age = listBusy
+		age = maxListAgeBusy
 	}
 	asked := planlease.Boottime()
 	fresh := r.state.listedAt > 0 && asked-r.state.listedAt < age && !r.state.WantsList()
-	if r.listing || fresh {
+	if r.listInFlight || fresh {
 		return
 	}
-	r.listing = true
+	r.listInFlight = true
 	go func() {
 		list, err := r.opts.Cloud.Instances(ctx)
 		if err != nil {
 			r.opts.Logger.Warn("instance list not read", "error", err.Error())
 		}
-		r.post(ctx, func(time.Duration) {
-			r.listing = false
+		r.enqueue(ctx, func(time.Duration) {
+			r.listInFlight = false
 			if err == nil {
 				r.state.ObserveInstances(asked, instancesOf(list), spare)
 			}
@@ -322,32 +322,32 @@
 	return out
 }
 
-func (r *Runner) post(ctx context.Context, msg func(now time.Duration)) {
+func (r *Runner) enqueue(ctx context.Context, msg func(now time.Duration)) {
 	select {
 	case r.inbox <- msg:
 	case <-ctx.Done():
 	}
 }
 
-// ask tells each pool's owner what to clear and learns how the pool is.
-func (r *Runner) ask(ctx context.Context, pools []string, actions Actions) {
+// callOwners tells each pool's owner what to clear and learns how the pool is.
+func (r *Runner) callOwners(ctx context.Context, pools []string, actions Actions) {
 	byPool := map[string][]Clear{}
 	for _, c := range actions.Clears {
 		byPool[c.Pool] = append(byPool[c.Pool], c)
 	}
 	loans := r.state.Loans(planlease.Boottime(), pools)
 	for _, pool := range pools {
-		if r.asking[pool] {
+		if r.clearInFlight[pool] {
 			continue
 		}
-		r.asking[pool] = true
+		r.clearInFlight[pool] = true
 		items := byPool[pool]
 		call := ClearCall{Clears: items, Due: actions.Due[pool], Loans: loans[pool], Shares: r.shares.Ask(pool)}
 		go func() {
 			asked := planlease.Boottime()
 			answer := r.opts.Pools.Clear(ctx, pool, call)
-			r.post(ctx, func(now time.Duration) {
-				r.asking[pool] = false
+			r.enqueue(ctx, func(now time.Duration) {
+				r.clearInFlight[pool] = false
 				if !answer.Owned {
 					return
 				}
@@ -358,8 +358,8 @@
 						r.state.EndTold(item.Instance, item.Endpoint)
 						continue
 					}
-					if word, known := answer.Left[item.Endpoint]; known {
-						r.state.Cleared(asked, asked-answer.ProofAge, item.Instance, item.Endpoint, word)
+					if vacancy, known := answer.Left[item.Endpoint]; known {
+						r.state.Cleared(asked, asked-answer.ProofAge, item.Instance, item.Endpoint, vacancy)
 					}
 				}
 			})
@@ -367,27 +367,27 @@
 	}
 }
 
-// order gives an order in the background, unless this owner can't prove that it
+// sendOrder gives an sendOrder in the background, unless this owner can't prove that it
 // is the newest.
-func (r *Runner) order(ctx context.Context, o Order) {
+func (r *Runner) sendOrder(ctx context.Context, o Order) {
 	op := o.Operation
 	now := planlease.Boottime()
-	if r.tenure.ProofAge() > proofMax {
+	if r.tenure.ProofAge() > maxProofAge {
 		r.state.Ordered(now, op.Instance, OrderBusy)
 		return
 	}
-	to := platform.InstanceOrder{Instance: op.Instance, Holder: r.opts.Holder, Fence: r.tenure.Epoch}
+	order := platform.InstanceOrder{Instance: op.Instance, Holder: r.opts.Holder, Fence: r.tenure.Epoch}
 	go func() {
 		var err error
 		if op.Kind == KindMove {
-			err = r.opts.Cloud.Move(ctx, to, op.To)
+			err = r.opts.Cloud.Move(ctx, order, op.To)
 		} else {
-			err = r.opts.Cloud.Maintain(ctx, to, op.Wave)
+			err = r.opts.Cloud.Maintain(ctx, order, op.Wave)
 		}
-		result := resultOf(err)
+		result := orderResult(err)
 		r.opts.Logger.Info("instance ordered", "epoch", r.tenure.Epoch, "instance", op.Instance, "operation", op.Kind.String(),
 			"wave", op.Wave, "to", op.To, "result", int(result), "error", errorText(err))
-		r.post(ctx, func(now time.Duration) { r.state.Ordered(now, op.Instance, result) })
+		r.enqueue(ctx, func(now time.Duration) { r.state.Ordered(now, op.Instance, result) })
 	}()
 }
 
@@ -404,26 +404,26 @@
 	reasonFence = "fence"
 )
 
-func resultOf(err error) OrderResult {
-	var turnedAway *platform.NotDoneError
+func orderResult(err error) OrderResult {
+	var notDone *platform.NotDoneError
 	switch {
 	case err == nil:
 		return OrderAccepted
-	case !errors.As(err, &turnedAway):
+	case !errors.As(err, &notDone):
 		return OrderUnanswered
-	case turnedAway.Status == http.StatusBadRequest:
+	case notDone.Status == http.StatusBadRequest:
 		return OrderRefused
-	case turnedAway.Status == http.StatusConflict && turnedAway.Reason == reasonFence:
+	case notDone.Status == http.StatusConflict && notDone.Reason == reasonFence:
 		return OrderFenced
-	case turnedAway.Status == http.StatusConflict && turnedAway.Reason != reasonBusy:
+	case notDone.Status == http.StatusConflict && notDone.Reason != reasonBusy:
 		return OrderRefused
 	}
 	return OrderBusy
 }
 
-// announce tells the operator a wave's state. Until it is stored the wave
+// publishWaveStatus tells the operator a wave's state. Until it is stored the wave
 // counts as not announced.
-func (r *Runner) announce(ctx context.Context, a Announcement) {
+func (r *Runner) publishWaveStatus(ctx context.Context, a Announcement) {
 	record, err := platform.WaveStatus(a.Wave, a.Completed)
 	if err != nil {
 		r.opts.Logger.Error("wave status not encoded", "wave", a.Wave, "error", err.Error())
@@ -433,7 +433,7 @@
 		err := r.opts.Store.Put(ctx, platform.TopicStatus, platform.Writer{}, []platform.Record{record})
 		if err != nil {
 			r.opts.Logger.Warn("wave status not stored", "wave", a.Wave, "error", err.Error())
-			r.post(ctx, func(time.Duration) { r.state.Unannounced(a.Wave) })
+			r.enqueue(ctx, func(time.Duration) { r.state.Unannounced(a.Wave) })
 		}
 	}()
 }
--- a/internal/fleetops/state.go
+++ b/internal/fleetops/state.go
@@ -67,24 +67,24 @@
 	OrderedMs int64 `cbor:"10,keyasint,omitempty"`
 	OrderedIn int64 `cbor:"11,keyasint,omitempty"`
 
-	// told: the pool's owner has heard that.
-	told  bool
-	since time.Duration
-	// lasting: tasks that last were on the instance as the operation began.
-	lasting bool
-	// accepted is when the platform confirmed the order.
-	accepted  time.Duration
-	ordering  bool
-	orderedAt time.Duration
-	// over is when it ended.
-	over time.Duration
-	// recorded is when the operation was known to be durable.
-	recorded time.Duration
-	// clearAt is when the owner last said that nothing is left.
-	clearAt time.Duration
-	// clearFrom is when it first said so, without a contrary word since.
-	clearFrom time.Duration
-	cleared   bool
+	// endConfirmed: the pool's owner has heard that.
+	endConfirmed bool
+	beganAt      time.Duration
+	// hadLasting: tasks that last were on the instance as the operation began.
+	hadLasting bool
+	// acceptedAt is when the platform confirmed the order.
+	acceptedAt    time.Duration
+	orderInFlight bool
+	orderedAt     time.Duration
+	// endedAt is when it ended.
+	endedAt time.Duration
+	// durableAt is when the operation was known to be durable.
+	durableAt time.Duration
+	// clearReportedAt is when the owner last said that nothing is left.
+	clearReportedAt time.Duration
+	// clearSince is when it first said so, without a contrary word since.
+	clearSince time.Duration
+	cleared    bool
 }
 
 // Wave is a maintenance wave and how far it is.
@@ -130,12 +130,12 @@
 	pools  map[string]*PoolView
 
 	instances map[string]Instance
-	// names are those of instances, in order.
-	names []string
+	// instanceNames are those of instances, in order.
+	instanceNames []string
 	// listedAt is when the instance list was asked for.
 	listedAt time.Duration
-	// wantsList: an order waits for a list that is newer than its owner's word.
-	wantsList bool
+	// needsList: an order waits for a list that is newer than its owner's word.
+	needsList bool
 	ops       map[string]*Operation
 	waves     map[int]*Wave
 	demand    map[string]*demand
@@ -143,23 +143,23 @@
 	// reserved are instances that are kept for a wave's last part: moving from
 	// pool to pool they would never be free for it.
 	reserved map[string]bool
-	// surplus is what each pool has beyond its need, in milli-cores, by the
+	// poolSurplus is what each pool has beyond its need, in milli-cores, by the
 	// last round.
-	surplus map[string]float64
-	// free is what all pools together, and the spare pool, have beyond their needs.
-	free float64
+	poolSurplus map[string]float64
+	// fleetSurplus is what all pools together, and the spare pool, have beyond their needs.
+	fleetSurplus float64
 
 	dirtyOps   map[string]bool
 	dirtyWaves map[int]bool
-	// released reports that a predecessor's release is still on record.
-	released bool
-	// quiet is until when an instance that a predecessor may have ordered about
+	// releaseOnRecord reports that a predecessor's release is still on record.
+	releaseOnRecord bool
+	// noOrdersUntil is until when an instance that a predecessor may have ordered about
 	// is left alone.
-	quiet map[string]time.Duration
+	noOrdersUntil map[string]time.Duration
 	// claimedAt is when this holder took the duty over.
 	claimedAt time.Duration
-	// unfit are kinds of instances that the platform refused for a pool.
-	unfit map[fit]bool
+	// rejectedKinds are kinds of instances that the platform refused for a pool.
+	rejectedKinds map[kindInPool]bool
 }
 
 // Limits are times that the deployment promises.
@@ -176,20 +176,20 @@
 	Epoch int64
 }
 
-// fit is a kind of instance in a pool.
-type fit struct{ kind, pool string }
+// kindInPool is a kind of instance in a pool.
+type kindInPool struct{ kind, pool string }
 
 // NewState returns the state of a duty that knows nothing.
 func NewState(limits Limits) *State {
 	return &State{limits: limits, pools: map[string]*PoolView{}, instances: map[string]Instance{}, ops: map[string]*Operation{},
 		waves: map[int]*Wave{}, demand: map[string]*demand{}, dirtyOps: map[string]bool{}, dirtyWaves: map[int]bool{},
-		surplus: map[string]float64{}, reserved: map[string]bool{}, unfit: map[fit]bool{}, quiet: map[string]time.Duration{}}
+		poolSurplus: map[string]float64{}, reserved: map[string]bool{}, rejectedKinds: map[kindInPool]bool{}, noOrdersUntil: map[string]time.Duration{}}
 }
 
 // EndTold takes in that a pool's owner knows of an incarnation's end.
 func (s *State) EndTold(instance, endpoint string) {
 	if op := s.ops[instance]; op != nil && op.Endpoint == endpoint {
-		op.told = true
+		op.endConfirmed = true
 	}
 }
 
@@ -211,7 +211,7 @@
 	for _, i := range list {
 		s.instances[i.Name] = i
 	}
-	s.names = slices.Sorted(maps.Keys(s.instances))
+	s.instanceNames = slices.Sorted(maps.Keys(s.instances))
 }
 
 // ObservePool takes in what a pool's owner said.
@@ -232,23 +232,23 @@
 // on an incarnation that has died meanwhile says nothing about its successor.
 func (s *State) Cleared(now, proven time.Duration, instance, endpoint string, word executor.Vacancy) {
 	op := s.ops[instance]
-	if op == nil || op.Endpoint != endpoint || op.recorded == 0 || proven < op.recorded {
+	if op == nil || op.Endpoint != endpoint || op.durableAt == 0 || proven < op.durableAt {
 		return
 	}
 	// From its acceptance on the order may have begun the next incarnation under the id,
 	// which it has not ended.
-	if op.accepted == 0 && word.StartedMs != op.StartedMs {
+	if op.acceptedAt == 0 && word.StartedMs != op.StartedMs {
 		op.StartedMs, op.cleared = word.StartedMs, false
 	}
 	if word.Left == 0 && !op.cleared {
-		op.clearFrom = now
+		op.clearSince = now
 	}
 	op.cleared = word.Left == 0
-	op.clearAt = now
+	op.clearReportedAt = now
 }
 
 func (s *State) begin(now time.Duration, op *Operation) {
-	op.since = now
+	op.beganAt = now
 	s.ops[op.Instance] = op
 	s.dirtyOps[op.Instance] = true
 }
@@ -261,21 +261,21 @@
 		delete(s.ops, op.Instance)
 		return
 	}
-	op.Phase, op.over = PhaseOver, now
+	op.Phase, op.endedAt = PhaseOver, now
 }
 
-// expire drops ended operations that the platform no longer remembers.
-func (s *State) expire(now time.Duration) {
+// dropExpired drops ended operations that the platform no longer remembers.
+func (s *State) dropExpired(now time.Duration) {
 	for name, op := range s.ops {
-		if op.Phase == PhaseOver && now-op.over > s.limits.HolderTTL {
+		if op.Phase == PhaseOver && now-op.endedAt > s.limits.HolderTTL {
 			delete(s.ops, name)
 			s.dirtyOps[name] = true
 		}
 	}
 }
 
-// active returns the operation under way on an instance, or nil.
-func (s *State) active(instance string) *Operation {
+// activeOperation returns the operation under way on an instance, or nil.
+func (s *State) activeOperation(instance string) *Operation {
 	op := s.ops[instance]
 	if op == nil || op.Phase == PhaseOver {
 		return nil
--- a/internal/fleetops/waves.go
+++ b/internal/fleetops/waves.go
@@ -33,41 +33,41 @@
 // advanceWave begins the maintenance of as many instances as the wave allows.
 func (s *State) advanceWave(now time.Duration, wallMs int64, w *Wave, a *Actions) {
 	if !w.announced {
-		s.announce(w, a)
+		s.addAnnouncement(w, a)
 	}
 	if w.Completed || w.maxAtOnce == 0 || s.listedAt == 0 {
 		return
 	}
-	underWay, left := 0, 0
+	inProgress, remaining := 0, 0
 	var due []Instance
 	for _, name := range w.instances {
 		i, listed := s.instances[name]
 		if w.done[name] || !listed {
 			continue
 		}
-		left++
+		remaining++
 		op := s.ops[name]
 		switch {
 		case op != nil && op.Kind == KindMaintain && op.Wave == w.Number && op.Phase != PhaseOver:
-			underWay++
+			inProgress++
 		case (op == nil || op.Phase == PhaseOver) && i.Up:
 			due = append(due, i)
 		}
 	}
-	if left == 0 {
+	if remaining == 0 {
 		w.Completed, w.announced = true, false
 		s.dirtyWaves[w.Number] = true
 		return
 	}
-	s.beginMaintenance(now, w, due, underWay, s.behind(wallMs, w, left, underWay), a)
+	s.beginMaintenance(now, w, due, inProgress, s.behindPace(wallMs, w, remaining, inProgress), a)
 }
 
-// behind is how many instances more than have been begun should have been by now.
-func (s *State) behind(wallMs int64, w *Wave, left, underWay int) int {
-	passed := float64(wallMs-w.SeenMs) / (paceShare * float64(max(1, w.within.Milliseconds())))
-	all := len(w.instances)
-	begun := all - left + underWay
-	return int(math.Ceil(min(1, max(0, passed))*float64(all))) - begun
+// behindPace is how many instances more than have been begun should have been by now.
+func (s *State) behindPace(wallMs int64, w *Wave, remaining, inProgress int) int {
+	elapsed := float64(wallMs-w.SeenMs) / (paceShare * float64(max(1, w.within.Milliseconds())))
+	total := len(w.instances)
+	begun := total - remaining + inProgress
+	return int(math.Ceil(min(1, max(0, elapsed))*float64(total))) - begun
 }
 
 // paceShare is the part of a wave's time over which its instances are begun, evenly;
@@ -80,69 +80,69 @@
 // time; of the rest only what the pace asks for.
 const paceShare = 0.7
 
-// lastingAtOnce bounds the instances with lasting tasks that are cleared at a
+// maxLastingClears bounds the instances with lasting tasks that are cleared at a
 // time in one pool. Load: a step may miss one or two of its tasks, and each takes
 // two to three seconds to come back elsewhere, so that the instances of a pool
 // are cleared one after the other however many are begun; those that only wait
 // for their turn are lost to short tasks. Begun with the wave and not at its pace,
 // they are through in time.
-const lastingAtOnce = 3
+const maxLastingClears = 3
 
-func (s *State) beginMaintenance(now time.Duration, w *Wave, due []Instance, underWay, behind int, a *Actions) {
+func (s *State) beginMaintenance(now time.Duration, w *Wave, due []Instance, inProgress, behind int, a *Actions) {
 	s.sortDue(due)
-	lasting := s.lastingUnderWay()
+	lasting := s.lastingClearsInProgress()
 	for n, i := range due {
 		s.reserved[i.Name] = n < behind
 	}
 	for _, i := range due {
-		holds := s.holdsLasting(i)
-		full := underWay >= w.maxAtOnce || holds && lasting[i.Pool] >= lastingAtOnce
-		if full || behind <= 0 && !holds && !s.dispensable(i) {
+		hasLasting := s.hasLasting(i)
+		full := inProgress >= w.maxAtOnce || hasLasting && lasting[i.Pool] >= maxLastingClears
+		if full || behind <= 0 && !hasLasting && !s.canSpare(i) {
 			a.Due[i.Pool] = append(a.Due[i.Pool], i.Endpoint)
 			continue
 		}
-		underWay++
+		inProgress++
 		behind--
-		if holds {
+		if hasLasting {
 			lasting[i.Pool]++
 		}
 		if i.Pool != s.spare {
-			s.free -= float64(i.CPUMilli)
+			s.fleetSurplus -= float64(i.CPUMilli)
 		}
-		s.begin(now, &Operation{Instance: i.Name, Kind: KindMaintain, Wave: w.Number, From: i.Pool, Endpoint: i.Endpoint, lasting: holds})
+		s.begin(now, &Operation{Instance: i.Name, Kind: KindMaintain, Wave: w.Number, From: i.Pool, Endpoint: i.Endpoint, hadLasting: hasLasting})
 		a.Events = append(a.Events, Event{What: "maintenance begun", Instance: i.Name, Reason: "wave", Wave: w.Number, Pool: i.Pool})
 	}
 }
 
-// lastingUnderWay counts, by pool, the instances whose lasting tasks are being
+// lastingClearsInProgress counts, by pool, the instances whose lasting tasks are being
 // moved elsewhere for a wave.
-func (s *State) lastingUnderWay() map[string]int {
+func (s *State) lastingClearsInProgress() map[string]int {
 	counts := map[string]int{}
 	for _, op := range s.ops {
-		if op.Kind == KindMaintain && op.Phase == PhaseClearing && op.lasting && !op.cleared {
+		if op.Kind == KindMaintain && op.Phase == PhaseClearing && op.hadLasting && !op.cleared {
 			counts[op.From]++
 		}
 	}
 	return counts
 }
 
-// holdsLasting reports whether lasting tasks are on an instance, by its pool's
+// hasLasting reports whether lasting tasks are on an instance, by its pool's
 // last word.
-func (s *State) holdsLasting(i Instance) bool {
+func (s *State) hasLasting(i Instance) bool {
 	view := s.pools[i.Pool]
 	return view != nil && view.hosts[i.Endpoint].Lasting
 }
 
-// dispensable reports whether all pools together can do without an instance, and
+// canSpare reports whether all pools together can do without an instance, and
 // its own has more than it needs.
-func (s *State) dispensable(i Instance) bool {
+func (s *State) canSpare(i Instance) bool {
 	if i.Pool == s.spare || s.pools[i.Pool] == nil {
-		return s.free >= 0
+		return s.fleetSurplus >= 0
 	}
-	return s.surplus[i.Pool] > float64(i.CPUMilli) && s.free > float64(i.CPUMilli)
+	return s.poolSurplus[i.Pool] > float64(i.CPUMilli) && s.fleetSurplus > float64(i.CPUMilli)
 }
 
-func (s *State) announce(w *Wave, a *Actions) {
+func (s *State) addAnnouncement(w *Wave, a *Actions) {
 	w.announced = true
 	a.Announce = append(a.Announce, Announcement{Wave: w.Number, Completed: w.Completed})
 }
