--- a/internal/fleetops/balance.go
+++ b/internal/fleetops/balance.go
@@ -8,22 +8,21 @@
 	"cyclamenwheel/internal/executor"
 )
 
-// balance is a pool's room against its need, in milli-cores.
+// balance is a pool's capacity against its need, in milli-cores.
 type balance struct {
 	pool string
-	// have counts instances that are on their way here.
+	// have includes instances on their way to the pool.
 	have, need float64
-	// lastingNeed is the part of need that lasting tasks can't do without.
+	// lastingNeed is the part of need that lasting tasks require.
 	lastingNeed float64
-	// futureNeed is what the pool needs by the time that an instance which it gives away
-	// could be back.
+	// futureNeed is what the pool needs by the time an instance that it gives away could be back.
 	futureNeed float64
 }
 
 func (b balance) shortfall() float64 { return b.need - b.have }
 
-// availableFor is what the pool can give to another one without being as short as that
-// one is.
+// availableFor is the capacity that the pool can give to another one without becoming as short as
+// that one.
 func (b balance) availableFor(to balance, unit float64) float64 {
 	if b.shortfall()+unit > to.shortfall()-minShortfall*unit {
 		return -b.shortfall()
@@ -31,10 +30,10 @@
 	return b.have - b.futureNeed
 }
 
-// lacksLasting reports whether the pool has too little for its lasting tasks.
+// lacksLasting reports whether the pool has too little capacity for its lasting tasks.
 func (b balance) lacksLasting(unit float64) bool { return b.lastingNeed-b.have > minShortfall*unit }
 
-// meanInstanceCPU is the mean size of an instance.
+// meanInstanceCPU is the mean size of an instance, in milli-cores.
 func (s *State) meanInstanceCPU() float64 {
 	sum := 0
 	for _, i := range s.instances {
@@ -57,7 +56,7 @@
 	return out
 }
 
-// computeNeeds works out what a pool needs now, and what it needs to keep.
+// computeNeeds fills in what a pool needs now and what it will need later.
 func (s *State) computeNeeds(b *balance, sum executor.Summary, unit float64) {
 	rate := 0.0
 	if d := s.demand[b.pool]; d != nil {
@@ -66,8 +65,8 @@
 	running := float64(sum.RunningCPUMilli - sum.LastingCPUMilli)
 	drain := sum.ReadyCoreMs * 1000 / float64(backlogDrainTime.Milliseconds())
 	lastingNeed := float64(sum.LastingCPUMilli)
-	// Lasting tasks that must be apart need endpoints of their own, of whatever
-	// size, and one more to go to when one of these leaves.
+	// Lasting tasks that must run apart need endpoints of their own, of whatever size, and one
+	// more to move to when one of these leaves.
 	if sum.LeastHosts > 0 {
 		lastingNeed = max(lastingNeed, float64(sum.LeastHosts+1)*unit)
 	}
@@ -82,7 +81,7 @@
 	b.futureNeed = needFor(max(rate, runningRetained*running))
 }
 
-// Balances returns each pool's room and need, for the log.
+// Balances returns each pool's capacity and need, for the log.
 func (s *State) Balances(now time.Duration) []Balance {
 	var out []Balance
 	for _, b := range s.balances(now, s.meanInstanceCPU()) {
@@ -98,7 +97,7 @@
 	return out
 }
 
-// Balance is a pool's room against its need.
+// Balance is a pool's capacity against its need.
 type Balance struct {
 	Pool                                   string
 	HaveCores, NeedCores, OfferedCores     float64
--- a/internal/fleetops/decide.go
+++ b/internal/fleetops/decide.go
@@ -6,54 +6,54 @@
 )
 
 const (
-	// clearMaxAge is how long the word of an owner holds that an endpoint is
-	// clear; it is below the time for which the owner keeps it so.
+	// clearMaxAge is how long an owner's report that an endpoint is clear stays valid; it is below
+	// the time for which the owner keeps the endpoint clear.
 	clearMaxAge = 1200 * time.Millisecond
-	// orderRetryAfter is how long the platform's list has to show an order's
-	// effect before it is given again.
+	// orderRetryAfter is how long the platform's list has to show an order's effect before the
+	// order is sent again.
 	orderRetryAfter = 900 * time.Millisecond
-	// stopAfterShare of a wave's time is left to tasks that end by themselves;
-	// after it what is left on an instance is stopped.
+	// stopAfterShare is the share of a wave's time in which tasks may end by themselves; after it
+	// the tasks left on an instance are stopped.
 	stopAfterShare = 0.6
-	// maxClearWait is the longest that one instance waits for its tasks.
+	// maxClearWait is the longest time that one instance waits for its tasks to end.
 	maxClearWait = 4 * time.Second
 )
 
-// Order is an order for the platform.
+// Order is an order to the platform.
 type Order struct {
 	Operation Operation
 }
 
-// Clear asks a pool's owner to clear an endpoint, or to go on using it.
+// Clear asks a pool's owner to clear an endpoint, or reports that its incarnation has ended.
 type Clear struct {
 	Instance, Pool, Endpoint string
-	// StartedMs tells the endpoint's incarnation, 0 where not known.
+	// StartedMs identifies the endpoint's incarnation, 0 if unknown.
 	StartedMs int64
 	Hurry     bool
-	// Ended says that the platform has ended the incarnation. Service discovery
-	// lists it for some seconds more.
+	// Ended is set if the platform has ended the incarnation. Service discovery lists it for some
+	// seconds more.
 	Ended bool
 }
 
-// Actions are what a round has decided.
+// Actions are the decisions of one round.
 type Actions struct {
 	Clears []Clear
 	Orders []Order
-	// Due are, by pool, endpoints whose instances a wave has yet to take.
+	// Due are, by pool, the endpoints whose instances a wave has not begun yet.
 	Due map[string][]string
-	// Announce are waves whose state the operator is to be told.
+	// Announce are the waves whose state must be published to the operator.
 	Announce []Announcement
 	Events   []Event
 }
 
-// Event is a line for the log.
+// Event is a log line on a decision.
 type Event struct {
 	What, Instance, Reason string
 	Wave                   int
 	Pool                   string
 }
 
-// Decide goes on with what is under way and begins what is due.
+// Decide advances the operations and waves in progress and begins those that are due.
 func (s *State) Decide(now time.Duration, wallMs int64) Actions {
 	a := Actions{Due: map[string][]string{}}
 	s.needsList = false
@@ -72,10 +72,10 @@
 	return a
 }
 
-// reportEndedIncarnations lets the pools' owners know of incarnations that operations have ended.
-// Service discovery lists them for some seconds more, longer than their owner was
-// asked to leave them alone: a task placed there waits for a lease to run out that
-// nobody holds, and its job is late by three to four seconds.
+// reportEndedIncarnations reports the incarnations that operations have ended to the pools'
+// owners. Service discovery lists such an incarnation for longer than its owner was asked to keep
+// it clear: a task placed there waits for a lease that nobody renews to expire, and its job is
+// three to four seconds late.
 func (s *State) reportEndedIncarnations(a *Actions) {
 	for name, op := range s.ops {
 		if op.Phase == PhaseOver && op.Ended && !op.endConfirmed && op.Endpoint != "" && s.pools[op.From] != nil {
@@ -95,13 +95,13 @@
 	return names
 }
 
-// listSettleTime is how long after an accepted order the list has surely been made
-// with its effect. An instance that is up then, unchanged, had been through
-// already when the order came.
+// listSettleTime is how long after an accepted order a list must be requested to be sure to show
+// its effect. An instance that is up and unchanged in such a list had already been moved or
+// maintained when the order arrived.
 const listSettleTime = 900 * time.Millisecond
 
-// reconcileOperation ends an operation whose effect the list shows, or follows its
-// instance into a new incarnation.
+// reconcileOperation ends an operation whose effect the instance list shows, or updates it to its
+// instance's new incarnation.
 func (s *State) reconcileOperation(now time.Duration, op *Operation, a *Actions) {
 	if s.listedAt == 0 {
 		return
@@ -131,22 +131,24 @@
 	a.Events = append(a.Events, Event{What: "operation completed", Instance: op.Instance, Reason: op.Kind.String(), Wave: op.Wave, Pool: i.Pool})
 }
 
-// clearAndOrder asks for an endpoint to be cleared, and gives the order once it is.
+// clearAndOrder asks the pool's owner to clear an operation's endpoint, and sends the order once
+// it is clear.
 func (s *State) clearAndOrder(now time.Duration, wallMs int64, op *Operation, a *Actions) {
 	i, listed := s.instances[op.Instance]
 	if !listed || now < s.noOrdersUntil[op.Instance] {
 		return
 	}
-	// An instance that is up without an endpoint may get one at any moment.
+	// An instance that is up without an endpoint may get one at any moment, so only the spare pool
+	// counts as having none.
 	switchedOff := i.Pool == s.spare
 	if op.Endpoint != "" && !switchedOff {
 		a.Clears = append(a.Clears, Clear{Instance: op.Instance, Pool: op.From, Endpoint: op.Endpoint, StartedMs: op.StartedMs,
 			Hurry: s.mustStopTasks(now, wallMs, op), Ended: s.incarnationEnded(op, i)})
 	}
 	clear := switchedOff || op.cleared && now-op.clearReportedAt < clearMaxAge
-	// The endpoint that was cleared may have died meanwhile, and another live on
-	// the instance: only a list asked for after the owner's word shows that the
-	// two still belong together.
+	// The cleared endpoint may have ended since, and a new incarnation may run on the instance:
+	// only a list requested after the owner's report shows that the endpoint is still the
+	// instance's.
 	if clear && !switchedOff && s.listedAt < op.clearSince {
 		s.needsList = true
 		return
@@ -166,14 +168,14 @@
 	a.Orders = append(a.Orders, Order{*op})
 }
 
-// incarnationEnded reports whether the platform has incarnationEnded the incarnation that an operation
-// is about: it has accepted the order, and its list has shown the effect since.
-// An order that only repeats one that was done ends nothing.
+// incarnationEnded reports whether the platform has ended an operation's incarnation: it has
+// accepted the order, and a list requested since shows the effect. An order that repeats one
+// already carried out ends nothing.
 func (s *State) incarnationEnded(op *Operation, i Instance) bool {
 	return op.acceptedAt > 0 && s.listedAt > op.acceptedAt && (!i.Up || i.Endpoint != op.Endpoint)
 }
 
-// mustStopTasks reports whether an instance can wait no longer for its tasks to end.
+// mustStopTasks reports whether an instance can no longer wait for its tasks to end by themselves.
 func (s *State) mustStopTasks(now time.Duration, wallMs int64, op *Operation) bool {
 	w := s.waves[op.Wave]
 	if op.Kind != KindMaintain || w == nil {
@@ -185,23 +187,22 @@
 	return wallMs-w.SeenMs > int64(stopAfterShare*float64(w.within.Milliseconds()))
 }
 
-// OrderResult says how the platform took an order.
+// OrderResult is the platform's response to an order.
 type OrderResult uint8
 
-// Results of orders.
 const (
 	OrderAccepted OrderResult = iota
-	// OrderUnanswered: it may have been carried out.
+	// OrderUnanswered: no response; the order may have been carried out.
 	OrderUnanswered
-	// OrderBusy: the instance is not up, or leaves.
+	// OrderBusy: the instance is not up, or is already leaving.
 	OrderBusy
-	// OrderRefused: the platform will never do it.
+	// OrderRefused: the platform rejects the order permanently.
 	OrderRefused
-	// OrderFenced: a newer holder commands the instance.
+	// OrderFenced: a newer holder controls the instance.
 	OrderFenced
 )
 
-// Ordered takes in how the platform took an order.
+// Ordered applies the platform's response to an order.
 func (s *State) Ordered(now time.Duration, instance string, result OrderResult) {
 	op := s.ops[instance]
 	if op == nil {
@@ -221,10 +222,10 @@
 	}
 }
 
-// WantsList reports that an order waits for a fresh instance list.
+// WantsList reports whether an order waits for a newer instance list.
 func (s *State) WantsList() bool { return s.needsList }
 
-// Idle reports whether nothing is under way or due.
+// Idle reports whether no operation is in progress and no wave is incomplete.
 func (s *State) Idle() bool {
 	for _, op := range s.ops {
 		if op.Phase != PhaseOver {
--- a/internal/fleetops/demand.go
+++ b/internal/fleetops/demand.go
@@ -7,14 +7,14 @@
 	"cyclamenwheel/internal/executor"
 )
 
-// demand is what is known of a pool's load over time.
+// demand is a pool's measured load over time.
 type demand struct {
 	observedAt   time.Duration
 	offeredTotal float64
-	// rate is the work offered, in milli-cores: fast to rise, slowRate to fall.
-	// slowRate follows it evenly.
+	// rate is the smoothed work offered, in milli-cores; it rises fast and falls slowly. slowRate
+	// follows the offered work at the same slow speed both ways.
 	rate, slowRate float64
-	// surplusSince is since when the pool has had more than it needs.
+	// surplusSince is when the pool began to have more than it needs, 0 if it does not.
 	surplusSince time.Duration
 }
 
@@ -29,8 +29,8 @@
 		return
 	}
 	if sum.OfferedCoreMs < d.offeredTotal {
-		// A new owner counts from zero. Callers go on as before: taken for a
-		// turn that has ended, its pool would be stripped of its instances.
+		// A new owner counts from zero while callers continue as before. Taken for the end of a
+		// burst, the reset would cost the pool its instances.
 		d.observedAt, d.offeredTotal = now, sum.OfferedCoreMs
 		return
 	}
@@ -49,16 +49,16 @@
 	d.observedAt, d.offeredTotal = now, sum.OfferedCoreMs
 }
 
-// forecast is the work offered by the time that an instance called now has
-// arrived. A turn of demand takes a second or two to rise; the lead of the fast
-// mean over the slow one says how fast.
+// forecast is the work offered by the time an instance that is moved now has arrived. A burst
+// takes a second or two to rise; the difference between the fast and the slow mean shows how
+// steeply.
 func (d *demand) forecast() float64 {
 	return min(d.rate+trendFactor*max(0, d.rate-d.slowRate), maxRiseFactor*d.rate)
 }
 
-// demandRecords is what a successor is told of the demand. Load: the holder dies in a
-// turn; without it its successor sees no demand for a second, and neither calls
-// instances ahead nor leaves a pool in its turn those that it has.
+// demandRecords returns the demand for a successor. Load: the holder crashes during a burst.
+// Without the records its successor sees no demand for a second, and neither moves instances ahead
+// of demand nor leaves the bursting pool those that it has.
 func (s *State) demandRecords() map[string]demandRecord {
 	out := make(map[string]demandRecord, len(s.demand))
 	for pool, d := range s.demand {
@@ -67,15 +67,14 @@
 	return out
 }
 
-// maxDecayAge bounds how old a predecessor's word on the demand is taken to be: the
-// time of day may have jumped meanwhile.
+// maxDecayAge limits the assumed age of a predecessor's demand records: the wall clock may have
+// jumped in between.
 const maxDecayAge = 10 * time.Second
 
-// restoreDemand takes in a predecessor's word of the given age. Demand fades meanwhile
-// as it does without callers. Load: all processes lose power in a turn of demand and
-// are back two seconds later. As fresh, the demand of a turn that is over held thirty
-// idle instances for another two seconds, while the next queue's callers waited before
-// four endpoints.
+// restoreDemand restores a predecessor's demand records of the given age. Demand decays over that
+// time as it does without callers. Load: all processes lose power during a burst and restart two
+// seconds later. Restored without decay, the demand of a burst that had ended held thirty idle
+// instances for another two seconds, while callers of the next queue waited for four endpoints.
 func (s *State) restoreDemand(records map[string]demandRecord, age time.Duration) {
 	decay := math.Exp(-float64(min(max(0, age), maxDecayAge)) / float64(fallWindow))
 	for pool, r := range records {
--- a/internal/fleetops/fleet_test.go
+++ b/internal/fleetops/fleet_test.go
@@ -24,28 +24,30 @@
 	return fleetops.Limits{Holder: holder, MoveTime: moveTime, MaintainTime: moveTime, HolderTTL: 3 * time.Second}
 }
 
-// fleet is the platform's side: instances that move, and owners that clear them.
+// fleet simulates the platform, which moves and maintains instances, and the pools' owners, which
+// clear them.
 type fleet struct {
 	now       time.Duration
 	state     *fleetops.State
 	instances []fleetops.Instance
+	// returnsAt is when an instance that is away comes back.
 	returnsAt map[string]time.Duration
-	// tasks are what runs on an endpoint; owners stop nothing.
+	// tasks counts the tasks on an endpoint; owners stop none of them.
 	tasks map[string]int
-	// demand is the work offered to a pool, in core-ms, and its ready backlog.
+	// offered is the work offered to a pool so far, in core-ms; ready is its ready backlog.
 	offered, ready, running map[string]float64
-	// listLag keeps the instance list as it was read first.
+	// listLag, if set, freezes the instance list as it was first read.
 	listLag, listedAt time.Duration
 	leastHosts        map[string]int
-	// reportedEnds are incarnations whose reportedEnds the owners were told of.
+	// reportedEnds are the incarnations whose ends were reported to the owners.
 	reportedEnds map[executor.Incarnation]bool
-	// keepIDs: endpoints come back under their ids. started are the starts of those that
-	// have.
+	// keepIDs makes endpoints keep their ids across incarnations; started is when the current
+	// incarnation of an endpoint began.
 	keepIDs bool
 	started map[string]int64
 	starved map[string]int
-	// lasting endpoints are cleared one at a time, each within clearing; cleared
-	// is when the last one was.
+	// lasting endpoints are cleared one at a time, each in lastingClearTime; lastClearedAt is when
+	// the last one was.
 	lasting          map[string]bool
 	lastClearedAt    time.Duration
 	ordered          []fleetops.Operation
@@ -72,7 +74,7 @@
 	return f
 }
 
-// takeOver lets another holder take the duty over from the journal alone.
+// takeOver replaces the holder of the duty by another that starts from the journal alone.
 func (f *fleet) takeOver() {
 	GinkgoHelper()
 	f.state = fleetops.NewState(limits("b"))
@@ -102,7 +104,7 @@
 	return n
 }
 
-// round is one round of the duty, as Runner makes it.
+// round runs one round of the duty, as Runner does.
 func (f *fleet) round(pools ...string) {
 	f.now += roundInterval
 	for n := range f.instances {
@@ -158,7 +160,7 @@
 // lastingClearTime is how long it takes to move one endpoint's lasting tasks.
 const lastingClearTime = 2500 * time.Millisecond
 
-// clearLasting lets the owner move one endpoint's lasting tasks at a time.
+// clearLasting moves the lasting tasks of one endpoint at a time, as an owner does.
 func (f *fleet) clearLasting(asked []fleetops.Clear) {
 	for _, c := range asked {
 		if !f.lasting[c.Endpoint] || f.now-f.lastClearedAt < lastingClearTime {
--- a/internal/fleetops/fleetops_test.go
+++ b/internal/fleetops/fleetops_test.go
@@ -13,10 +13,10 @@
 )
 
 var _ = Describe("a maintenance wave", func() {
-	It("takes every instance, never more at once than allowed, and is then announced as completed", func() {
+	It("maintains every instance, never more at once than allowed, and then completes", func() {
 		f := newFleet(map[string]int{"a": 6, "b": 6})
 		f.state.ObserveWave(1, f.names("a"), 10*time.Second, 2, wallStart)
-		f.running["a"], f.running["b"] = 5*instanceCPU, 5*instanceCPU // no instance to spare
+		f.running["a"], f.running["b"] = 5*instanceCPU, 5*instanceCPU // no pool has a surplus
 		most := 0
 		for range 80 {
 			f.round("a", "b")
@@ -27,16 +27,15 @@
 		Expect(f.journal).To(HaveKey("w1"))
 	})
 
-	// The wave ends late though each instance could have been maintained in time:
-	// those with lasting tasks can only be cleared one after the other, and were
-	// begun with when almost half of the time was over.
+	// Guards against a wave that ends late: instances with lasting tasks can only be cleared one
+	// after the other, so they must be begun ahead of the pace.
 	It("begins early with instances whose lasting tasks must move one by one", func() {
 		f := newFleet(map[string]int{"a": 8, "b": 4})
 		f.lasting = map[string]bool{}
 		for _, i := range f.instances[:8] {
 			f.lasting[i.Endpoint], f.tasks[i.Endpoint] = true, 1
 		}
-		f.running["a"], f.running["b"] = 8*instanceCPU, 4*instanceCPU // no instance to spare
+		f.running["a"], f.running["b"] = 8*instanceCPU, 4*instanceCPU // no pool has a surplus
 		f.state.ObserveWave(1, f.names("a"), 25*time.Second, 8, wallStart)
 		for f.now < 25*time.Second {
 			f.round("a", "b")
@@ -44,10 +43,10 @@
 		Expect(f.maintained()).To(HaveLen(8))
 	})
 
-	// Callers of a pool that needs all of its instances are refused for five seconds.
-	// The wave has waited for instances that nobody needs, found none, and then takes
-	// as many at once as it may.
-	It("takes instances that are needed evenly over its time", func() {
+	// Guards against a pool that needs all of its instances and rejects callers for five seconds:
+	// the wave waited for instances that no pool needs, found none, and then took as many at once
+	// as allowed.
+	It("spreads the maintenance of needed instances evenly over its time", func() {
 		f := newFleet(map[string]int{"a": 16, "b": 4})
 		f.running["a"], f.running["b"] = 16*instanceCPU, 4*instanceCPU
 		f.state.ObserveWave(1, f.names("a")[:12], 25*time.Second, 12, wallStart+f.now.Milliseconds())
@@ -60,9 +59,9 @@
 		Expect(f.maintained()).To(HaveLen(12))
 	})
 
-	// An instance has tasks that do not end. Its maintenance waits; the platform
-	// would end them at once.
-	It("leaves an instance alone while tasks are on it", func() {
+	// Guards against tasks ended by maintenance: the platform would end them at once, so the order
+	// must wait until none is left.
+	It("does not order an instance while tasks are on it", func() {
 		f := newFleet(map[string]int{"a": 4})
 		f.state.ObserveWave(1, f.names("a")[:1], time.Hour, 1, wallStart)
 		f.tasks[f.instances[0].Endpoint] = 1
@@ -78,10 +77,10 @@
 	})
 })
 
-var _ = Describe("lasting tasks that must be apart", func() {
-	// Five small tasks may share no endpoint. Their pool has processor room for
-	// them on one instance, and its other instances are switched off or lent: the
-	// tasks wait for ever while the sums say that all is well.
+var _ = Describe("lasting tasks that must run apart", func() {
+	// Guards against lasting tasks that wait forever. Five small tasks may share no endpoint; by
+	// processor capacity one instance would do for them, so the pool's other instances were
+	// switched off or given away.
 	It("keep as many instances as they need", func() {
 		f := newFleet(map[string]int{"a": 8, "b": 8, sparePool: 2})
 		f.leastHosts = map[string]int{"a": 5}
@@ -93,10 +92,10 @@
 	})
 })
 
-var _ = Describe("a pool that changes its owner in a turn of demand", func() {
-	// Callers ask for all that the pool has as its owner dies. Its successor counts
-	// the work offered from zero, and while callers find it, little runs: taken for
-	// the end of the turn, the pool loses its instances to others just then.
+var _ = Describe("a pool that changes owner during a burst of demand", func() {
+	// Guards against a pool that loses its instances in a burst. Its owner crashes, the successor
+	// counts the offered work from zero, and little runs until callers find it: this must not be
+	// taken for the end of the burst.
 	It("keeps its instances", func() {
 		f := newFleet(map[string]int{"a": 12, "b": 2, sparePool: 2})
 		for range 20 {
@@ -115,9 +114,9 @@
 })
 
 var _ = Describe("a lasting task that finds no endpoint", func() {
-	// Users of a lasting task see it away for a whole turn of demand of another
-	// pool: that one asks for more than the fleet has and is first in line for each
-	// instance that comes free, and nobody has more than it needs.
+	// Guards against a lasting task that is down for a whole burst of another pool: that one asks
+	// for more than the fleet has and would get each instance that becomes available, and no pool
+	// has a surplus.
 	It("gets an instance though another pool asks for all of them", func() {
 		f := newFleet(map[string]int{"a": 16, "b": 2})
 		f.ready["a"], f.running["a"] = 100*instanceCPU, 16*instanceCPU
@@ -132,11 +131,10 @@
 })
 
 var _ = Describe("an incarnation that an operation has ended", func() {
-	// Callers' tasks are placed on an endpoint that is no more and are late by a
-	// whole lease: the operation went through between two readings of the list,
-	// service discovery shows the endpoint for seconds after it, and its owner's
-	// promise to leave it alone has run out.
-	It("is made known to its pool's owner, and to the owner's successor", func() {
+	// Guards against tasks placed on an endpoint that has ended, which are late by a whole lease:
+	// the operation took effect between two reads of the list, service discovery shows the
+	// endpoint for seconds more, and the time for which its owner keeps it clear is over.
+	It("is reported to its pool's owner, and recorded for the owner's successor", func() {
 		f := newFleet(map[string]int{"a": 4})
 		name, endpoint := f.instances[0].Name, f.instances[0].Endpoint
 		f.state.ObserveWave(1, []string{name}, 10*time.Second, 1, wallStart)
@@ -164,9 +162,9 @@
 		Expect(ended).To(ConsistOf(executor.Incarnation{ID: endpoint}))
 	})
 
-	// Guards against a pool that drops an endpoint which has come back from maintenance
-	// under its id: its owner is told of an end without the incarnation that ended.
-	It("is told by its start, where the next one has its id", func() {
+	// Guards against a pool that drops an endpoint which has come back from maintenance under the
+	// same id, because the reported end did not name the incarnation.
+	It("is identified by its start time if the next one has the same id", func() {
 		f := newFleet(map[string]int{"a": 4})
 		f.keepIDs = true
 		name, endpoint := f.instances[0].Name, f.instances[0].Endpoint
@@ -186,17 +184,17 @@
 	})
 })
 
-var _ = Describe("an endpoint that dies while it is cleared", func() {
-	// The owner calls the endpoint clear because it has died with its tasks. By
-	// then another incarnation lives on the instance and runs new ones, which the
-	// list that the duty last read does not show.
-	It("leaves its successor on the instance alone until that is clear", func() {
+var _ = Describe("an endpoint that crashes while it is being cleared", func() {
+	// Guards against an order that ends running tasks. The owner reports the endpoint clear
+	// because it has crashed with its tasks; by then a new incarnation runs tasks on the instance,
+	// which the last list read does not show.
+	It("does not order the instance until its next incarnation is clear", func() {
 		f := newFleet(map[string]int{"a": 4})
 		f.state.ObserveWave(1, f.names("a")[:1], time.Second, 1, wallStart)
-		f.listLag = time.Hour // the list stays as it was first read
+		f.listLag = time.Hour // the list stays as first read
 		f.round("a")
-		f.instances[0].Endpoint = "reborn"
-		f.tasks["reborn"] = 1
+		f.instances[0].Endpoint = "restarted"
+		f.tasks["restarted"] = 1
 		for range 20 {
 			f.round("a")
 		}
@@ -206,7 +204,7 @@
 			f.round("a")
 		}
 		Expect(f.maintained()).To(BeEmpty())
-		f.tasks["reborn"] = 0
+		f.tasks["restarted"] = 0
 		for range 10 {
 			f.round("a")
 		}
@@ -214,9 +212,9 @@
 	})
 })
 
-// Guards against tasks that run twice at once: an owner is told that the incarnation on which
-// they run has ended. The operation ended the one before; the instance list was read while the
-// instance was away, and the owner's word on the next one came before it was read again.
+// Guards against tasks that run twice at once because their running incarnation is reported as
+// ended. The operation ended the incarnation before it; the list was read while the instance was
+// away, and the owner's report on the new incarnation arrived before it was read again.
 func TestOnlyTheEndedIncarnationIsReported(t *testing.T) {
 	g := NewWithT(t)
 	f := newFleet(map[string]int{"a": 4})
@@ -228,7 +226,7 @@
 		f.round("a")
 	}
 	f.round("a")
-	f.listLag = time.Hour // the list shows the instance as away
+	f.listLag = time.Hour // the list still shows the instance as away
 	for range 60 {
 		f.round("a")
 	}
@@ -237,17 +235,18 @@
 	g.Expect(f.reportedEnds).NotTo(HaveKey(executor.Incarnation{ID: endpoint, StartedMs: f.started[endpoint]}))
 }
 
-var _ = Describe("a late word on an endpoint that has died", func() {
-	// The owner is asked about an endpoint, which dies; the list shows the next
-	// incarnation, which runs tasks; then the answer about the first one comes.
-	It("does not clear the incarnation that lives now", func() {
+var _ = Describe("a late report on an endpoint that has crashed", func() {
+	// Guards against a late report. The owner is asked about an endpoint, which then crashes; the
+	// list shows the next incarnation, which runs tasks, before the answer about the first one
+	// arrives.
+	It("does not clear the current incarnation", func() {
 		f := newFleet(map[string]int{"a": 4})
 		f.state.ObserveWave(1, f.names("a")[:1], time.Second, 1, wallStart)
 		first := f.instances[0].Endpoint
 		f.tasks[first] = 1
 		f.round("a")
-		f.instances[0].Endpoint = "reborn"
-		f.tasks["reborn"] = 1
+		f.instances[0].Endpoint = "restarted"
+		f.tasks["restarted"] = 1
 		for range 20 {
 			f.round("a")
 			f.state.Cleared(f.now+time.Millisecond, f.now, f.instances[0].Name, first, executor.Vacancy{})
@@ -256,11 +255,11 @@
 	})
 })
 
-var _ = Describe("a word from a displaced owner", func() {
-	// A pool changes its owner just before an instance of it is to be moved. The
-	// old owner does not know that it was displaced and calls the endpoint clear,
-	// while the new one, which has not read the operation, runs tasks on it.
-	It("clears nothing", func() {
+var _ = Describe("a report from a displaced owner", func() {
+	// Guards against a report from a displaced owner. A pool changes owner just before one of its
+	// instances is to be moved: the old owner has not noticed and reports the endpoint clear,
+	// while the new one has not read the operation and runs tasks on it.
+	It("clears no endpoint", func() {
 		f := newFleet(map[string]int{"a": 4})
 		f.state.ObserveWave(1, f.names("a")[:1], time.Second, 1, wallStart)
 		f.proofAge = time.Hour
@@ -276,11 +275,11 @@
 	})
 })
 
-var _ = Describe("a successor in the duty", func() {
-	// Two holders that order one instance about within the time in which the
-	// platform remembers the last: the instance would be taken twice. The
-	// successor leaves alone what its predecessor may have ordered, and only that.
-	It("leaves alone only instances that its predecessor ordered", func() {
+var _ = Describe("a successor as holder of the duty", func() {
+	// Guards against an instance ordered by two holders within the time in which the platform
+	// remembers the last one, which would take it twice. The successor must hold back its orders
+	// for instances that its predecessor may have ordered, and only for those.
+	It("holds back orders only for instances that its predecessor ordered", func() {
 		f := newFleet(map[string]int{"a": 4, sparePool: 2})
 		f.state.ObserveWave(1, f.names("a"), 4*time.Second, 1, wallStart)
 		f.ordersUnanswered = true
@@ -305,21 +304,20 @@
 		Expect(slices.ContainsFunc(f.ordered, func(op fleetops.Operation) bool { return op.Instance == ordered })).To(BeTrue())
 	})
 
-	// The holder dies without a word in the middle of a turn of demand. Most instances
-	// have moved in the last few seconds; left alone for as long as one that is under
-	// way, they stand idle for five seconds while another queue's callers wait. The
-	// successor may use each as soon as the platform has forgotten its last order, and
-	// not before.
+	// Guards against instances that stand idle for five seconds after the holder crashes in a
+	// burst, while another queue's callers wait: most have moved in the last few seconds and must
+	// not wait as long as one still in progress. The successor may order each as soon as the
+	// platform has forgotten its last order, not before.
 	It("uses instances whose orders are old enough by its predecessor's clock", func() {
 		f := newFleet(map[string]int{"a": 6, "b": 6})
-		f.running["a"], f.running["b"] = 6*instanceCPU, 6*instanceCPU // nothing moves
+		f.running["a"], f.running["b"] = 6*instanceCPU, 6*instanceCPU // no pool has a surplus, so nothing moves
 		f.state.ObserveWave(1, f.names("a")[:1], 10*time.Second, 1, wallStart)
 		f.state.ObserveWave(2, f.names("b")[:6], 10*time.Second, 1, wallStart)
 		for len(f.ordered) == 0 {
 			f.round("a", "b")
 		}
 		first, at := f.ordered[0].Instance, f.now
-		for f.now < at+2500*time.Millisecond { // others follow, each with its records
+		for f.now < at+2500*time.Millisecond { // further orders follow, each with its records
 			f.round("a", "b")
 		}
 		f.ordered = nil
@@ -333,7 +331,7 @@
 		Expect(f.now).To(BeNumerically(">=", at+limits("a").HolderTTL))
 	})
 
-	It("need not wait for orders whose age its predecessor has told", func() {
+	It("does not wait for orders whose age its predecessor recorded at release", func() {
 		f := newFleet(map[string]int{"a": 4})
 		f.state.ObserveWave(1, f.names("a")[:1], time.Second, 1, wallStart)
 		f.ordersUnanswered = true
@@ -354,9 +352,9 @@
 })
 
 var _ = Describe("demand", func() {
-	// The holder of the duty dies in a turn of demand. Its successor has seen nothing
-	// offered, and gives the instances of the pool in its turn to the next that asks.
-	It("is known to a successor", func() {
+	// Guards against a successor that has seen no work offered and gives the bursting pool's
+	// instances to the next pool that asks. The holder crashes during the burst.
+	It("is restored by a successor", func() {
 		f := newFleet(map[string]int{"a": 12, "b": 2, sparePool: 2})
 		burstRound := func() {
 			f.offered["a"] += 12 * instanceCPU * roundInterval.Seconds()
@@ -378,11 +376,11 @@
 	})
 })
 
-var _ = Describe("demand of before an outage", func() {
-	// All processes lose power in a turn of demand and are back two seconds later. The
-	// turn has gone on to another queue; its callers wait while the instances of the
-	// pool whose turn is over stand idle, as if its callers still came.
-	It("has faded by the time that passed", func() {
+var _ = Describe("demand measured before an outage", func() {
+	// Guards against instances kept for a burst that has ended. All processes lose power during a
+	// burst and restart two seconds later; by then another queue bursts, and its callers must not
+	// wait while the former pool's instances idle.
+	It("has decayed by the time that passed", func() {
 		f := newFleet(map[string]int{"a": 24, "b": 2})
 		f.state.ObserveWave(1, f.names("b")[:1], 10*time.Second, 1, wallStart)
 		for range 20 {
@@ -407,10 +405,10 @@
 	})
 })
 
-var _ = Describe("a turn that ends as another begins", func() {
-	// Callers of one pool wait while another's instances run the last tasks of a turn
-	// that is over: nothing new is offered there, and all of it will have ended before
-	// an instance that is given away could be back.
+var _ = Describe("a burst that ends as another begins", func() {
+	// Guards against callers who wait while another pool's instances run the last tasks of a burst
+	// that has ended: nothing new is offered there, and its tasks end before an instance given
+	// away could be back.
 	It("gives instances to the pool that is short", func() {
 		f := newFleet(map[string]int{"a": 16, "b": 4})
 		f.running["a"], f.ready["b"] = 14*instanceCPU, 18*instanceCPU
@@ -426,7 +424,7 @@
 		Expect(to).To(BeNumerically(">=", 4))
 	})
 
-	It("keeps them where nobody is short", func() {
+	It("keeps its instances if no other pool is short", func() {
 		f := newFleet(map[string]int{"a": 16, "b": 4})
 		f.running["a"] = 14 * instanceCPU
 		for range 40 {
@@ -436,9 +434,9 @@
 	})
 })
 
-// Load: each of four pools in its turn is offered five times its mean for eight
-// seconds, more than it holds, and almost nothing in between.
-var _ = Describe("moves while demand goes by turns", func() {
+// Load: queues burst in rotation. Each of four pools is offered five times its mean for eight
+// seconds, more than its capacity, and almost nothing in between.
+var _ = Describe("moves while queues burst in rotation", func() {
 	pools := []string{"a", "b", "c", "d"}
 	runRotation := func(move bool) (served, offered float64, moves int) {
 		f := newFleet(map[string]int{"a": 10, "b": 10, "c": 10, "d": 10, sparePool: 4})
@@ -457,7 +455,7 @@
 				run := min(room, queued[pool])
 				served += run
 				f.running[pool] = run / float64(roundInterval.Milliseconds()) * instanceCPU
-				// What has waited for two seconds of this work is given up.
+				// Work beyond two seconds' worth of the current rate is dropped.
 				queued[pool] = min(queued[pool]-run, 2000*rate)
 				f.ready[pool] = queued[pool]
 			}
@@ -468,7 +466,7 @@
 		return served, offered, len(f.ordered)
 	}
 
-	It("serve more than nine tenths, against two thirds where instances stay", func() {
+	It("serve more than 90% of the work, against less than 70% without moves", func() {
 		stay, offered, _ := runRotation(false)
 		served, _, moves := runRotation(true)
 		Expect(stay / offered).To(BeNumerically("<", 0.70))
--- a/internal/fleetops/incoming.go
+++ b/internal/fleetops/incoming.go
@@ -6,7 +6,8 @@
 	"cyclamenwheel/internal/executor"
 )
 
-// idleSpareCPU is the room of the instances that are switched off and could be called.
+// idleSpareCPU is the capacity of the switched-off instances that could be moved to a pool, in
+// milli-cores.
 func (s *State) idleSpareCPU() float64 {
 	sum := 0.0
 	for _, i := range s.instances {
@@ -17,7 +18,7 @@
 	return sum
 }
 
-// incomingCPU is the room of instances that are on their way to a pool.
+// incomingCPU is the capacity of the instances on their way to a pool, in milli-cores.
 func (s *State) incomingCPU(now time.Duration, pool string) float64 {
 	sum := 0.0
 	for _, op := range s.ops {
@@ -28,8 +29,8 @@
 	return sum
 }
 
-// Loans is, for each pool, the processor room that comes to it, and what could be
-// called at once: what is switched off, and what others do not need.
+// Loans is, for each pool, the processor capacity on its way there, and the capacity that could be
+// requested at once: switched-off instances and the surplus of other pools.
 func (s *State) Loans(now time.Duration, pools []string) map[string][]executor.Loan {
 	unit := s.meanInstanceCPU()
 	idle := s.idleSpareCPU()
@@ -47,7 +48,7 @@
 	return loans
 }
 
-// incomingInstances are the instances that are on their way to a pool.
+// incomingInstances are the instances on their way to a pool.
 func (s *State) incomingInstances(now time.Duration, pool string) []executor.Loan {
 	var out []executor.Loan
 	for _, op := range s.ops {
@@ -66,9 +67,9 @@
 	return out
 }
 
-// isIncoming reports whether an operation brings its instance to a pool: it moves
-// there, or comes back from maintenance sooner than another could be called. One
-// that has had the time to arrive counts among the pool's own, if it did.
+// isIncoming reports whether an operation brings its instance to a pool: the instance moves there,
+// or comes back from maintenance sooner than another could be requested. One that has had the time
+// to arrive is part of the pool's own capacity, if it did arrive.
 func (s *State) isIncoming(now time.Duration, op *Operation, pool string) bool {
 	if op.Phase == PhaseOver {
 		return false
--- a/internal/fleetops/moves.go
+++ b/internal/fleetops/moves.go
@@ -6,60 +6,58 @@
 	"time"
 )
 
-// Which pool has which instances. Load: queues' demand goes by turns, five
-// times the mean for some seconds and a twentieth in between; a turn is more
-// than a pool holds, while all pools together hold twice the demand. Left where
-// they are, instances idle in three pools while the fourth refuses its callers.
+// How instances are assigned to pools. Load: queues burst in rotation. A queue's demand is five
+// times its mean for some seconds and a twentieth of it in between; a burst exceeds its pool's
+// capacity, while all pools together hold twice the total demand. Without moves, instances idle in
+// three pools while the fourth rejects its callers.
 //
-// A pool's need is the work offered to it a second, plus its backlog spread
-// over the time in which it must drain. Pools that need more get spare
-// instances first, then those that others do not need. What no pool needs for a
-// while is switched off. A move costs as much as a second of an instance in a
-// pool, so a wrong one is cheap and a missed one is not.
+// A pool's need is the work offered to it per second, plus its backlog spread over the time in
+// which it must drain. Pools that need more get spare instances first, then those that other pools
+// do not need. Instances that no pool has needed for a while are switched off. A move costs as
+// much as one second of an instance in a pool, so an unnecessary move is cheap and a missed one is
+// not.
 const (
-	// backlogDrainTime is how fast a backlog should drain: about the slack of a job's
-	// objective. Drained much faster, pools in their turn call for more instances than
-	// there are and keep them from each other.
+	// backlogDrainTime is the time in which a backlog should drain, about the slack of a job's
+	// objective. With a much shorter one, bursting pools request more instances than exist and
+	// keep them from each other.
 	backlogDrainTime = 1800 * time.Millisecond
-	// headroom covers tasks that don't fill their endpoints evenly.
+	// headroom allows for tasks that do not fill their endpoints evenly.
 	headroom = 1.15
-	// riseWindow and fallWindow smooth the offered work: jobs come some five a
-	// second. A turn begins at once and is missed by whoever waits for proof;
-	// that it has ended costs little to learn late.
+	// riseWindow and fallWindow smooth the offered work; about five jobs arrive per second. A
+	// burst rises at once and is missed if the rise must be confirmed first, while detecting its
+	// end late costs little.
 	riseWindow = 300 * time.Millisecond
 	fallWindow = 1200 * time.Millisecond
-	// trendFactor and riseMost are how far a rise is drawn out, and the most that
-	// is believed of it: jobs come in clumps.
+	// trendFactor is how far a rise is extrapolated, and maxRiseFactor limits the result: jobs
+	// arrive in batches, which look like a rise.
 	trendFactor   = 1.0
 	maxRiseFactor = 1.8
-	// joinTime is what passes beside the move itself until a called instance
-	// works: it registers, is looked at, and gets its first tasks.
+	// joinTime is the time beside the move itself until a moved instance does work: it registers,
+	// is polled, and gets its first tasks.
 	joinTime = 300 * time.Millisecond
-	// runningRetained is the part of what runs that a pool keeps room for when another
-	// is short: the rest ends before an instance that it gives away could be back.
-	// Load: one queue's turn ends as another's begins. Counted whole, what runs holds
-	// all instances for another second or two, in which the next turn's jobs are
-	// lost.
+	// runningRetained is the share of the running work for which a pool keeps capacity while
+	// another is short: the rest ends before an instance that it gives away could be back. Load:
+	// one queue's burst ends as another's begins. Counted in full, the running work holds all
+	// instances for another second or two, in which jobs of the next burst are lost.
 	runningRetained = 0.5
-	// viewLag is how long a pool's owner takes to have a new instance in use
-	// and to be asked about it.
+	// viewLag is how long it takes until a pool's owner uses a new instance and has reported so.
 	viewLag = 250 * time.Millisecond
-	// maxViewAge is how old an owner's word may be to move instances by it.
+	// maxViewAge is how old an owner's summary may be to base moves on it.
 	maxViewAge = 1500 * time.Millisecond
-	// idleTimeout is how long instances are too many before they are switched off.
+	// idleTimeout is how long a pool must have a surplus before instances are switched off.
 	idleTimeout = 2500 * time.Millisecond
-	// minInstances stay in a pool beside those with lasting tasks, so that
-	// the first jobs of a turn find room.
+	// minInstances is how many instances a pool keeps beyond the capacity of its lasting tasks, so
+	// that the first jobs of a burst find capacity.
 	minInstances = 2
-	// maxStarvedSteps bounds the instances that are called at once for lasting tasks
-	// that find no endpoint.
+	// maxStarvedSteps limits the instances requested at once for lasting tasks that find no
+	// endpoint.
 	maxStarvedSteps = 3
-	// minShortfall is the share of an instance that must be missing to move one.
+	// minShortfall is the share of an instance that a pool must lack before one is moved to it.
 	minShortfall = 0.35
 )
 
-// decideMoves begins moves towards pools that need more, and switches off what
-// none needs.
+// decideMoves begins moves towards pools that need more capacity, and switches off what no pool
+// needs.
 func (s *State) decideMoves(now time.Duration, a *Actions) {
 	unit := s.meanInstanceCPU()
 	if unit == 0 || !s.viewsFresh(now) {
@@ -93,10 +91,10 @@
 	}
 }
 
-// sortByNeed puts the pools first whose lasting tasks lack instances, then those
-// that are shortest. Load: a pool in its turn asks for more than the whole fleet
-// has. Served first, it takes each instance that comes free, and a lasting task
-// of another pool that has lost its endpoint stays away for the whole turn.
+// sortByNeed puts pools first whose lasting tasks lack instances, then those with the largest
+// shortfall. Load: a bursting pool asks for more than the whole fleet has. Served first, it takes
+// each instance that becomes available, and a lasting task of another pool that has lost its
+// endpoint is down for the whole burst.
 func sortByNeed(balances []balance, unit float64) {
 	slices.SortFunc(balances, func(x, y balance) int {
 		if a, b := x.lacksLasting(unit), y.lacksLasting(unit); a != b {
@@ -109,8 +107,8 @@
 	})
 }
 
-// redirect sends an instance to a pool that was about to be switched off and
-// has not been ordered to yet.
+// redirect sends a pool an instance that was about to be switched off and whose order has not been
+// sent.
 func (s *State) redirect(pool string) *Operation {
 	for _, name := range s.sortedOps() {
 		op := s.ops[name]
@@ -133,8 +131,8 @@
 	return len(s.pools) > 0
 }
 
-// donor returns the instance that is cheapest to give to a pool, and the place
-// of the pool that gives it among balances, or -1 for the spare pool.
+// donor returns the instance that is cheapest to give to a pool, and the index in balances of the
+// pool that gives it, or -1 for the spare pool.
 func (s *State) donor(now time.Duration, unit float64, balances []balance, to balance) (*Instance, int) {
 	for _, name := range s.instanceNames {
 		i := s.instances[name]
@@ -148,15 +146,14 @@
 	if !to.lacksLasting(unit) {
 		return nil, -1
 	}
-	// Nobody has more than it needs: lasting tasks come before short ones.
+	// No pool has a surplus: lasting tasks have priority over short ones.
 	if index := largestDonor(balances, to.pool, func(b balance) float64 { return b.have - b.lastingNeed }, unit); index >= 0 {
 		return s.leastLoaded(now, balances[index].pool, to.pool, unit), index
 	}
 	return nil, -1
 }
 
-// largestDonor returns the place of the pool that can give the most, at least one
-// instance, or -1.
+// largestDonor returns the index of the pool that can give the most, at least one instance, or -1.
 func largestDonor(balances []balance, to string, canGive func(balance) float64, unit float64) int {
 	best := -1
 	for n, b := range balances {
@@ -170,18 +167,18 @@
 	return best
 }
 
-// movable reports whether nothing else is done with an instance, it may be ordered
-// about, and may serve the pool.
+// movable reports whether no operation is in progress on an instance, it may get orders, and the
+// platform has not rejected its kind for the pool.
 func (s *State) movable(now time.Duration, i Instance, to string) bool {
 	return i.Up && now >= s.noOrdersUntil[i.Name] && !s.reserved[i.Name] && s.activeOperation(i.Name) == nil && !s.rejectedKinds[kindInPool{i.Kind, to}]
 }
 
-// maxDonorLoad is how much of an instance may be in use when it is chosen to
-// leave: its tasks run out within about their usual second.
+// maxDonorLoad is the share of an instance that may be in use when it is chosen to leave: its
+// tasks then end within about a second, their usual duration.
 const maxDonorLoad = 0.4
 
-// leastLoaded returns the instance of a pool with the least to wait for, at most
-// most milli-cores in use and none with lasting tasks.
+// leastLoaded returns the instance of a pool with the least work to wait for, with at most maxUsed
+// milli-cores in use and without lasting tasks.
 func (s *State) leastLoaded(now time.Duration, pool, to string, maxUsed float64) *Instance {
 	hosts := s.pools[pool].hosts
 	var best *Instance
@@ -204,8 +201,7 @@
 	a.Events = append(a.Events, Event{What: "move begun", Instance: i.Name, Reason: reason, Pool: to})
 }
 
-// switchOff moves instances to the spare pool that their pools have not needed
-// for a while.
+// switchOff moves instances that their pools have not needed for a while to the spare pool.
 func (s *State) switchOff(now time.Duration, unit float64, balances []balance, a *Actions) {
 	if s.spare == "" {
 		return
--- a/internal/fleetops/records.go
+++ b/internal/fleetops/records.go
@@ -19,14 +19,14 @@
 	keyClock     = "t"
 )
 
-// clockRecord is a holder's steady clock at its newest batch of records. Beside the times of
-// its orders it says how old these were by then, whatever the time of day did.
+// clockRecord is a holder's monotonic clock at its latest batch of records. Together with the
+// times of its orders it gives their age at that point, independent of the wall clock.
 type clockRecord struct {
 	Epoch     int64 `cbor:"1,keyasint"`
 	ClaimedMs int64 `cbor:"2,keyasint"`
 	NowMs     int64 `cbor:"3,keyasint"`
-	// Demand is what the holder knew of each pool's, and WallMs when by the time of
-	// day, in ms since 1970.
+	// Demand is the measured demand by pool, and WallMs the wall-clock time of the record, in ms
+	// since 1970.
 	Demand map[string]demandRecord `cbor:"4,keyasint,omitempty"`
 	WallMs int64                   `cbor:"5,keyasint,omitempty"`
 }
@@ -37,9 +37,8 @@
 	SlowRate float64 `cbor:"2,keyasint"`
 }
 
-// minOrderAge is how long ago at least an operation's order was given as the tick was
-// written. Of an earlier holder's order it is known that the tick's own has had the
-// duty since.
+// minOrderAge is the least time that had passed since an operation's order when the record was
+// written. An order of an earlier holder is at least as old as the claim of the record's holder.
 func (c *clockRecord) minOrderAge(op *Operation) time.Duration {
 	if c == nil {
 		return 0
@@ -51,13 +50,13 @@
 	return time.Duration(max(0, c.NowMs-since)) * time.Millisecond
 }
 
-// release is written by a holder that gives the duty up in order: it gives no
-// more orders, and these are the ages in ms of its last ones.
+// release is written by a holder that gives up the duty in an orderly way: it sends no more
+// orders, and AgesMs are the ages of its last ones in ms.
 type release struct {
 	AgesMs map[string]int64 `cbor:"1,keyasint"`
 }
 
-// Release returns the record with which a holder gives the duty up.
+// Release returns the record with which a holder gives up the duty.
 func (s *State) Release(now time.Duration) executor.Record {
 	r := release{AgesMs: map[string]int64{}}
 	for name, op := range s.ops {
@@ -68,8 +67,8 @@
 	return executor.Record{Key: keyRelease, Value: executor.Encode(r)}
 }
 
-// Restore takes in the records of the duty's journal; wallMs is the time of day, in ms
-// since 1970.
+// Restore restores the state from the duty's records; wallMs is the wall-clock time in ms since
+// 1970.
 func (s *State) Restore(records []executor.Record, now time.Duration, wallMs int64) error {
 	var released *release
 	var clock *clockRecord
@@ -116,31 +115,30 @@
 	return nil
 }
 
-// applyRelease applies what a predecessor said when it gave the duty up.
+// applyRelease shortens the wait before new orders by the order ages in a predecessor's release.
 func (s *State) applyRelease(r *release, now time.Duration) {
 	for name := range s.noOrdersUntil {
 		age, ordered := r.AgesMs[name]
 		left := s.limits.HolderTTL - time.Duration(age)*time.Millisecond
 		if !ordered {
-			continue // by an earlier holder still
+			continue // ordered by a holder before the predecessor
 		}
 		s.noOrdersUntil[name] = now + max(0, left) + releaseMargin
 	}
 }
 
-// releaseMargin covers an order that was on its way as the duty was given up.
+// releaseMargin covers an order that was in flight when the duty was given up.
 const releaseMargin = 150 * time.Millisecond
 
-// restoreOperation goes on with what a predecessor began. It recorded each order
-// before it gave it, so that of all instances only those with such a record can
-// still get one from it: they are left alone until it has surely fallen silent
-// and the platform no longer counts its order as recent. What this node ordered
-// itself, in an earlier tenure, needs no such care.
+// restoreOperation continues a predecessor's operation. A holder records each order before it
+// sends it, so only instances with such a record can still get an order from the predecessor. They
+// get no order until the predecessor can no longer send one and the platform no longer counts its
+// order as recent. Orders that this node sent in an earlier tenure need no such wait.
 //
-// An operation that is over gets no more orders, and how old its last one was is on
-// record. Load: while demand goes by turns, most instances have been ordered about
-// in the last few seconds. Left alone for as long as those under way, they stood
-// idle for five seconds after each loss of a holder, while a queue's turn went by.
+// An operation that has ended gets no more orders, and the age of its last one is on record. Load:
+// during bursts in rotation, most instances have been ordered in the last few seconds. Made to
+// wait as long as operations in progress, they stood idle for five seconds after each loss of a
+// holder, while a queue's burst passed.
 func (s *State) restoreOperation(op *Operation, clock *clockRecord, now time.Duration) {
 	switch {
 	case op.Phase == PhaseClearing || op.Holder == s.limits.Holder:
@@ -156,12 +154,12 @@
 	s.ops[op.Instance] = op
 }
 
-// lateOrderWindow outlasts an order that a displaced holder sends with its last
-// proof of the epoch, and the time that the call may take.
+// lateOrderWindow outlasts an order that a displaced holder sends with its last proof of the
+// epoch, and the time that the call may take.
 const lateOrderWindow = maxProofAge + time.Second
 
-// OperationsOf reads the endpoints of a pool that operations are about to clear,
-// and those that they have ended of late, from the records of the duty's journal.
+// OperationsOf reads, from the duty's records, the endpoints of a pool that operations are about
+// to clear and the incarnations that operations have recently ended.
 func OperationsOf(records []executor.Record, pool string) (leaving []string, ended []executor.Incarnation) {
 	for _, r := range records {
 		var op Operation
@@ -178,8 +176,7 @@
 	return leaving, ended
 }
 
-// SharesOf reads a pool's shares of client accounts' limits from the records of the duty's
-// journal.
+// SharesOf reads a pool's shares of accounts' limits from the duty's records.
 func SharesOf(records []executor.Record, pool string) ([]quota.Grant, error) {
 	var shares []quota.Record
 	for _, r := range records {
@@ -190,8 +187,8 @@
 	return quota.GrantsOf(shares, pool)
 }
 
-// TakeRecords returns the records that have changed; wallMs is the time of day, in ms
-// since 1970.
+// TakeRecords returns the records that have changed since the last call; wallMs is the wall-clock
+// time in ms since 1970.
 func (s *State) TakeRecords(now time.Duration, wallMs int64) []executor.Record {
 	var out []executor.Record
 	for name := range s.dirtyOps {
@@ -223,15 +220,15 @@
 	return out
 }
 
-// TickRecord returns the record of this holder's clocks and of what it knows of the
-// demand, which goes with each batch and each proof of the epoch: a successor takes the
-// demand for as old as this record.
+// TickRecord returns the record of this holder's clocks and measured demand. It is written with
+// each batch and each proof of the epoch; a successor takes the demand to be as old as this
+// record.
 func (s *State) TickRecord(now time.Duration, wallMs int64) executor.Record {
 	return executor.Record{Key: keyClock, Value: executor.Encode(clockRecord{Epoch: s.limits.Epoch,
 		ClaimedMs: s.claimedAt.Milliseconds(), NowMs: now.Milliseconds(), Demand: s.demandRecords(), WallMs: wallMs})}
 }
 
-// Saved takes in that all records taken so far are durable.
+// Saved marks all records returned by TakeRecords as durable.
 func (s *State) Saved(now time.Duration) {
 	for _, op := range s.ops {
 		if op.durableAt == 0 {
--- a/internal/fleetops/run.go
+++ b/internal/fleetops/run.go
@@ -20,63 +20,60 @@
 
 const (
 	// Topic holds the duty's records.
-	Topic = "keyed.fleet"
-	// roundInterval spaces rounds.
+	Topic         = "keyed.fleet"
 	roundInterval = 150 * time.Millisecond
-	// maxListAgeBusy and listIdle are how old the instance list may be while
-	// something is under way, and otherwise.
+	// maxListAgeBusy and maxListAgeIdle are how old the instance list may be while operations are
+	// in progress, and otherwise.
 	maxListAgeBusy = 450 * time.Millisecond
 	maxListAgeIdle = 2 * time.Second
-	// maxProofAge is how old the proof of the epoch may be when an instance is
-	// ordered about; a successor waits out what was sent with it.
-	maxProofAge   = 900 * time.Millisecond
-	proofInterval = 600 * time.Millisecond
-	// claimRetryDelay spaces attempts at a claim.
+	// maxProofAge is how old the proof of the epoch may be when an order is sent; a successor
+	// waits until orders sent with it can no longer arrive.
+	maxProofAge     = 900 * time.Millisecond
+	proofInterval   = 600 * time.Millisecond
 	claimRetryDelay = 200 * time.Millisecond
 )
 
-// Cloud is the part of the platform's client that commands instances.
+// Cloud is the part of the platform's client that lists, moves and maintains instances.
 type Cloud interface {
 	Instances(ctx context.Context) ([]platform.Instance, error)
 	Move(ctx context.Context, o platform.InstanceOrder, pool string) error
 	Maintain(ctx context.Context, o platform.InstanceOrder, wave int) error
 }
 
-// Pools asks the pools' owners.
+// Pools calls the pools' owners.
 type Pools interface {
 	Clear(ctx context.Context, pool string, ask ClearCall) ClearAnswer
 }
 
-// ClearCall is what a pool's owner is asked for and told.
+// ClearCall is a request to a pool's owner.
 type ClearCall struct {
 	Clears []Clear
-	// Due are endpoints whose instances will be wanted soon.
+	// Due are endpoints whose instances a wave will need soon.
 	Due []string
-	// Loans is the processor room that comes to the pool, or can.
+	// Loans is the processor capacity on its way to the pool, or available to it.
 	Loans []executor.Loan
-	// Shares are the pool's of client accounts' limits.
+	// Shares are the pool's shares of accounts' limits.
 	Shares quota.Ask
 }
 
-// ClearAnswer is what a pool's owner said.
+// ClearAnswer is a response from a pool's owner.
 type ClearAnswer struct {
-	// Owned is false where no owner answered.
+	// Owned is false if no owner answered.
 	Owned   bool
 	Left    map[string]executor.Vacancy
 	Summary executor.Summary
-	// Accounts are what client accounts use and want in the pool.
+	// Accounts are the accounts' usage and requests in the pool.
 	Accounts []quota.Report
-	// ProofAge is how long before its answer the owner was proven to be the
-	// newest.
+	// ProofAge is how long before its answer the owner was last confirmed as the current one.
 	ProofAge time.Duration
 }
 
-// Facts are what the configuration and the operator say.
+// Facts are the inputs from the configuration and the operator.
 type Facts struct {
 	Pools []string
 	Spare string
 	Waves []platform.Wave
-	// Accounts are the published client accounts.
+	// Accounts are the published accounts.
 	Accounts *accounts.Directory
 }
 
@@ -89,14 +86,14 @@
 	Facts  func() Facts
 	Logger *slog.Logger
 	Limits Limits
-	// Member is this process's name to other claimants of the duty.
+	// Member is this process's name among the claimants of the duty.
 	Member string
 	Claims tenure.Claims
-	// Claimed is told the epoch of a claim.
+	// Claimed is called with the epoch of a claim.
 	Claimed func(ctx context.Context, epoch int64)
 }
 
-// Runner has the duty while its context lasts.
+// Runner performs the fleet duty until its context ends.
 type Runner struct {
 	opts   Options
 	state  *State
@@ -104,14 +101,14 @@
 	tenure *tenure.Tenure
 	// lastRoundAt is when the last round began.
 	lastRoundAt time.Duration
-	// balancesLoggedAt is when the pools' room and need were last logged.
+	// balancesLoggedAt is when the pool balances were last logged.
 	balancesLoggedAt time.Duration
 	inbox            chan func(now time.Duration)
 	listInFlight     bool
 	clearInFlight    map[string]bool
 }
 
-// Run claims the duty and does it until ctx ends or a newer epoch shows.
+// Run claims the duty and performs it until ctx ends or a newer epoch appears.
 func Run(ctx context.Context, opts Options) {
 	r := &Runner{opts: opts, inbox: make(chan func(time.Duration), 1024), clearInFlight: map[string]bool{}}
 	if !r.claim(ctx) {
@@ -139,19 +136,19 @@
 	r.release()
 }
 
-// minRoundGap is the least time between two rounds.
+// minRoundGap is the minimum time between two rounds.
 const minRoundGap = 30 * time.Millisecond
 
-// roundDueEarly reports whether a round is worth its while before the next tick: answers
-// have come, and operations wait for them.
+// roundDueEarly reports whether to run a round before the next tick, because messages have arrived
+// and operations or account shares wait for them.
 func (r *Runner) roundDueEarly() bool {
 	return (!r.state.Idle() || r.shares.Pending()) && planlease.Boottime()-r.lastRoundAt > minRoundGap
 }
 
-// releaseTimeout bounds what a stopping process spends on its last record.
+// releaseTimeout limits the time that a stopping process spends on its last record.
 const releaseTimeout = 400 * time.Millisecond
 
-// release tells a successor that no more orders follow.
+// release records that this holder sends no more orders.
 func (r *Runner) release() {
 	ctx, cancel := context.WithTimeout(context.Background(), releaseTimeout)
 	defer cancel()
@@ -193,7 +190,7 @@
 	return r.state.Restore(records, now, time.Now().UnixMilli())
 }
 
-// RecordsOf returns the store's records as the pure packages take them.
+// RecordsOf converts the store's records to those of the packages that do no I/O.
 func RecordsOf(in []platform.Record) []executor.Record {
 	out := make([]executor.Record, len(in))
 	for i, p := range in {
@@ -202,7 +199,7 @@
 	return out
 }
 
-// StoreRecords returns records of the pure packages as the store takes them.
+// StoreRecords converts records of the packages that do no I/O to the store's.
 func StoreRecords(in []executor.Record) []platform.Record {
 	out := make([]platform.Record, len(in))
 	for i, r := range in {
@@ -234,7 +231,7 @@
 	}
 	r.logBalances(now)
 	if r.state.WantsList() {
-		// An order waits for it: left to the next round it would wait for that, too.
+		// An order waits for the list; requested in the next round it would come a round later.
 		r.refreshInstances(ctx, facts.Spare)
 	}
 	r.callOwners(ctx, facts.Pools, actions)
@@ -247,7 +244,7 @@
 	return nil
 }
 
-// balanceLogInterval spaces the lines on pools' room and need.
+// balanceLogInterval is the time between log lines on pool balances.
 const balanceLogInterval = time.Second
 
 func (r *Runner) logBalances(now time.Duration) {
@@ -264,7 +261,7 @@
 
 func round1(x float64) float64 { return math.Round(10*x) / 10 }
 
-// save makes what has changed durable, or proves the epoch now and then.
+// save makes changed records durable, or renews the proof of the epoch when it is due.
 func (r *Runner) save(ctx context.Context) error {
 	now, wallMs := planlease.Boottime(), time.Now().UnixMilli()
 	changed := r.state.TakeRecords(now, wallMs)
@@ -287,7 +284,7 @@
 	return r.tenure.Append(ctx, StoreRecords(changed))
 }
 
-// refreshInstances reads the instance refreshInstances in the background where it is due.
+// refreshInstances requests the instance list in the background if it is due.
 func (r *Runner) refreshInstances(ctx context.Context, spare string) {
 	age := maxListAgeIdle
 	if !r.state.Idle() {
@@ -329,7 +326,7 @@
 	}
 }
 
-// callOwners tells each pool's owner what to clear and learns how the pool is.
+// callOwners sends each pool's owner the endpoints to clear and applies its summary.
 func (r *Runner) callOwners(ctx context.Context, pools []string, actions Actions) {
 	byPool := map[string][]Clear{}
 	for _, c := range actions.Clears {
@@ -367,8 +364,8 @@
 	}
 }
 
-// sendOrder gives an sendOrder in the background, unless this owner can't prove that it
-// is the newest.
+// sendOrder sends an order in the background, unless this holder can't prove that its epoch is the
+// newest.
 func (r *Runner) sendOrder(ctx context.Context, o Order) {
 	op := o.Operation
 	now := planlease.Boottime()
@@ -398,7 +395,7 @@
 	return err.Error()
 }
 
-// Reasons of the platform's refusals.
+// Reasons of the platform's rejections.
 const (
 	reasonBusy  = "busy"
 	reasonFence = "fence"
@@ -421,8 +418,8 @@
 	return OrderBusy
 }
 
-// publishWaveStatus tells the operator a wave's state. Until it is stored the wave
-// counts as not announced.
+// publishWaveStatus publishes a wave's state to the operator. Until it is stored the wave counts
+// as not announced.
 func (r *Runner) publishWaveStatus(ctx context.Context, a Announcement) {
 	record, err := platform.WaveStatus(a.Wave, a.Completed)
 	if err != nil {
--- a/internal/fleetops/state.go
+++ b/internal/fleetops/state.go
@@ -1,11 +1,19 @@
-// Package fleetops is the duty over instances: it brings maintenance waves
-// through and moves instances between pools. State and its decisions are pure;
-// Runner reads the instance list, asks the pools' owners to clear endpoints,
-// and gives the platform its orders.
+// Package fleetops decides which instances move between pools and which are maintained, so that
+// pools get the capacity they need and maintenance waves complete in time. Its input is the
+// platform's instance list, the configured pools and waves, the summaries and clear reports of the
+// pools' owners, and the records of the previous holder of the duty. The shard manager calls Run,
+// by way of the host, in the process that is to hold the fleet duty (a role claimed under an
+// epoch), and reads the duty's records with OperationsOf and SharesOf when it starts a pool.
 //
-// Contract: an operation is recorded before its endpoint is cleared, and the
-// platform is told only once the endpoint's owner has said that nothing is left
-// on it. What a predecessor began is gone on with.
+// State and its decisions do no I/O; Runner reads the instance list, asks the pools' owners to
+// clear endpoints, and sends the platform its orders.
+//
+// Contract: an operation is durable before its endpoint is cleared, and the platform gets the
+// order only after the endpoint's owner has reported that no task is left on it. A successor
+// continues its predecessor's operations.
+//
+// Terms: a lasting task is one that does not end by itself; the spare pool holds the instances that
+// are switched off.
 package fleetops
 
 import (
@@ -19,7 +27,6 @@
 // Kind is what an operation does to an instance.
 type Kind uint8
 
-// Kinds of operations.
 const (
 	KindMaintain Kind = iota
 	KindMove
@@ -29,22 +36,20 @@
 
 func (k Kind) String() string { return kindNames[k] }
 
-// Phase is how far an operation is.
+// Phase is the progress of an operation.
 type Phase uint8
 
-// Phases of operations.
 const (
-	// PhaseClearing: the endpoint's owner is asked to clear it.
+	// PhaseClearing: the endpoint's owner is being asked to clear it.
 	PhaseClearing Phase = iota
-	// PhaseOrdered: the platform was told, or may have been.
+	// PhaseOrdered: the platform has received the order, or may have.
 	PhaseOrdered
-	// PhaseOver: it has ended. The record is kept for as long as the platform
-	// remembers who ordered the instance, so that a successor leaves the
-	// instance alone for that long.
+	// PhaseOver: the operation has ended. Its record is kept for as long as the platform remembers
+	// who ordered the instance, so that a successor sends the instance no order for that long.
 	PhaseOver
 )
 
-// Operation is one change of an instance under way.
+// Operation is one move or maintenance of an instance.
 type Operation struct {
 	Instance string `cbor:"1,keyasint"`
 	Kind     Kind   `cbor:"2,keyasint"`
@@ -53,46 +58,47 @@
 	To       string `cbor:"5,keyasint,omitempty"`
 	// Endpoint is the endpoint whose incarnation the operation ends.
 	Endpoint string `cbor:"6,keyasint,omitempty"`
-	// StartedMs tells that incarnation, by the word of its pool's owner; 0 where not told.
-	// An endpoint may come back under its id.
+	// StartedMs identifies that incarnation, as reported by its pool's owner; 0 if not reported.
+	// The next incarnation may have the same endpoint id.
 	StartedMs int64 `cbor:"12,keyasint,omitempty"`
 	Phase     Phase `cbor:"7,keyasint,omitempty"`
-	// Holder gave the order, if any was given.
+	// Holder sent the order, if one was sent.
 	Holder string `cbor:"8,keyasint,omitempty"`
-	// Ended says that the platform has ended the incarnation.
+	// Ended is set when the platform has ended the incarnation.
 	Ended bool `cbor:"9,keyasint,omitempty"`
 
-	// OrderedMs is when the order was last given, on its holder's steady clock, and
-	// OrderedIn that holder's epoch.
+	// OrderedMs is when the order was last sent, on its holder's monotonic clock, and OrderedIn is
+	// that holder's epoch.
 	OrderedMs int64 `cbor:"10,keyasint,omitempty"`
 	OrderedIn int64 `cbor:"11,keyasint,omitempty"`
 
-	// endConfirmed: the pool's owner has heard that.
+	// endConfirmed is set when the pool's owner has received the incarnation's end.
 	endConfirmed bool
 	beganAt      time.Duration
-	// hadLasting: tasks that last were on the instance as the operation began.
+	// hadLasting is set if lasting tasks were on the instance when the operation began.
 	hadLasting bool
-	// acceptedAt is when the platform confirmed the order.
+	// acceptedAt is when the platform accepted the order.
 	acceptedAt    time.Duration
 	orderInFlight bool
 	orderedAt     time.Duration
-	// endedAt is when it ended.
+	// endedAt is when the operation ended.
 	endedAt time.Duration
-	// durableAt is when the operation was known to be durable.
+	// durableAt is when the operation's record was confirmed durable.
 	durableAt time.Duration
-	// clearReportedAt is when the owner last said that nothing is left.
+	// clearReportedAt is when the owner last reported how many tasks are left.
 	clearReportedAt time.Duration
-	// clearSince is when it first said so, without a contrary word since.
+	// clearSince is when the owner first reported that no task is left, with no report to the
+	// contrary since.
 	clearSince time.Duration
 	cleared    bool
 }
 
-// Wave is a maintenance wave and how far it is.
+// Wave is a maintenance wave and its progress.
 type Wave struct {
 	Number int `cbor:"1,keyasint"`
 	// SeenMs is when the wave was first seen, in ms since 1970.
 	SeenMs int64 `cbor:"2,keyasint"`
-	// Done are the instances that have been through.
+	// Done are the instances whose maintenance is complete.
 	Done      []string `cbor:"3,keyasint,omitempty"`
 	Completed bool     `cbor:"4,keyasint,omitempty"`
 
@@ -100,100 +106,98 @@
 	within    time.Duration
 	maxAtOnce int
 	done      map[string]bool
-	// announced reports whether the operator was told the newest state.
+	// announced reports whether the operator has been sent the wave's current state.
 	announced bool
 }
 
-// Instance is an entry of the platform's list.
+// Instance is an entry of the platform's instance list.
 type Instance struct {
 	Name, Pool, Zone, Kind, Rack string
-	// Up reports whether it is neither moving, nor maintained, nor down.
+	// Up reports that the instance is not moving, not in maintenance and not down.
 	Up bool
-	// Busy reports a move or maintenance under way.
+	// Busy reports that a move or maintenance is in progress.
 	Busy     bool
 	Endpoint string
 	CPUMilli int
 }
 
-// PoolView is what a pool's owner said of it, and when.
+// PoolView is the last summary from a pool's owner, and when it arrived.
 type PoolView struct {
 	Summary executor.Summary
 	At      time.Duration
-	// hosts are the loads of Summary by endpoint.
+	// hosts are the host loads of Summary by endpoint.
 	hosts map[string]executor.HostLoad
 }
 
-// State is what the duty knows. It is not safe for concurrent use.
+// State is what the fleet duty has observed and decided. It is not safe for concurrent use.
 type State struct {
 	limits Limits
 	spare  string
 	pools  map[string]*PoolView
 
 	instances map[string]Instance
-	// instanceNames are those of instances, in order.
+	// instanceNames are the keys of instances, sorted.
 	instanceNames []string
-	// listedAt is when the instance list was asked for.
+	// listedAt is when the instance list was requested.
 	listedAt time.Duration
-	// needsList: an order waits for a list that is newer than its owner's word.
+	// needsList is set if an order waits for a list requested after the owner's clear report.
 	needsList bool
 	ops       map[string]*Operation
 	waves     map[int]*Wave
 	demand    map[string]*demand
 
-	// reserved are instances that are kept for a wave's last part: moving from
-	// pool to pool they would never be free for it.
+	// reserved are instances that are not moved because a wave behind its pace needs them: one
+	// that keeps moving from pool to pool would never be available to the wave.
 	reserved map[string]bool
-	// poolSurplus is what each pool has beyond its need, in milli-cores, by the
-	// last round.
+	// poolSurplus is each pool's capacity beyond its need in the last round, in milli-cores.
 	poolSurplus map[string]float64
-	// fleetSurplus is what all pools together, and the spare pool, have beyond their needs.
+	// fleetSurplus is the capacity of all pools and the spare pool beyond the pools' needs, in
+	// milli-cores.
 	fleetSurplus float64
 
 	dirtyOps   map[string]bool
 	dirtyWaves map[int]bool
-	// releaseOnRecord reports that a predecessor's release is still on record.
+	// releaseOnRecord is set while a predecessor's release record is still stored.
 	releaseOnRecord bool
-	// noOrdersUntil is until when an instance that a predecessor may have ordered about
-	// is left alone.
+	// noOrdersUntil is the time before which an instance that a predecessor may have ordered gets
+	// no order.
 	noOrdersUntil map[string]time.Duration
-	// claimedAt is when this holder took the duty over.
+	// claimedAt is when this holder claimed the duty.
 	claimedAt time.Duration
-	// rejectedKinds are kinds of instances that the platform refused for a pool.
+	// rejectedKinds are the kinds of instances that the platform rejected for a pool.
 	rejectedKinds map[kindInPool]bool
 }
 
-// Limits are times that the deployment promises.
+// Limits are durations guaranteed by the deployment, and the identity of the holder.
 type Limits struct {
-	// Holder is this node, as the platform knows it.
-	Holder string
-	// MoveTime is how long a move takes.
-	MoveTime time.Duration
-	// MaintainTime is how long maintenance takes.
+	// Holder is this node's name on the platform.
+	Holder       string
+	MoveTime     time.Duration
 	MaintainTime time.Duration
 	// HolderTTL is how long the platform remembers who ordered an instance.
 	HolderTTL time.Duration
-	// Epoch is that of this holder's claim.
+	// Epoch is the epoch of this holder's claim.
 	Epoch int64
 }
 
 // kindInPool is a kind of instance in a pool.
 type kindInPool struct{ kind, pool string }
 
-// NewState returns the state of a duty that knows nothing.
+// NewState returns a state without observations.
 func NewState(limits Limits) *State {
 	return &State{limits: limits, pools: map[string]*PoolView{}, instances: map[string]Instance{}, ops: map[string]*Operation{},
 		waves: map[int]*Wave{}, demand: map[string]*demand{}, dirtyOps: map[string]bool{}, dirtyWaves: map[int]bool{},
 		poolSurplus: map[string]float64{}, reserved: map[string]bool{}, rejectedKinds: map[kindInPool]bool{}, noOrdersUntil: map[string]time.Duration{}}
 }
 
-// EndTold takes in that a pool's owner knows of an incarnation's end.
+// EndTold records that a pool's owner has received an incarnation's end.
 func (s *State) EndTold(instance, endpoint string) {
 	if op := s.ops[instance]; op != nil && op.Endpoint == endpoint {
 		op.endConfirmed = true
 	}
 }
 
-// ObserveWave takes in a wave that the operator asks for.
+// ObserveWave updates a wave from the operator's request.
 func (s *State) ObserveWave(number int, instances []string, within time.Duration, maxAtOnce int, wallMs int64) {
 	w := s.waves[number]
 	if w == nil {
@@ -204,7 +208,7 @@
 	w.instances, w.within, w.maxAtOnce = instances, within, max(1, maxAtOnce)
 }
 
-// ObserveInstances takes in the platform's whole list, asked for at asked.
+// ObserveInstances applies the platform's whole instance list, requested at asked.
 func (s *State) ObserveInstances(asked time.Duration, list []Instance, spare string) {
 	s.listedAt, s.spare = asked, spare
 	s.instances = make(map[string]Instance, len(list))
@@ -214,7 +218,7 @@
 	s.instanceNames = slices.Sorted(maps.Keys(s.instances))
 }
 
-// ObservePool takes in what a pool's owner said.
+// ObservePool applies a summary from a pool's owner.
 func (s *State) ObservePool(now time.Duration, pool string, sum executor.Summary) {
 	hosts := make(map[string]executor.HostLoad, len(sum.Hosts))
 	for _, h := range sum.Hosts {
@@ -224,26 +228,27 @@
 	s.observeDemand(now, pool, sum)
 }
 
-// Cleared takes in what an owner says of the tasks on an operation's endpoint.
-// proven is a time at which the owner was still the newest. An owner that was
-// displaced before the operation was recorded does not know it, and its
-// successor, which has not read the record either, places tasks on the endpoint
-// that it calls clear: only an owner proven later than the record counts. A word
-// on an incarnation that has died meanwhile says nothing about its successor.
-func (s *State) Cleared(now, proven time.Duration, instance, endpoint string, word executor.Vacancy) {
+// Cleared applies an owner's report on the tasks left on an operation's endpoint. proven is a time
+// at which the owner was still confirmed as the current one.
+//
+// The report counts only if the owner was confirmed after the operation became durable. An owner
+// displaced before that has not seen the operation, and its successor, which has not read the
+// record either, may place tasks on the endpoint that the report calls clear. A report on an
+// incarnation that has ended says nothing about the next one.
+func (s *State) Cleared(now, proven time.Duration, instance, endpoint string, vacancy executor.Vacancy) {
 	op := s.ops[instance]
 	if op == nil || op.Endpoint != endpoint || op.durableAt == 0 || proven < op.durableAt {
 		return
 	}
-	// From its acceptance on the order may have begun the next incarnation under the id,
-	// which it has not ended.
-	if op.acceptedAt == 0 && word.StartedMs != op.StartedMs {
-		op.StartedMs, op.cleared = word.StartedMs, false
+	// Once the platform has accepted the order, a new incarnation under the same id may be the one
+	// that came up after it, and the order did not end that one.
+	if op.acceptedAt == 0 && vacancy.StartedMs != op.StartedMs {
+		op.StartedMs, op.cleared = vacancy.StartedMs, false
 	}
-	if word.Left == 0 && !op.cleared {
+	if vacancy.Left == 0 && !op.cleared {
 		op.clearSince = now
 	}
-	op.cleared = word.Left == 0
+	op.cleared = vacancy.Left == 0
 	op.clearReportedAt = now
 }
 
@@ -253,8 +258,8 @@
 	s.dirtyOps[op.Instance] = true
 }
 
-// finish ends an operation. Where the platform was told of it the record stays
-// for a while.
+// finish ends an operation. If the platform has received its order, the record stays until
+// dropExpired removes it.
 func (s *State) finish(now time.Duration, op *Operation) {
 	s.dirtyOps[op.Instance] = true
 	if op.Phase == PhaseClearing {
@@ -274,7 +279,7 @@
 	}
 }
 
-// activeOperation returns the operation under way on an instance, or nil.
+// activeOperation returns the operation in progress on an instance, or nil.
 func (s *State) activeOperation(instance string) *Operation {
 	op := s.ops[instance]
 	if op == nil || op.Phase == PhaseOver {
--- a/internal/fleetops/waves.go
+++ b/internal/fleetops/waves.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// Announcement is a wave's state for the operator.
+// Announcement is a wave's state as published to the operator.
 type Announcement struct {
 	Wave      int
 	Completed bool
@@ -62,7 +62,7 @@
 	s.beginMaintenance(now, w, due, inProgress, s.behindPace(wallMs, w, remaining, inProgress), a)
 }
 
-// behindPace is how many instances more than have been begun should have been by now.
+// behindPace is how many more instances should have been begun by now than have been.
 func (s *State) behindPace(wallMs int64, w *Wave, remaining, inProgress int) int {
 	elapsed := float64(wallMs-w.SeenMs) / (paceShare * float64(max(1, w.within.Milliseconds())))
 	total := len(w.instances)
@@ -70,22 +70,21 @@
 	return int(math.Ceil(min(1, max(0, elapsed))*float64(total))) - begun
 }
 
-// paceShare is the part of a wave's time over which its instances are begun, evenly;
-// the rest is for the last of them to clear and come back, some five seconds.
+// paceShare is the part of a wave's time over which its instances are begun, evenly; the rest,
+// some five seconds, is for the last of them to clear and come back.
 //
-// Load: a wave is due for half of all instances while queues' demand goes by turns.
-// Begun as many at once as the wave allows, whenever their own pool can do without
-// them, a fifth of the fleet is away just as another queue's turn begins, and its
-// room comes five seconds late instead of two. What no pool needs is begun at any
-// time; of the rest only what the pace asks for.
+// Load: a wave covers half of all instances while queues burst in rotation. If as many are begun
+// at once as the wave allows, whenever their own pool can spare them, a fifth of the fleet is away
+// as another queue's burst begins, and that queue's capacity comes five seconds late instead of
+// two. Instances that no pool needs are begun at any time, the others only as fast as the pace
+// requires.
 const paceShare = 0.7
 
-// maxLastingClears bounds the instances with lasting tasks that are cleared at a
-// time in one pool. Load: a step may miss one or two of its tasks, and each takes
-// two to three seconds to come back elsewhere, so that the instances of a pool
-// are cleared one after the other however many are begun; those that only wait
-// for their turn are lost to short tasks. Begun with the wave and not at its pace,
-// they are through in time.
+// maxLastingClears limits the instances with lasting tasks that are cleared at a time in one pool.
+// Load: a step may be missing one or two of its tasks, and each takes two to three seconds to
+// restart elsewhere, so the instances of a pool are cleared one after the other however many are
+// begun; those still waiting are unavailable to short tasks. Begun when the wave starts, ahead of
+// its pace, they are done in time.
 const maxLastingClears = 3
 
 func (s *State) beginMaintenance(now time.Duration, w *Wave, due []Instance, inProgress, behind int, a *Actions) {
@@ -114,8 +113,8 @@
 	}
 }
 
-// lastingClearsInProgress counts, by pool, the instances whose lasting tasks are being
-// moved elsewhere for a wave.
+// lastingClearsInProgress counts, by pool, the instances whose lasting tasks are being moved
+// elsewhere for a wave.
 func (s *State) lastingClearsInProgress() map[string]int {
 	counts := map[string]int{}
 	for _, op := range s.ops {
@@ -126,15 +125,14 @@
 	return counts
 }
 
-// hasLasting reports whether lasting tasks are on an instance, by its pool's
-// last word.
+// hasLasting reports whether lasting tasks are on an instance, by its pool's last summary.
 func (s *State) hasLasting(i Instance) bool {
 	view := s.pools[i.Pool]
 	return view != nil && view.hosts[i.Endpoint].Lasting
 }
 
-// canSpare reports whether all pools together can do without an instance, and
-// its own has more than it needs.
+// canSpare reports whether the fleet as a whole can do without an instance, and its own pool has a
+// surplus.
 func (s *State) canSpare(i Instance) bool {
 	if i.Pool == s.spare || s.pools[i.Pool] == nil {
 		return s.fleetSurplus >= 0
@@ -147,8 +145,8 @@
 	a.Announce = append(a.Announce, Announcement{Wave: w.Number, Completed: w.Completed})
 }
 
-// sortDue puts first what costs least to clear: switched off, then idle, then
-// of pools with the most room left, and those with lasting tasks last.
+// sortDue puts the instances first that cost least to clear: switched off, then idle, then those
+// of the least loaded pools, and last those with lasting tasks.
 func (s *State) sortDue(due []Instance) {
 	cost := map[string]float64{}
 	for _, i := range due {
@@ -180,7 +178,7 @@
 	return cost
 }
 
-// Unannounced takes in that the operator could not be told a wave's state.
+// Unannounced records that a wave's state could not be published to the operator.
 func (s *State) Unannounced(wave int) {
 	if w := s.waves[wave]; w != nil {
 		w.announced = false
