--- a/internal/fleetlog/apply_test.go
+++ b/internal/fleetlog/apply_test.go
@@ -56,7 +56,7 @@
 	It("gives the lease to the first of two claims of the same epoch", func() {
 		t.claim("p1")
 		v := t.write("p2", 0, fleetlog.KindLeaseClaim, planlease.Claim{Follows: 0, Holder: "p2", BootID: "b1"})
-		Expect(v.Reason).To(Equal(planlease.ReasonOutrun))
+		Expect(v.Reason).To(Equal(planlease.ReasonLostRace))
 		Expect(t.state.Lease.Holder).To(Equal("p1"))
 	})
 
--- a/internal/planlease/state.go
+++ b/internal/planlease/state.go
@@ -10,9 +10,9 @@
 
 // Reasons for rejecting lease records.
 const (
-	// ReasonOutrun marks a claim that lost the race: another claim for the same epoch precedes it
+	// ReasonLostRace marks a claim that lost the race: another claim for the same epoch precedes it
 	// in the log.
-	ReasonOutrun fold.Reason = "outrun"
+	ReasonLostRace fold.Reason = "outrun"
 	// ReasonRenewed marks a claim whose author had not read the holder's latest renewal and
 	// mistook its own lag for an expired lease.
 	ReasonRenewed fold.Reason = "renewed_meanwhile"
@@ -59,7 +59,7 @@
 // ApplyClaim folds a claim into the state.
 func (s *State) ApplyClaim(m fold.Meta, c Claim) fold.Verdict {
 	if c.Follows != s.Epoch {
-		return fold.Reject(ReasonOutrun, "holder is "+s.Holder)
+		return fold.Reject(ReasonLostRace, "holder is "+s.Holder)
 	}
 	if c.Renewed != s.Renewed {
 		return fold.Reject(ReasonRenewed, "holder is "+s.Holder)
