--- a/internal/planlease/decide.go
+++ b/internal/planlease/decide.go
@@ -55,8 +55,8 @@
 	c.heldEpoch = s.Epoch
 }
 
-// Sent records that a claim or renewal is about to be appended at now.
-func (c *Contender) Sent(now time.Duration) { c.sentAt, c.appendPending = now, true }
+// AppendStarted records that a claim or renewal is about to be appended at now.
+func (c *Contender) AppendStarted(now time.Duration) { c.sentAt, c.appendPending = now, true }
 
 // Settled records that the append announced by Sent is no longer in flight: the fold has accepted
 // or rejected its record, or the caller has given it up.
--- a/internal/planlease/decide_test.go
+++ b/internal/planlease/decide_test.go
@@ -22,7 +22,7 @@
 	var s planlease.State
 	c.Observe(s, 10*time.Second)
 	g.Expect(c.Decide(s, 0, 10*time.Second)).To(Equal(planlease.ActClaim))
-	c.Sent(10 * time.Second)
+	c.AppendStarted(10 * time.Second)
 	s.ApplyClaim(fold.Meta{Offset: 1}, planlease.Claim{Holder: "p1", BootID: "b1"})
 	c.Settled(true)
 	c.Observe(s, 10*time.Second)
@@ -37,9 +37,9 @@
 	c := planlease.NewContender("p1", "b1", timing)
 	s := planlease.State{Epoch: 1, Holder: "p1", BootID: "b1", Renewed: 1}
 	c.Observe(s, time.Second)
-	c.Sent(time.Second)
+	c.AppendStarted(time.Second)
 	c.Settled(true)
-	c.Sent(3 * time.Second)
+	c.AppendStarted(3 * time.Second)
 	c.Settled(false)
 	g.Expect(c.Holds(3500 * time.Millisecond)).To(Equal(uint64(1)))
 	g.Expect(c.Holds(4 * time.Second)).To(BeZero())
@@ -100,7 +100,7 @@
 	if action == planlease.ActWait {
 		return
 	}
-	p.contender.Sent(sim.now)
+	p.contender.AppendStarted(sim.now)
 	if lost {
 		p.contender.Settled(false)
 		return
--- a/internal/planner/lease.go
+++ b/internal/planner/lease.go
@@ -17,11 +17,11 @@
 	self := p.node.Self()
 	switch p.contender.Decide(lease, p.rank(), now) {
 	case planlease.ActClaim:
-		p.contender.Sent(now)
+		p.contender.AppendStarted(now)
 		p.node.SubmitAsync(p.opts.Timing.TTL, fleetlog.KindLeaseClaim, 0,
 			planlease.Claim{Follows: lease.Epoch, Renewed: lease.Renewed, Holder: self.ID, BootID: self.BootID}, p.leaseSettled)
 	case planlease.ActRenew:
-		p.contender.Sent(now)
+		p.contender.AppendStarted(now)
 		p.node.SubmitAsync(p.opts.Timing.TTL, fleetlog.KindLeaseRenew, lease.Epoch,
 			planlease.Renew{Epoch: lease.Epoch, Holder: self.ID, BootID: self.BootID}, p.leaseSettled)
 	}
