--- a/internal/planlease/decide.go
+++ b/internal/planlease/decide.go
@@ -58,9 +58,9 @@
 // AppendStarted records that a claim or renewal is about to be appended at now.
 func (c *Contender) AppendStarted(now time.Duration) { c.sentAt, c.appendPending = now, true }
 
-// Settled records that the append announced by Sent is no longer in flight: the fold has accepted
+// AppendFinished records that the append announced by Sent is no longer in flight: the fold has accepted
 // or rejected its record, or the caller has given it up.
-func (c *Contender) Settled(accepted bool) {
+func (c *Contender) AppendFinished(accepted bool) {
 	if accepted {
 		// The lease is valid from the time before the append was sent. A challenger sees the
 		// record later than that, so it waits until after the holder has stopped acting.
--- a/internal/planlease/decide_test.go
+++ b/internal/planlease/decide_test.go
@@ -24,7 +24,7 @@
 	g.Expect(c.Decide(s, 0, 10*time.Second)).To(Equal(planlease.ActClaim))
 	c.AppendStarted(10 * time.Second)
 	s.ApplyClaim(fold.Meta{Offset: 1}, planlease.Claim{Holder: "p1", BootID: "b1"})
-	c.Settled(true)
+	c.AppendFinished(true)
 	c.Observe(s, 10*time.Second)
 	g.Expect(c.Holds(12 * time.Second)).To(Equal(uint64(1)))
 	g.Expect(c.Holds(13 * time.Second)).To(BeZero())
@@ -38,9 +38,9 @@
 	s := planlease.State{Epoch: 1, Holder: "p1", BootID: "b1", Renewed: 1}
 	c.Observe(s, time.Second)
 	c.AppendStarted(time.Second)
-	c.Settled(true)
+	c.AppendFinished(true)
 	c.AppendStarted(3 * time.Second)
-	c.Settled(false)
+	c.AppendFinished(false)
 	g.Expect(c.Holds(3500 * time.Millisecond)).To(Equal(uint64(1)))
 	g.Expect(c.Holds(4 * time.Second)).To(BeZero())
 }
@@ -102,7 +102,7 @@
 	}
 	p.contender.AppendStarted(sim.now)
 	if lost {
-		p.contender.Settled(false)
+		p.contender.AppendFinished(false)
 		return
 	}
 	sim.offset++
@@ -113,6 +113,6 @@
 		v = sim.log.ApplyRenew(m, planlease.Renew{Epoch: p.lastRead.Epoch, Holder: p.name, BootID: "b1"})
 	}
 	p.lastRead = sim.log // reading back its own record implies reading all earlier ones
-	p.contender.Settled(v.Accepted)
+	p.contender.AppendFinished(v.Accepted)
 	p.contender.Observe(p.lastRead, sim.now)
 }
--- a/internal/planner/lease.go
+++ b/internal/planner/lease.go
@@ -28,7 +28,7 @@
 }
 
 func (p *Planner) leaseSettled(v fold.Verdict, err error) {
-	p.contender.Settled(err == nil && v.Accepted)
+	p.contender.AppendFinished(err == nil && v.Accepted)
 	p.contender.Observe(p.node.State().Lease, p.node.Now())
 	p.dirty = true
 }
