--- a/internal/fleetops/decide.go
+++ b/internal/fleetops/decide.go
@@ -78,7 +78,7 @@
 // three to four seconds late.
 func (s *State) reportEndedIncarnations(a *Actions) {
 	for name, op := range s.ops {
-		if op.Phase == PhaseOver && op.Ended && !op.endConfirmed && op.Endpoint != "" && s.pools[op.From] != nil {
+		if op.Phase == PhaseEnded && op.Ended && !op.endConfirmed && op.Endpoint != "" && s.pools[op.From] != nil {
 			a.Clears = append(a.Clears, Clear{Instance: name, Pool: op.From, Endpoint: op.Endpoint, StartedMs: op.StartedMs, Ended: true})
 		}
 	}
@@ -87,7 +87,7 @@
 func (s *State) sortedOps() []string {
 	names := make([]string, 0, len(s.ops))
 	for name, op := range s.ops {
-		if op.Phase != PhaseOver {
+		if op.Phase != PhaseEnded {
 			names = append(names, name)
 		}
 	}
@@ -228,7 +228,7 @@
 // Idle reports whether no operation is in progress and no wave is incomplete.
 func (s *State) Idle() bool {
 	for _, op := range s.ops {
-		if op.Phase != PhaseOver {
+		if op.Phase != PhaseEnded {
 			return false
 		}
 	}
--- a/internal/fleetops/incoming.go
+++ b/internal/fleetops/incoming.go
@@ -71,7 +71,7 @@
 // or comes back from maintenance sooner than another could be requested. One that has had the time
 // to arrive is part of the pool's own capacity, if it did arrive.
 func (s *State) isIncoming(now time.Duration, op *Operation, pool string) bool {
-	if op.Phase == PhaseOver {
+	if op.Phase == PhaseEnded {
 		return false
 	}
 	if op.Kind == KindMaintain {
--- a/internal/fleetops/records.go
+++ b/internal/fleetops/records.go
@@ -142,12 +142,12 @@
 func (s *State) restoreOperation(op *Operation, clock *clockRecord, now time.Duration) {
 	switch {
 	case op.Phase == PhaseClearing || op.Holder == s.limits.Holder:
-	case op.Phase == PhaseOver && clock != nil:
+	case op.Phase == PhaseEnded && clock != nil:
 		s.noOrdersUntil[op.Instance] = now + max(0, s.limits.HolderTTL-clock.minOrderAge(op)) + releaseMargin
 	default:
 		s.noOrdersUntil[op.Instance] = now + s.limits.HolderTTL + lateOrderWindow
 	}
-	if op.Phase == PhaseOver {
+	if op.Phase == PhaseEnded {
 		op.endedAt = now
 	}
 	op.durableAt = now
@@ -169,7 +169,7 @@
 		switch {
 		case op.Ended:
 			ended = append(ended, executor.Incarnation{ID: op.Endpoint, StartedMs: op.StartedMs})
-		case op.Phase != PhaseOver:
+		case op.Phase != PhaseEnded:
 			leaving = append(leaving, op.Endpoint)
 		}
 	}
--- a/internal/fleetops/state.go
+++ b/internal/fleetops/state.go
@@ -44,9 +44,9 @@
 	PhaseClearing Phase = iota
 	// PhaseOrdered: the platform has received the order, or may have.
 	PhaseOrdered
-	// PhaseOver: the operation has ended. Its record is kept for as long as the platform remembers
+	// PhaseEnded: the operation has ended. Its record is kept for as long as the platform remembers
 	// who ordered the instance, so that a successor sends the instance no order for that long.
-	PhaseOver
+	PhaseEnded
 )
 
 // Operation is one move or maintenance of an instance.
@@ -266,13 +266,13 @@
 		delete(s.ops, op.Instance)
 		return
 	}
-	op.Phase, op.endedAt = PhaseOver, now
+	op.Phase, op.endedAt = PhaseEnded, now
 }
 
 // dropExpired drops ended operations that the platform no longer remembers.
 func (s *State) dropExpired(now time.Duration) {
 	for name, op := range s.ops {
-		if op.Phase == PhaseOver && now-op.endedAt > s.limits.HolderTTL {
+		if op.Phase == PhaseEnded && now-op.endedAt > s.limits.HolderTTL {
 			delete(s.ops, name)
 			s.dirtyOps[name] = true
 		}
@@ -282,7 +282,7 @@
 // activeOperation returns the operation in progress on an instance, or nil.
 func (s *State) activeOperation(instance string) *Operation {
 	op := s.ops[instance]
-	if op == nil || op.Phase == PhaseOver {
+	if op == nil || op.Phase == PhaseEnded {
 		return nil
 	}
 	return op
--- a/internal/fleetops/waves.go
+++ b/internal/fleetops/waves.go
@@ -48,9 +48,9 @@
 		remaining++
 		op := s.ops[name]
 		switch {
-		case op != nil && op.Kind == KindMaintain && op.Wave == w.Number && op.Phase != PhaseOver:
+		case op != nil && op.Kind == KindMaintain && op.Wave == w.Number && op.Phase != PhaseEnded:
 			inProgress++
-		case (op == nil || op.Phase == PhaseOver) && i.Up:
+		case (op == nil || op.Phase == PhaseEnded) && i.Up:
 			due = append(due, i)
 		}
 	}
