--- a/internal/fleetops/decide.go
+++ b/internal/fleetops/decide.go
@@ -164,7 +164,7 @@
 		s.dirtyOps[op.Instance] = true
 	}
 	op.orderInFlight, op.orderedAt = true, now
-	op.OrderedMs, op.OrderedIn = now.Milliseconds(), s.limits.Epoch
+	op.OrderedMs, op.OrderedEpoch = now.Milliseconds(), s.limits.Epoch
 	a.Orders = append(a.Orders, Order{*op})
 }
 
--- a/internal/fleetops/records.go
+++ b/internal/fleetops/records.go
@@ -44,7 +44,7 @@
 		return 0
 	}
 	since := c.ClaimedMs
-	if op.OrderedIn == c.Epoch {
+	if op.OrderedEpoch == c.Epoch {
 		since = op.OrderedMs
 	}
 	return time.Duration(max(0, c.NowMs-since)) * time.Millisecond
--- a/internal/fleetops/state.go
+++ b/internal/fleetops/state.go
@@ -69,8 +69,8 @@
 
 	// OrderedMs is when the order was last sent, on its holder's monotonic clock, and OrderedIn is
 	// that holder's epoch.
-	OrderedMs int64 `cbor:"10,keyasint,omitempty"`
-	OrderedIn int64 `cbor:"11,keyasint,omitempty"`
+	OrderedMs    int64 `cbor:"10,keyasint,omitempty"`
+	OrderedEpoch int64 `cbor:"11,keyasint,omitempty"`
 
 	// endConfirmed is set when the pool's owner has received the incarnation's end.
 	endConfirmed bool
