--- a/internal/fleetops/decide.go
+++ b/internal/fleetops/decide.go
@@ -29,7 +29,7 @@
 	Instance, Pool, Endpoint string
 	// StartedMs identifies the endpoint's incarnation, 0 if unknown.
 	StartedMs int64
-	Hurry     bool
+	StopTasks bool
 	// Ended is set if the platform has ended the incarnation. Service discovery lists it for some
 	// seconds more.
 	Ended bool
@@ -143,7 +143,7 @@
 	switchedOff := i.Pool == s.spare
 	if op.Endpoint != "" && !switchedOff {
 		a.Clears = append(a.Clears, Clear{Instance: op.Instance, Pool: op.From, Endpoint: op.Endpoint, StartedMs: op.StartedMs,
-			Hurry: s.mustStopTasks(now, wallMs, op), Ended: s.incarnationEnded(op, i)})
+			StopTasks: s.mustStopTasks(now, wallMs, op), Ended: s.incarnationEnded(op, i)})
 	}
 	clear := switchedOff || op.cleared && now-op.clearReportedAt < clearMaxAge
 	// The cleared endpoint may have ended since, and a new incarnation may run on the instance:
--- a/internal/shards/calls.go
+++ b/internal/shards/calls.go
@@ -299,7 +299,7 @@
 func (c *Calls) Clear(ctx context.Context, pool string, ask fleetops.ClearCall) fleetops.ClearAnswer {
 	in := VacateCall{Pool: pool, Loans: ask.Loans, Due: ask.Due, Shares: ask.Shares}
 	for _, item := range ask.Clears {
-		in.Items = append(in.Items, VacateItem{Endpoint: item.Endpoint, Hurry: item.Hurry, Ended: item.Ended, StartedMs: item.StartedMs})
+		in.Items = append(in.Items, VacateItem{Endpoint: item.Endpoint, Hurry: item.StopTasks, Ended: item.Ended, StartedMs: item.StartedMs})
 	}
 	out := c.Vacate(ctx, in)
 	left := make(map[string]executor.Vacancy, len(out.Left))
