--- a/internal/fleetops/fleet_test.go
+++ b/internal/fleetops/fleet_test.go
@@ -135,7 +135,7 @@
 	for _, c := range actions.Clears {
 		if c.Ended {
 			f.reportedEnds[executor.Incarnation{ID: c.Endpoint, StartedMs: c.StartedMs}] = true
-			f.state.EndTold(c.Instance, c.Endpoint)
+			f.state.ConfirmEnd(c.Instance, c.Endpoint)
 		}
 		f.state.Cleared(f.now+time.Millisecond, f.now-f.proofAge, c.Instance, c.Endpoint, executor.Vacancy{Left: f.tasks[c.Endpoint], StartedMs: f.started[c.Endpoint]})
 	}
--- a/internal/fleetops/run.go
+++ b/internal/fleetops/run.go
@@ -352,7 +352,7 @@
 				r.shares.Observe(now, asked-answer.ProofAge, pool, answer.Accounts)
 				for _, item := range items {
 					if item.Ended {
-						r.state.EndTold(item.Instance, item.Endpoint)
+						r.state.ConfirmEnd(item.Instance, item.Endpoint)
 						continue
 					}
 					if vacancy, known := answer.Left[item.Endpoint]; known {
--- a/internal/fleetops/state.go
+++ b/internal/fleetops/state.go
@@ -190,8 +190,8 @@
 		poolSurplus: map[string]float64{}, reserved: map[string]bool{}, rejectedKinds: map[kindInPool]bool{}, noOrdersUntil: map[string]time.Duration{}}
 }
 
-// EndTold records that a pool's owner has received an incarnation's end.
-func (s *State) EndTold(instance, endpoint string) {
+// ConfirmEnd records that a pool's owner has received an incarnation's end.
+func (s *State) ConfirmEnd(instance, endpoint string) {
 	if op := s.ops[instance]; op != nil && op.Endpoint == endpoint {
 		op.endConfirmed = true
 	}
