--- a/internal/fleetops/fleet_test.go
+++ b/internal/fleetops/fleet_test.go
@@ -137,7 +137,7 @@
 			f.reportedEnds[executor.Incarnation{ID: c.Endpoint, StartedMs: c.StartedMs}] = true
 			f.state.ConfirmEnd(c.Instance, c.Endpoint)
 		}
-		f.state.Cleared(f.now+time.Millisecond, f.now-f.proofAge, c.Instance, c.Endpoint, executor.Vacancy{Left: f.tasks[c.Endpoint], StartedMs: f.started[c.Endpoint]})
+		f.state.ObserveVacancy(f.now+time.Millisecond, f.now-f.proofAge, c.Instance, c.Endpoint, executor.Vacancy{Left: f.tasks[c.Endpoint], StartedMs: f.started[c.Endpoint]})
 	}
 	for _, o := range actions.Orders {
 		f.order(o.Operation)
--- a/internal/fleetops/fleetops_test.go
+++ b/internal/fleetops/fleetops_test.go
@@ -249,7 +249,7 @@
 		f.tasks["restarted"] = 1
 		for range 20 {
 			f.round("a")
-			f.state.Cleared(f.now+time.Millisecond, f.now, f.instances[0].Name, first, executor.Vacancy{})
+			f.state.ObserveVacancy(f.now+time.Millisecond, f.now, f.instances[0].Name, first, executor.Vacancy{})
 		}
 		Expect(f.maintained()).To(BeEmpty())
 	})
--- a/internal/fleetops/run.go
+++ b/internal/fleetops/run.go
@@ -356,7 +356,7 @@
 						continue
 					}
 					if vacancy, known := answer.Left[item.Endpoint]; known {
-						r.state.Cleared(asked, asked-answer.ProofAge, item.Instance, item.Endpoint, vacancy)
+						r.state.ObserveVacancy(asked, asked-answer.ProofAge, item.Instance, item.Endpoint, vacancy)
 					}
 				}
 			})
--- a/internal/fleetops/state.go
+++ b/internal/fleetops/state.go
@@ -228,14 +228,14 @@
 	s.observeDemand(now, pool, sum)
 }
 
-// Cleared applies an owner's report on the tasks left on an operation's endpoint. proven is a time
+// ObserveVacancy applies an owner's report on the tasks left on an operation's endpoint. proven is a time
 // at which the owner was still confirmed as the current one.
 //
 // The report counts only if the owner was confirmed after the operation became durable. An owner
 // displaced before that has not seen the operation, and its successor, which has not read the
 // record either, may place tasks on the endpoint that the report calls clear. A report on an
 // incarnation that has ended says nothing about the next one.
-func (s *State) Cleared(now, proven time.Duration, instance, endpoint string, vacancy executor.Vacancy) {
+func (s *State) ObserveVacancy(now, proven time.Duration, instance, endpoint string, vacancy executor.Vacancy) {
 	op := s.ops[instance]
 	if op == nil || op.Endpoint != endpoint || op.durableAt == 0 || proven < op.durableAt {
 		return
