--- a/internal/fleetops/decide.go
+++ b/internal/fleetops/decide.go
@@ -202,8 +202,8 @@
 	OrderFenced
 )
 
-// Ordered applies the platform's response to an order.
-func (s *State) Ordered(now time.Duration, instance string, result OrderResult) {
+// ObserveOrderResult applies the platform's response to an order.
+func (s *State) ObserveOrderResult(now time.Duration, instance string, result OrderResult) {
 	op := s.ops[instance]
 	if op == nil {
 		return
--- a/internal/fleetops/fleet_test.go
+++ b/internal/fleetops/fleet_test.go
@@ -188,7 +188,7 @@
 		}
 		f.returnsAt[i.Name] = f.now + moveTime
 	}
-	f.state.Ordered(f.now, op.Instance, fleetops.OrderAccepted)
+	f.state.ObserveOrderResult(f.now, op.Instance, fleetops.OrderAccepted)
 }
 
 func (f *fleet) maintained() []string {
--- a/internal/fleetops/run.go
+++ b/internal/fleetops/run.go
@@ -370,7 +370,7 @@
 	op := o.Operation
 	now := planlease.Boottime()
 	if r.tenure.ProofAge() > maxProofAge {
-		r.state.Ordered(now, op.Instance, OrderBusy)
+		r.state.ObserveOrderResult(now, op.Instance, OrderBusy)
 		return
 	}
 	order := platform.InstanceOrder{Instance: op.Instance, Holder: r.opts.Holder, Fence: r.tenure.Epoch}
@@ -384,7 +384,7 @@
 		result := orderResult(err)
 		r.opts.Logger.Info("instance ordered", "epoch", r.tenure.Epoch, "instance", op.Instance, "operation", op.Kind.String(),
 			"wave", op.Wave, "to", op.To, "result", int(result), "error", errorText(err))
-		r.enqueue(ctx, func(now time.Duration) { r.state.Ordered(now, op.Instance, result) })
+		r.enqueue(ctx, func(now time.Duration) { r.state.ObserveOrderResult(now, op.Instance, result) })
 	}()
 }
 
