--- a/internal/fleetops/run.go
+++ b/internal/fleetops/run.go
@@ -430,7 +430,7 @@
 		err := r.opts.Store.Put(ctx, platform.TopicStatus, platform.Writer{}, []platform.Record{record})
 		if err != nil {
 			r.opts.Logger.Warn("wave status not stored", "wave", a.Wave, "error", err.Error())
-			r.enqueue(ctx, func(time.Duration) { r.state.Unannounced(a.Wave) })
+			r.enqueue(ctx, func(time.Duration) { r.state.AnnouncementFailed(a.Wave) })
 		}
 	}()
 }
--- a/internal/fleetops/waves.go
+++ b/internal/fleetops/waves.go
@@ -178,8 +178,8 @@
 	return cost
 }
 
-// Unannounced records that a wave's state could not be published to the operator.
-func (s *State) Unannounced(wave int) {
+// AnnouncementFailed records that a wave's state could not be published to the operator.
+func (s *State) AnnouncementFailed(wave int) {
 	if w := s.waves[wave]; w != nil {
 		w.announced = false
 	}
