--- a/internal/fleetops/decide.go
+++ b/internal/fleetops/decide.go
@@ -222,8 +222,8 @@
 	}
 }
 
-// WantsList reports whether an order waits for a newer instance list.
-func (s *State) WantsList() bool { return s.needsList }
+// NeedsList reports whether an order waits for a newer instance list.
+func (s *State) NeedsList() bool { return s.needsList }
 
 // Idle reports whether no operation is in progress and no wave is incomplete.
 func (s *State) Idle() bool {
--- a/internal/fleetops/run.go
+++ b/internal/fleetops/run.go
@@ -230,7 +230,7 @@
 		r.opts.Logger.Info(e.What, "epoch", r.tenure.Epoch, "instance", e.Instance, "reason", e.Reason, "wave", e.Wave, "pool", e.Pool)
 	}
 	r.logBalances(now)
-	if r.state.WantsList() {
+	if r.state.NeedsList() {
 		// An order waits for the list; requested in the next round it would come a round later.
 		r.refreshInstances(ctx, facts.Spare)
 	}
@@ -291,7 +291,7 @@
 		age = maxListAgeBusy
 	}
 	asked := planlease.Boottime()
-	fresh := r.state.listedAt > 0 && asked-r.state.listedAt < age && !r.state.WantsList()
+	fresh := r.state.listedAt > 0 && asked-r.state.listedAt < age && !r.state.NeedsList()
 	if r.listInFlight || fresh {
 		return
 	}
