--- a/internal/fleetops/fleet_test.go
+++ b/internal/fleetops/fleet_test.go
@@ -127,7 +127,7 @@
 		f.state.ObservePool(f.now, pool, f.summary(pool))
 	}
 	actions := f.state.Decide(f.now, wallStart+f.now.Milliseconds())
-	for _, r := range append(f.state.TakeRecords(f.now, wallStart+f.now.Milliseconds()), f.state.TickRecord(f.now, wallStart+f.now.Milliseconds())) {
+	for _, r := range append(f.state.TakeRecords(f.now, wallStart+f.now.Milliseconds()), f.state.ClockRecord(f.now, wallStart+f.now.Milliseconds())) {
 		f.journal[r.Key] = r.Value
 	}
 	f.state.Saved(f.now)
--- a/internal/fleetops/records.go
+++ b/internal/fleetops/records.go
@@ -212,7 +212,7 @@
 		out = append(out, executor.Record{Key: keyRelease})
 	}
 	if len(out) > 0 {
-		out = append(out, s.TickRecord(now, wallMs))
+		out = append(out, s.ClockRecord(now, wallMs))
 	}
 	clear(s.dirtyOps)
 	clear(s.dirtyWaves)
@@ -220,10 +220,10 @@
 	return out
 }
 
-// TickRecord returns the record of this holder's clocks and measured demand. It is written with
+// ClockRecord returns the record of this holder's clocks and measured demand. It is written with
 // each batch and each proof of the epoch; a successor takes the demand to be as old as this
 // record.
-func (s *State) TickRecord(now time.Duration, wallMs int64) executor.Record {
+func (s *State) ClockRecord(now time.Duration, wallMs int64) executor.Record {
 	return executor.Record{Key: keyClock, Value: executor.Encode(clockRecord{Epoch: s.limits.Epoch,
 		ClaimedMs: s.claimedAt.Milliseconds(), NowMs: now.Milliseconds(), Demand: s.demandRecords(), WallMs: wallMs})}
 }
--- a/internal/fleetops/run.go
+++ b/internal/fleetops/run.go
@@ -279,7 +279,7 @@
 		return nil
 	}
 	if len(changed) == 0 {
-		changed = append(changed, r.state.TickRecord(now, wallMs))
+		changed = append(changed, r.state.ClockRecord(now, wallMs))
 	}
 	return r.tenure.Append(ctx, StoreRecords(changed))
 }
