--- a/internal/executor/core.go
+++ b/internal/executor/core.go
@@ -104,7 +104,7 @@
 	// offered is all work offered, in core-ms; refusedAt keeps a job that comes
 	// again from counting again.
 	offered   float64
-	refusedAt map[string]time.Duration
+	refusedSince map[string]time.Duration
 	// refusedOf counts refused jobs by client account.
 	refusedOf map[string]int
 	// loans is processor room that comes to the pool, the soonest first; the word
@@ -134,8 +134,8 @@
 	pace      pace
 	// pacedAt is when the log last said that fewer starts may be under way.
 	pacedAt time.Duration
-	// placeable is how many more starts this round may decide.
-	placeable int
+	// placementsLeft is how many more starts this round may decide.
+	placementsLeft int
 	// storeTook is how long the journal takes, a moving average.
 	storeTook time.Duration
 	replies   []Reply
@@ -162,7 +162,7 @@
 		jobs: map[string]*job{}, endpoints: map[string]*endpoint{}, terms: map[string]int{}, gone: map[Incarnation]bool{},
 		unsavedGivenUp: map[string]bool{}, savedGivenUp: map[string]bool{}, unheard: map[string]unheardLosses{},
 		learned: map[string]*lengths{}, allowance: quota.NewAllowance(), blocked: map[string]time.Duration{},
-		refusedAt: map[string]time.Duration{}, refusedOf: map[string]int{}, dirty: map[*job]bool{}, acks: map[Incarnation]int64{},
+		refusedSince: map[string]time.Duration{}, refusedOf: map[string]int{}, dirty: map[*job]bool{}, acks: map[Incarnation]int64{},
 		pace: newPace(),
 	}
 }
@@ -355,7 +355,7 @@
 	// trial is the job whose suspected task has just begun here, nil for none.
 	trial *job
 
-	badRuns    int
+	consecutiveFailures    int
 	quarantine time.Duration
 	speed      speed
 
--- a/internal/executor/ends.go
+++ b/internal/executor/ends.go
@@ -6,11 +6,11 @@
 )
 
 func (c *Core) loseAll(e *endpoint, reason string) {
-	lost := make([]*task, 0, len(e.tasks))
+	tasks := make([]*task, 0, len(e.tasks))
 	for t := range e.tasks {
-		lost = append(lost, t)
+		tasks = append(tasks, t)
 	}
-	for _, t := range lost {
+	for _, t := range tasks {
 		c.event(Event{Kind: EventLost, Job: t.step.job.rec.Job.ID, Task: t.name(), Run: t.run, Endpoint: e.id, Reason: reason})
 		c.again(t)
 	}
@@ -26,14 +26,14 @@
 		t.phase = taskDone
 		s.left--
 		if s.left == 0 {
-			c.stepDone(s)
+			c.completeStep(s)
 		}
 	} else {
 		t.phase = taskWaiting
 		s.waiting++
 		c.breakGang(s)
 	}
-	c.settle(s.job)
+	c.retireIfStopped(s.job)
 }
 
 // breakGang stops the other members of a gang of which one is not there: they
@@ -66,20 +66,20 @@
 	if end.Checkpoint != "" {
 		t.checkpoint = end.Checkpoint
 	}
-	c.judge(now, e, t, end.How)
+	c.updateQuarantine(now, e, t, end.How)
 	switch {
 	case end.How == EndedDone && !t.step.spec.LongRunning:
-		c.done(now, t)
+		c.completeTask(now, t)
 	case end.How == EndedFailed:
-		c.failed(now, t, e)
+		c.handleFailure(now, t, e)
 	default:
 		c.again(t)
 	}
 }
 
-// done takes in that a task has ended well. One such end of a gang's member
+// completeTask takes in that a task has ended well. One such end of a gang's member
 // stands for all of them.
-func (c *Core) done(now time.Duration, t *task) {
+func (c *Core) completeTask(now time.Duration, t *task) {
 	c.noteLength(now, t)
 	c.release(t)
 	c.markDone(t)
@@ -91,17 +91,17 @@
 	s.left--
 	c.touch(j)
 	if s.spec.Gang {
-		c.doneGang(s)
+		c.completeGang(s)
 	}
 	if s.left == 0 {
-		c.stepDone(s)
+		c.completeStep(s)
 	}
-	c.settle(j)
+	c.retireIfStopped(j)
 }
 
-// doneGang marks the members whose ends are still to be listed. Each of them
+// completeGang marks the members whose ends are still to be listed. Each of them
 // ends done as well; their runs stay counted on their endpoints until then.
-func (c *Core) doneGang(s *stepRun) {
+func (c *Core) completeGang(s *stepRun) {
 	s.gangDone = true
 	for _, t := range s.tasks {
 		if t.phase == taskWaiting {
@@ -112,7 +112,7 @@
 	}
 }
 
-func (c *Core) stepDone(s *stepRun) {
+func (c *Core) completeStep(s *stepRun) {
 	o, j := s.occ, s.job
 	o.left--
 	if s.ran > 0 {
@@ -128,7 +128,7 @@
 		return
 	}
 	c.closeOccurrence(j, o.number)
-	if j.firstOpen >= j.occurrences() && !j.rec.State.Ended() {
+	if j.firstOpen >= j.occurrenceCount() && !j.rec.State.Ended() {
 		c.end(j, JobCompleted, "all tasks done")
 	}
 }
@@ -136,13 +136,13 @@
 // Backoff of tasks whose runs fail. A task that fails at once would otherwise
 // be started some ten times a second.
 const (
-	failBackoff    = 150 * time.Millisecond
-	failBackoffMax = 1200 * time.Millisecond
+	failureBackoff    = 150 * time.Millisecond
+	maxFailureBackoff = 1200 * time.Millisecond
 )
 
-// failed takes in that a run has failed, and fails the job after as many as
+// handleFailure takes in that a run has handleFailure, and fails the job after as many as
 // its queue allows. Tasks that last have no such limit.
-func (c *Core) failed(now time.Duration, t *task, e *endpoint) {
+func (c *Core) handleFailure(now time.Duration, t *task, e *endpoint) {
 	c.countFailure(now, t, e)
 	c.again(t)
 	c.endIfFailed(t)
@@ -160,7 +160,7 @@
 	count := t.failureCount()
 	*count++
 	t.avoid = e.incarnation()
-	t.notBefore = now + min(failBackoff<<min(*count-1, 8), failBackoffMax)
+	t.notBefore = now + min(failureBackoff<<min(*count-1, 8), maxFailureBackoff)
 	c.touch(t.step.job)
 }
 
--- a/internal/executor/orders.go
+++ b/internal/executor/orders.go
@@ -36,12 +36,12 @@
 // everything at once while its health is good, and being always free it draws
 // most of the starts. The first probes after it cost one task each.
 const (
-	// badRunsAllowed ends of failed runs in a row may be the tasks' own fault.
-	badRunsAllowed = 2
+	// quarantineAfter ends of failed runs in a row may be the tasks' own fault.
+	quarantineAfter = 2
 	quarantineBase = time.Second
 	quarantineMax  = 4 * time.Second
-	// refusedPause follows a refusal that says the endpoint is full or unwell.
-	refusedPause = 300 * time.Millisecond
+	// refusalPause follows a refusal that says the endpoint is full or unwell.
+	refusalPause = 300 * time.Millisecond
 )
 
 // TakeStops returns the stops that are due. They need no record.
@@ -57,7 +57,7 @@
 	c.pace.pass(now)
 	for len(c.leaving) > 0 && c.pace.free() > 0 {
 		o, c.leaving = c.leaving[0], c.leaving[1:]
-		if !o.current() || o.Fence != c.fence(o.task.host) || o.task.stopping {
+		if !o.isCurrent() || o.Fence != c.fence(o.task.host) || o.task.stopping {
 			continue
 		}
 		if !c.mayLeave(now, o.task.host) {
@@ -71,8 +71,8 @@
 	return Order{}, 0, false
 }
 
-// current reports whether the order is about the newest run of its task.
-func (o *Order) current() bool {
+// isCurrent reports whether the order is about the newest run of its task.
+func (o *Order) isCurrent() bool {
 	return o.task != nil && o.task.host != nil && o.task.host.id == o.Endpoint && o.task.run == o.Run
 }
 
@@ -93,8 +93,8 @@
 	if c.meet(now, e, a.StartedMs); o.Fence != c.fence(e) {
 		return // another incarnation has answered
 	}
-	same := a.isFrom(now, o.sent, e)
-	if same {
+	fromCurrent := a.isFrom(now, o.sent, e)
+	if fromCurrent {
 		e.noteClock(now, a.Clock)
 	}
 	switch result {
@@ -112,17 +112,17 @@
 	}
 	switch o.Kind {
 	case OrderStart:
-		t.proven = t.proven || same && result == OrderDone
-		c.startDone(now, t, e, result)
-		if !same && a.Clock > 0 {
+		t.proven = t.proven || fromCurrent && result == OrderDone
+		c.applyStartResult(now, t, e, result)
+		if !fromCurrent && a.Clock > 0 {
 			c.unsure(now, e)
 		}
 	case OrderStop:
-		c.stopDone(now, t, e, result)
+		c.applyStopResult(now, t, e, result)
 	}
 }
 
-func (c *Core) startDone(now time.Duration, t *task, e *endpoint, result OrderResult) {
+func (c *Core) applyStartResult(now time.Duration, t *task, e *endpoint, result OrderResult) {
 	switch result {
 	case OrderDone:
 		t.answered = true
@@ -139,25 +139,25 @@
 		t.answered = true
 	case OrderNoTicket:
 		delete(t.step.advice.tickets, e.incarnation())
-		c.notStarted(now, t, e, result)
+		c.rejectStart(now, t, e, result)
 	case OrderNoRoom, OrderUnhealthy, OrderInvalid:
-		c.notStarted(now, t, e, result)
+		c.rejectStart(now, t, e, result)
 	}
 }
 
-// notStarted takes back a start that the endpoint turned away. An earlier copy
+// rejectStart takes back a start that the endpoint turned away. An earlier copy
 // of the order may still arrive if one went unanswered, so the run keeps its
 // place until a stop has closed its number.
-func (c *Core) notStarted(now time.Duration, t *task, e *endpoint, result OrderResult) {
+func (c *Core) rejectStart(now time.Duration, t *task, e *endpoint, result OrderResult) {
 	c.event(Event{Kind: EventLost, Job: t.step.job.rec.Job.ID, Task: t.name(), Run: t.run, Endpoint: e.id, Reason: "start refused: " + result.String()})
 	if result != OrderNoTicket {
-		e.quarantine = max(e.quarantine, now+refusedPause)
+		e.quarantine = max(e.quarantine, now+refusalPause)
 	}
 	t.stopping = true
 	c.breakGang(t.step)
 }
 
-func (c *Core) stopDone(now time.Duration, t *task, e *endpoint, result OrderResult) {
+func (c *Core) applyStopResult(now time.Duration, t *task, e *endpoint, result OrderResult) {
 	if result != OrderDone {
 		return
 	}
@@ -169,20 +169,20 @@
 	}
 }
 
-// judge learns from an end how well an endpoint works.
-func (c *Core) judge(now time.Duration, e *endpoint, t *task, how HowEnded) {
-	switch how {
+// updateQuarantine learns from an end how well an endpoint works.
+func (c *Core) updateQuarantine(now time.Duration, e *endpoint, t *task, outcome HowEnded) {
+	switch outcome {
 	case EndedDone:
-		e.badRuns = 0
+		e.consecutiveFailures = 0
 	case EndedFailed:
 		if t.failures > 0 && t.avoid != e.incarnation() {
 			return // it fails everywhere: the task's own fault
 		}
-		e.badRuns++
-		if e.badRuns >= badRunsAllowed {
-			pause := min(quarantineBase<<min(e.badRuns-badRunsAllowed, 4), quarantineMax)
+		e.consecutiveFailures++
+		if e.consecutiveFailures >= quarantineAfter {
+			pause := min(quarantineBase<<min(e.consecutiveFailures-quarantineAfter, 4), quarantineMax)
 			e.quarantine = now + pause
-			c.event(Event{Kind: EventQuiet, Endpoint: e.id, Reason: "runs fail", Run: e.badRuns, AgeMs: pause.Milliseconds()})
+			c.event(Event{Kind: EventQuiet, Endpoint: e.id, Reason: "runs fail", Run: e.consecutiveFailures, AgeMs: pause.Milliseconds()})
 		}
 	}
 }
@@ -196,7 +196,7 @@
 			e.vacating = false
 		}
 		if e.draining {
-			c.leaveDraining(e)
+			c.stopLongRunningOnDrain(e)
 		}
 		c.presumeGone(now, e)
 		for t := range e.tasks {
@@ -206,14 +206,14 @@
 }
 
 func (c *Core) tickTask(now time.Duration, e *endpoint, t *task) {
-	if t.confirmed > 0 && !t.stopping && c.hangs(t) {
+	if t.confirmed > 0 && !t.stopping && c.isStalled(t) {
 		t.stopping = true
-		e.badRuns++
+		e.consecutiveFailures++
 		e.quarantine = now + quarantineBase
 		t.avoid = e.incarnation()
 		c.event(Event{Kind: EventStop, Job: t.step.job.rec.Job.ID, Task: t.name(), Run: t.run, Endpoint: e.id, Reason: "stands still"})
 	}
-	if t.missesGang(now) {
+	if t.exceedsGangStart(now) {
 		c.breakGang(t.step)
 	}
 	c.rescue(e, t)
@@ -224,29 +224,29 @@
 	c.stops = append(c.stops, Order{Kind: OrderStop, Endpoint: e.id, Addr: e.addr, Fence: c.fence(e), Task: t.name(), Run: t.run, task: t})
 }
 
-// gangPatience is how long the other members of a gang wait for one that is not known to have
+// gangStartTimeout is how long the other members of a gang wait for one that is not known to have
 // begun. Its endpoint may have crashed as the start came, and not be missed for seconds; they
 // hold their room meanwhile, and endpoints end those that have waited for long.
-const gangPatience = time.Second
+const gangStartTimeout = time.Second
 
-func (t *task) missesGang(now time.Duration) bool {
-	return t.step.spec.Gang && t.ordered > 0 && t.confirmed == 0 && now-t.ordered > gangPatience
+func (t *task) exceedsGangStart(now time.Duration) bool {
+	return t.step.spec.Gang && t.ordered > 0 && t.confirmed == 0 && now-t.ordered > gangStartTimeout
 }
 
 // Standstill. Load: tasks on some endpoints stand still while their leases are
 // renewed. A run whose progress has not moved for several times what its kind
 // takes is stopped and begins again elsewhere; its checkpoint is kept.
 const (
-	standstillFactor = 4
-	standstillFloor  = 2500 * time.Millisecond
+	stallFactor = 4
+	minStallTimeout  = 2500 * time.Millisecond
 )
 
-func (c *Core) hangs(t *task) bool {
+func (c *Core) isStalled(t *task) bool {
 	if t.step.spec.LongRunning && t.percent >= atWork {
 		return false
 	}
 	expected := time.Duration(c.taskMs(t.step)) * time.Millisecond
-	limit := max(standstillFloor, standstillFactor*expected/10)
+	limit := max(minStallTimeout, stallFactor*expected/10)
 	// Without an answer from the endpoint nothing is known of its progress.
 	return t.host.failedLook == 0 && t.host.looked-max(t.movedAt, t.confirmed) > limit
 }
--- a/internal/executor/place.go
+++ b/internal/executor/place.go
@@ -63,19 +63,19 @@
 // the rest be in time, and a job in time is worth many late ones.
 func (c *Core) Decide(now time.Duration) {
 	c.expire(now)
-	c.beginDue()
-	c.forgetEnded()
-	c.forgetRefused(now)
+	c.expandDueOccurrences()
+	c.evictEnded()
+	c.evictRefused(now)
 	c.sortOpen()
 	c.forgetBlocked()
 	c.explainWaiting(now)
 	c.watch(now)
-	hosts := c.openHosts(now)
-	if len(hosts) == 0 {
+	endpoints := c.openEndpoints(now)
+	if len(endpoints) == 0 {
 		return
 	}
-	c.reserve(now, hosts)
-	c.placeable = c.mostPlaced()
+	c.reserve(now, endpoints)
+	c.placementsLeft = c.mostPlaced()
 	var late []*job
 	for _, j := range c.open {
 		if j.rec.State.Ended() || !j.waits() {
@@ -85,16 +85,16 @@
 			late = append(late, j)
 			continue
 		}
-		if !roomLeft(hosts) {
+		if !anyCPULeft(endpoints) {
 			return
 		}
-		c.placeJob(now, j, hosts)
+		c.placeJob(now, j, endpoints)
 	}
 	for _, j := range late {
-		if !roomLeft(hosts) {
+		if !anyCPULeft(endpoints) {
 			return
 		}
-		c.placeJob(now, j, hosts)
+		c.placeJob(now, j, endpoints)
 	}
 }
 
@@ -119,46 +119,46 @@
 	return false
 }
 
-func (c *Core) openHosts(now time.Duration) []*endpoint {
-	var hosts []*endpoint
+func (c *Core) openEndpoints(now time.Duration) []*endpoint {
+	var endpoints []*endpoint
 	for _, e := range c.endpoints {
 		if c.isOpen(now, e) {
-			hosts = append(hosts, e)
+			endpoints = append(endpoints, e)
 		}
 	}
-	slices.SortFunc(hosts, func(a, b *endpoint) int {
+	slices.SortFunc(endpoints, func(a, b *endpoint) int {
 		if a.id < b.id {
 			return -1
 		}
 		return 1
 	})
-	return hosts
+	return endpoints
 }
 
-// leastCPU is below the smallest task of any use; a pool with less room left
+// minUsefulCPUMilli is below the smallest task of any use; a pool with less room left
 // on each endpoint is full.
-const leastCPU = 50
+const minUsefulCPUMilli = 50
 
-func roomLeft(hosts []*endpoint) bool {
-	for _, e := range hosts {
-		if e.free().CPUMilli >= leastCPU {
+func anyCPULeft(endpoints []*endpoint) bool {
+	for _, e := range endpoints {
+		if e.free().CPUMilli >= minUsefulCPUMilli {
 			return true
 		}
 	}
 	return false
 }
 
-func (c *Core) placeJob(now time.Duration, j *job, hosts []*endpoint) {
+func (c *Core) placeJob(now time.Duration, j *job, endpoints []*endpoint) {
 	for s := range j.readySteps() {
 		if s.spec.Gang {
-			c.placeGang(now, s, hosts)
+			c.placeGang(now, s, endpoints)
 			continue
 		}
-		c.placeStep(now, s, hosts)
+		c.placeStep(now, s, endpoints)
 	}
 }
 
-func (c *Core) placeStep(now time.Duration, s *stepRun, hosts []*endpoint) {
+func (c *Core) placeStep(now time.Duration, s *stepRun, endpoints []*endpoint) {
 	for _, t := range s.tasks {
 		if !c.mayPlace(s) || !c.admits(now, s, 1) {
 			return
@@ -166,21 +166,21 @@
 		if !c.isDue(now, t) {
 			continue
 		}
-		e := c.choose(now, t, hosts)
+		e := c.choose(now, t, endpoints)
 		if e == nil {
 			return
 		}
-		c.place(now, t, e, t.run+1)
+		c.placeTask(now, t, e, t.run+1)
 	}
 }
 
 // mayPlace reports whether a task of the step may be placed in this round. Lasting
 // tasks are few and always may.
-func (c *Core) mayPlace(s *stepRun) bool { return c.placeable > 0 || s.spec.LongRunning }
+func (c *Core) mayPlace(s *stepRun) bool { return c.placementsLeft > 0 || s.spec.LongRunning }
 
 // placeGang places all tasks of a gang or none: a part of it would hold room
 // and work on nothing. All members run under one number.
-func (c *Core) placeGang(now time.Duration, s *stepRun, hosts []*endpoint) {
+func (c *Core) placeGang(now time.Duration, s *stepRun, endpoints []*endpoint) {
 	if !c.mayPlace(s) || !c.admits(now, s, len(s.tasks)) {
 		return
 	}
@@ -191,21 +191,21 @@
 		}
 		run = max(run, t.run)
 	}
-	for _, candidates := range c.gangRacks(s, hosts) {
-		if c.placeAll(now, s, candidates, run+1) {
+	for _, candidates := range c.gangCandidates(s, endpoints) {
+		if c.tryPlaceGang(now, s, candidates, run+1) {
 			return
 		}
 	}
 }
 
-// gangRacks returns the sets of endpoints to try, the best first.
-func (c *Core) gangRacks(s *stepRun, hosts []*endpoint) [][]*endpoint {
+// gangCandidates returns the sets of endpoints to try, the best first.
+func (c *Core) gangCandidates(s *stepRun, endpoints []*endpoint) [][]*endpoint {
 	if !s.spec.SameRack {
-		return [][]*endpoint{hosts}
+		return [][]*endpoint{endpoints}
 	}
 	byRack := map[string][]*endpoint{}
 	var racks []string
-	for _, e := range hosts {
+	for _, e := range endpoints {
 		if byRack[e.rack] == nil {
 			racks = append(racks, e.rack)
 		}
@@ -216,10 +216,10 @@
 	for _, r := range racks {
 		sets = append(sets, byRack[r])
 	}
-	return append(sets, hosts)
+	return append(sets, endpoints)
 }
 
-func (c *Core) placeAll(now time.Duration, s *stepRun, hosts []*endpoint, run int) bool {
+func (c *Core) tryPlaceGang(now time.Duration, s *stepRun, endpoints []*endpoint, run int) bool {
 	var chosen []*endpoint
 	undo := func() {
 		for i, t := range s.tasks[:len(chosen)] {
@@ -229,7 +229,7 @@
 		}
 	}
 	for _, t := range s.tasks {
-		e := c.choose(now, t, hosts)
+		e := c.choose(now, t, endpoints)
 		if e == nil {
 			undo()
 			return false
@@ -239,13 +239,13 @@
 	}
 	undo()
 	for i, t := range s.tasks {
-		c.place(now, t, chosen[i], run)
+		c.placeTask(now, t, chosen[i], run)
 	}
 	return true
 }
 
-// place intends a start. The order leaves once the intent is durable.
-func (c *Core) place(now time.Duration, t *task, e *endpoint, run int) {
+// placeTask intends a start. The order leaves once the intent is durable.
+func (c *Core) placeTask(now time.Duration, t *task, e *endpoint, run int) {
 	c.occupy(t, e)
 	t.run = run
 	t.ticket, _ = t.step.ticketFor(now, e)
@@ -258,7 +258,7 @@
 	delete(c.blocked, t.step.job.rec.Account)
 	c.touch(t.step.job)
 	c.starts = append(c.starts, c.startOrder(t))
-	c.placeable--
+	c.placementsLeft--
 	c.event(Event{Kind: EventPlaced, Job: t.step.job.rec.Job.ID, Task: t.name(), Run: run, Endpoint: e.id})
 }
 
@@ -277,10 +277,10 @@
 }
 
 // choose returns the best endpoint for a task, or nil.
-func (c *Core) choose(now time.Duration, t *task, hosts []*endpoint) *endpoint {
+func (c *Core) choose(now time.Duration, t *task, endpoints []*endpoint) *endpoint {
 	var best *endpoint
 	bestScore := 0.0
-	for _, e := range hosts {
+	for _, e := range endpoints {
 		if !c.fits(now, t, e) {
 			continue
 		}
@@ -315,20 +315,20 @@
 
 // Weights of score, in shares of an endpoint's whole processor room.
 const (
-	// awayFromData is lost where the data is on another rack: the task then
+	// remoteDataPenalty is lost where the data is on another rack: the task then
 	// takes remoteFactor times as long.
-	awayFromData = 2.0
+	remoteDataPenalty = 2.0
 	// avoidFailed keeps a task from an endpoint where it has just failed.
 	avoidFailed = 3.0
 	// besideLasting gathers tasks that last on few endpoints, so that the
 	// others can be moved and maintained without stopping any.
 	besideLasting = 2.0
-	// leavesSoon keeps tasks that last from endpoints that a wave has yet to
+	// drainsSoonPenalty keeps tasks that last from endpoints that a wave has yet to
 	// take: placed there they are stopped and moved a second time, and the
 	// budget for that is what makes waves late.
-	leavesSoon = 3.0
-	// perBadRun makes an endpoint whose runs fail the last choice.
-	perBadRun = 0.5
+	drainsSoonPenalty = 3.0
+	// failurePenalty makes an endpoint whose runs fail the last choice.
+	failurePenalty = 0.5
 )
 
 // score prefers endpoints near the data, then those that work well, then those
@@ -346,13 +346,13 @@
 		score += besideLasting
 	}
 	if s.LongRunning && now < e.dueUntil {
-		score -= leavesSoon
+		score -= drainsSoonPenalty
 	}
 	if s.DataRack != "" && s.DataRack != e.rack {
-		score -= awayFromData
+		score -= remoteDataPenalty
 	}
 	if t.avoid == e.incarnation() {
 		score -= avoidFailed
 	}
-	return score - perBadRun*float64(e.badRuns)
+	return score - failurePenalty*float64(e.consecutiveFailures)
 }
--- a/internal/executor/property_test.go
+++ b/internal/executor/property_test.go
@@ -17,12 +17,12 @@
 // seeds of the random days; each that ever failed stays among them.
 const seeds = 300
 
-// moreSeeds, set in the environment, adds as many seeds after these.
-const moreSeeds = "CYCLAMEN_MORE_SEEDS"
+// extraSeedsEnv, set in the environment, adds as many seeds after these.
+const extraSeedsEnv = "CYCLAMEN_MORE_SEEDS"
 
 // additionalSeeds is what the environment asks for, 0 where it does not.
 func additionalSeeds() int {
-	more, err := strconv.Atoi(os.Getenv(moreSeeds))
+	more, err := strconv.Atoi(os.Getenv(extraSeedsEnv))
 	if err != nil {
 		return 0
 	}
@@ -63,7 +63,7 @@
 	limited bool
 }
 
-const unseenMost = 1500 * time.Millisecond
+const maxStaleEntry = 1500 * time.Millisecond
 
 // randomDay plays a day.
 func randomDay(g Gomega, seed uint64, v variant) {
@@ -90,7 +90,7 @@
 	var handedIn []jobs.Job
 	for round := range 40 {
 		if v.resizing {
-			w.resizeSome(rng)
+			w.resizeRandomly(rng)
 		}
 		if rng.IntN(2) == 0 {
 			j := jobOf(round+1, small(1+rng.IntN(5)), small(1+rng.IntN(3), 0))
@@ -98,12 +98,12 @@
 			handedIn = append(handedIn, j)
 		}
 		w.run(time.Duration(50+rng.IntN(400)) * time.Millisecond)
-		o = w.trouble(rng, o, round)
+		o = w.injectFault(rng, o, round)
 		if v.restarts && rng.IntN(3) == 0 {
 			w.restartOne(rng, v)
 		}
 	}
-	w.calm()
+	w.clearFaults()
 	o = w.takeOver()
 	w.run(25 * time.Second)
 	if v.crashing || v.limited {
@@ -115,8 +115,8 @@
 	}
 }
 
-// resizeSome changes the room of an endpoint, and whether the store is away.
-func (w *world) resizeSome(rng *rand.Rand) {
+// resizeRandomly changes the room of an endpoint, and whether the store is away.
+func (w *world) resizeRandomly(rng *rand.Rand) {
 	w.resize(w.hosts[fmt.Sprintf("i-%02d", rng.IntN(4))], 1000*(1+rng.IntN(4)))
 	if rng.IntN(8) == 0 {
 		w.storeAway = !w.storeAway
@@ -138,14 +138,14 @@
 func (w *world) restartOne(rng *rand.Rand, v variant) {
 	h := w.hosts[fmt.Sprintf("i-%02d", rng.IntN(4))]
 	if v.unseen {
-		w.restartUnseen(h, time.Duration(rng.Int64N(int64(unseenMost))))
+		w.restartUnseen(h, time.Duration(rng.Int64N(int64(maxStaleEntry))))
 		return
 	}
 	w.restart(h)
 }
 
-// trouble lets one thing go wrong, and returns the owner that callers reach.
-func (w *world) trouble(rng *rand.Rand, o *owner, round int) *owner {
+// injectFault lets one thing go wrong, and returns the owner that callers reach.
+func (w *world) injectFault(rng *rand.Rand, o *owner, round int) *owner {
 	host := w.hosts[fmt.Sprintf("i-%02d", rng.IntN(4))]
 	switch rng.IntN(14) {
 	case 0:
@@ -182,7 +182,7 @@
 	return o
 }
 
-func (w *world) calm() {
+func (w *world) clearFaults() {
 	w.storeAway = false
 	w.loseOrders, w.loseAnswers = 0, 0
 	for _, h := range w.hosts {
--- a/internal/executor/submit.go
+++ b/internal/executor/submit.go
@@ -47,20 +47,20 @@
 // Shows reports whether a job is the caller's to know of. One that was handed in without
 // an account is anybody's; so are, for those who ask without one, the jobs of a queue
 // that asks for no key any more.
-func (c *Core) Shows(id string, by Caller) bool {
+func (c *Core) Shows(id string, caller Caller) bool {
 	j := c.jobs[id]
 	if j == nil {
 		return true // and unknown
 	}
-	return j.rec.Account == "" || j.rec.Account == by.Account || by.Account == "" && j.rec.Queue == by.Queue
+	return j.rec.Account == "" || j.rec.Account == caller.Account || caller.Account == "" && j.rec.Queue == caller.Queue
 }
 
 // Submit takes a job. For VerdictAccepted the reply with the token follows
 // once the job is durable; the other verdicts hold at once. A job that is
 // accepted but not yet durable answers its repetition with the same reply.
-func (c *Core) Submit(now time.Duration, in jobs.Job, under Accepting, token uint64) (Verdict, Refusal) {
+func (c *Core) Submit(now time.Duration, in jobs.Job, accepting Accepting, token uint64) (Verdict, Refusal) {
 	if j := c.jobs[in.ID]; j != nil {
-		if !c.Shows(in.ID, Caller{Queue: under.Queue, Account: under.Account}) {
+		if !c.Shows(in.ID, Caller{Queue: accepting.Queue, Account: accepting.Account}) {
 			return VerdictRefused, Refusal{Reason: RefusedTaken}
 		}
 		if j.accepted {
@@ -70,24 +70,24 @@
 		c.replies = append(c.replies, Reply{token})
 		return VerdictAccepted, Refusal{}
 	}
-	j := &job{since: now, rec: jobRecord{Job: in, Queue: under.Queue, Terms: under.Terms, Account: under.Account, AcceptedMs: c.wallMs}}
-	refusal, refused := c.refuse(now, j)
-	first := c.countOffer(now, j, refused)
+	j := &job{since: now, rec: jobRecord{Job: in, Queue: accepting.Queue, Terms: accepting.Terms, Account: accepting.Account, AcceptedMs: c.wallMs}}
+	refusal, refused := c.checkAdmission(now, j)
+	firstOffered := c.recordOffer(now, j, refused)
 	if refused {
-		c.event(Event{Kind: EventRefused, Job: in.ID, Reason: refusal.Reason, Account: under.Account})
-		if under.Account != "" {
-			c.refusedOf[under.Account]++
+		c.event(Event{Kind: EventRefused, Job: in.ID, Reason: refusal.Reason, Account: accepting.Account})
+		if accepting.Account != "" {
+			c.refusedOf[accepting.Account]++
 		}
 		return VerdictRefused, refusal
 	}
-	j.offered = first
-	j.rec.OfferedMs = c.wallMs - (now - first).Milliseconds()
+	j.offered = firstOffered
+	j.rec.OfferedMs = c.wallMs - (now - firstOffered).Milliseconds()
 	c.jobs[in.ID] = j
 	c.open = append(c.open, j)
 	j.queued = true
 	c.touch(j)
 	c.replies = append(c.replies, Reply{token})
-	c.event(Event{Kind: EventAccepted, Job: in.ID, Reason: under.Queue})
+	c.event(Event{Kind: EventAccepted, Job: in.ID, Reason: accepting.Queue})
 	if in.Occurrences == 0 {
 		c.begin(j)
 	}
@@ -160,12 +160,12 @@
 			}
 		}
 	}
-	c.settle(j)
+	c.retireIfStopped(j)
 }
 
-// settle moves an ended job with nothing left running to those that are only
+// retireIfStopped moves an ended job with nothing left running to those that are only
 // remembered.
-func (c *Core) settle(j *job) {
+func (c *Core) retireIfStopped(j *job) {
 	if !j.rec.State.Ended() || j.placed > 0 || !j.queued {
 		return
 	}
@@ -176,8 +176,8 @@
 	c.touch(j)
 }
 
-// forgetEnded drops jobs whose state need not be known any longer.
-func (c *Core) forgetEnded() {
+// evictEnded drops jobs whose state need not be known any longer.
+func (c *Core) evictEnded() {
 	for len(c.ended) > 0 {
 		j := c.ended[0]
 		if c.wallMs-j.rec.EndedMs < c.limits.KeepEnded.Milliseconds() {
@@ -214,8 +214,8 @@
 	return slices.Compact(out)
 }
 
-// beginDue expands the occurrences whose time has come.
-func (c *Core) beginDue() {
+// expandDueOccurrences expands the occurrences whose time has come.
+func (c *Core) expandDueOccurrences() {
 	for _, j := range c.open {
 		if j.rec.State.Ended() {
 			continue
@@ -226,7 +226,7 @@
 	}
 }
 
-func (j *job) occurrences() int { return max(1, j.rec.Job.Occurrences) }
+func (j *job) occurrenceCount() int { return max(1, j.rec.Job.Occurrences) }
 
 // closeOccurrence marks an occurrence as ended, which leaves it without steps,
 // and forgets the lowest ones.
@@ -248,25 +248,25 @@
 // objective behind the work already accepted is refused at once, with the time
 // after which the backlog has drained.
 const (
-	// retryFloor is the shortest advice to come back: HTTP counts in seconds.
-	retryFloor = time.Second
-	// retryCeiling is below the deadline of an ordinary caller, so that the
+	// minRetryAfter is the shortest advice to come back: HTTP counts in seconds.
+	minRetryAfter = time.Second
+	// maxRetryAfter is below the deadline of an ordinary caller, so that the
 	// advice can still be followed.
-	retryCeiling = 3 * time.Second
-	// rememberRefused bounds how long a refused job's return is recognised.
-	rememberRefused = 15 * time.Second
-	// maxRefused bounds the memory that takes.
-	maxRefused = 20000
+	maxRetryAfter = 3 * time.Second
+	// refusalMemory bounds how long a refused job's return is recognised.
+	refusalMemory = 15 * time.Second
+	// maxRememberedRefusals bounds the memory that takes.
+	maxRememberedRefusals = 20000
 )
 
-func (c *Core) refuse(now time.Duration, j *job) (Refusal, bool) {
+func (c *Core) checkAdmission(now time.Duration, j *job) (Refusal, bool) {
 	if !c.canEverRun(j) {
 		return Refusal{Reason: RefusedAccount}, true
 	}
 	if lasting(&j.rec.Job) || j.rec.Job.Occurrences > 0 {
 		return Refusal{}, false
 	}
-	pool := float64(c.serving())
+	pool := float64(c.shortTaskCPU())
 	if pool <= 0 {
 		return Refusal{}, false
 	}
@@ -276,46 +276,46 @@
 	backlog := c.withinShares(ahead.byAccount, slack)
 	wait := max(c.waitMs(now, backlog, pool), float64(c.pace.startsWait(ahead.tasks+len(c.leaving)).Milliseconds()))
 	reason := RefusedBacklog
-	if own := c.accountWaitMs(now, j.rec.Account, ahead.byAccount[j.rec.Account]); own > wait {
-		wait, reason = own, RefusedAccountBacklog
+	if accountWait := c.accountWaitMs(now, j.rec.Account, ahead.byAccount[j.rec.Account]); accountWait > wait {
+		wait, reason = accountWait, RefusedAccountBacklog
 	}
 	if wait <= slack {
 		return Refusal{}, false
 	}
 	retry := time.Duration(wait-slack) * time.Millisecond
-	return Refusal{Reason: reason, RetryAfter: min(max(retry, retryFloor), retryCeiling)}, true
+	return Refusal{Reason: reason, RetryAfter: min(max(retry, minRetryAfter), maxRetryAfter)}, true
 }
 
-// countOffer adds a job's work to what was offered, once however often the job
+// recordOffer adds a job's work to what was offered, once however often the job
 // comes back after a refusal, and returns when it was first offered: callers
 // count its time from then.
-func (c *Core) countOffer(now time.Duration, j *job, refused bool) time.Duration {
+func (c *Core) recordOffer(now time.Duration, j *job, refused bool) time.Duration {
 	id := j.rec.Job.ID
-	first, again := c.refusedAt[id]
-	again = again && now-first < rememberRefused
-	if !again {
-		first = now
+	firstOffered, resubmitted := c.refusedSince[id]
+	resubmitted = resubmitted && now-firstOffered < refusalMemory
+	if !resubmitted {
+		firstOffered = now
 	}
-	if refused && len(c.refusedAt) < maxRefused {
-		c.refusedAt[id] = first
+	if refused && len(c.refusedSince) < maxRememberedRefusals {
+		c.refusedSince[id] = firstOffered
 	} else {
-		delete(c.refusedAt, id)
+		delete(c.refusedSince, id)
 	}
-	if again || lasting(&j.rec.Job) {
-		return first
+	if resubmitted || lasting(&j.rec.Job) {
+		return firstOffered
 	}
 	for i := range j.rec.Job.Steps {
 		st := &j.rec.Job.Steps[i]
 		c.offered += float64(st.Count) * float64(st.CPUMilli) / 1000 * c.expectMs(j.rec.Queue, st)
 	}
-	return first
+	return firstOffered
 }
 
-// forgetRefused drops refused jobs that have not come back.
-func (c *Core) forgetRefused(now time.Duration) {
-	for id, at := range c.refusedAt {
-		if now-at > rememberRefused {
-			delete(c.refusedAt, id)
+// evictRefused drops refused jobs that have not come back.
+func (c *Core) evictRefused(now time.Duration) {
+	for id, at := range c.refusedSince {
+		if now-at > refusalMemory {
+			delete(c.refusedSince, id)
 		}
 	}
 }
@@ -329,9 +329,9 @@
 	return false
 }
 
-// serving is the pool's processor room in milli-cores, less what lasting tasks
+// shortTaskCPU is the pool's processor room in milli-cores, less what lasting tasks
 // hold.
-func (c *Core) serving() int {
+func (c *Core) shortTaskCPU() int {
 	total := 0
 	for _, e := range c.endpoints {
 		if e.usable() {
@@ -351,8 +351,8 @@
 	return cpu
 }
 
-// queued is accepted work that stands before a new job.
-type queued struct {
+// queuedWork is accepted work that stands before a new job.
+type queuedWork struct {
 	// byAccount is its sum in milli-core-milliseconds, by client account.
 	byAccount map[string]float64
 	// tasks of it wait.
@@ -361,14 +361,14 @@
 
 // backlog is the accepted work that has not begun, of this priority or before it. Jobs that
 // are late anyway don't stand before a new one.
-func (c *Core) backlog(now time.Duration, priority int) queued {
-	q := queued{byAccount: map[string]float64{}}
+func (c *Core) backlog(now time.Duration, priority int) queuedWork {
+	q := queuedWork{byAccount: map[string]float64{}}
 	for _, j := range c.open {
 		if j.rec.State.Ended() || j.rec.Terms.Priority > priority || lasting(&j.rec.Job) || c.hopeless(now, j) {
 			continue
 		}
 		w := c.remaining(j)
-		q.byAccount[j.rec.Account] += w.ready + w.running + laterShare*w.later
+		q.byAccount[j.rec.Account] += w.ready + w.running + laterStepsShare*w.later
 		q.tasks += w.tasks
 	}
 	return q
@@ -387,23 +387,23 @@
 	var w work
 	for _, o := range j.current {
 		for _, s := range o.steps {
-			each := float64(s.spec.CPUMilli) * c.taskMs(s)
-			waiting := float64(s.waiting) * each
+			perTask := float64(s.spec.CPUMilli) * c.taskMs(s)
+			waiting := float64(s.waiting) * perTask
 			if s.waitsFor > 0 {
 				w.later += waiting
 			} else {
 				w.ready += waiting
 				w.tasks += s.waiting
 			}
-			w.running += float64(s.left-s.waiting) * each / 2
+			w.running += float64(s.left-s.waiting) * perTask / 2
 		}
 	}
 	return w
 }
 
-// laterShare is how much of the work of later steps counts as being ahead of a
+// laterStepsShare is how much of the work of later steps counts as being ahead of a
 // new job: most of it runs beside the new job's own steps and not before them.
-const laterShare = 0.35
+const laterStepsShare = 0.35
 
 // sortOpen orders jobs by priority, then those that can still be in time, then
 // by objective.
--- a/internal/executor/vacate.go
+++ b/internal/executor/vacate.go
@@ -32,7 +32,7 @@
 	// the moment it does.
 	e := c.endpoint(id)
 	c.vacate(now, e)
-	c.stopLasting(now, e)
+	c.stopLongRunning(now, e)
 	if hurry {
 		for t := range e.tasks {
 			if !t.step.spec.LongRunning {
@@ -53,17 +53,17 @@
 	}
 }
 
-// unknownStops covers a stop that a predecessor sent just before it was fenced.
-const unknownStops = time.Second
+// predecessorStopWindow covers a stop that a predecessor sent just before it was fenced.
+const predecessorStopWindow = time.Second
 
-// stopLasting stops tasks that last, as many at a time as their steps may
+// stopLongRunning stops tasks that last, as many at a time as their steps may
 // miss. A step without a budget is stopped at once.
 //
 // A predecessor may have ordered stops that this owner does not know of, and
 // endpoints list a run as working until its stop is through. Until those stops
 // must have ended, one more could be one too many.
-func (c *Core) stopLasting(now time.Duration, e *endpoint) {
-	if c.epoch > 1 && now < c.claimedAt+c.limits.StopTimeout+unknownStops {
+func (c *Core) stopLongRunning(now time.Duration, e *endpoint) {
+	if c.epoch > 1 && now < c.claimedAt+c.limits.StopTimeout+predecessorStopWindow {
 		return
 	}
 	for t := range e.tasks {
@@ -71,17 +71,17 @@
 		if !s.spec.LongRunning || t.stopping {
 			continue
 		}
-		if s.spec.MayMiss > 0 && c.away(s, t) >= s.spec.MayMiss {
+		if s.spec.MayMiss > 0 && c.countUnavailable(s, t) >= s.spec.MayMiss {
 			continue
 		}
 		c.stopFor(t, "instance leaves")
 	}
 }
 
-// leaveDraining moves what lasts off an endpoint that is about to leave: it
+// stopLongRunningOnDrain moves what lasts off an endpoint that is about to leave: it
 // would end there without a checkpoint. An endpoint that leaves by itself takes
 // nothing from the steps' budgets.
-func (c *Core) leaveDraining(e *endpoint) {
+func (c *Core) stopLongRunningOnDrain(e *endpoint) {
 	for t := range e.tasks {
 		if t.step.spec.LongRunning {
 			c.stopFor(t, "endpoint drains")
@@ -97,11 +97,11 @@
 	c.event(Event{Kind: EventStop, Job: t.step.job.rec.Job.ID, Task: t.name(), Run: t.run, Endpoint: t.host.id, Reason: reason})
 }
 
-// away counts the tasks of a step, besides one, that are not surely at work.
-func (c *Core) away(s *stepRun, besides *task) int {
+// countUnavailable counts the tasks of a step, besides one, that are not surely at work.
+func (c *Core) countUnavailable(s *stepRun, except *task) int {
 	n := 0
 	for _, t := range s.tasks {
-		if t != besides && (t.phase != taskPlaced || t.stopping || t.percent < atWork || t.host.failedLook > 0) {
+		if t != except && (t.phase != taskPlaced || t.stopping || t.percent < atWork || t.host.failedLook > 0) {
 			n++
 		}
 	}
--- a/internal/executor/world_test.go
+++ b/internal/executor/world_test.go
@@ -27,7 +27,7 @@
 	// lost are carried out later.
 	loseOrders, loseAnswers, lateOrders float64
 	// trace is what happened to tasks, told of those that break something.
-	trace []traced
+	trace []traceEvent
 	// broken lists what an observer of the endpoints saw go wrong.
 	broken []string
 	// runs is what has run of each task, by name.
@@ -77,8 +77,8 @@
 	result executor.LookResult
 }
 
-// traced is something that happened to a task.
-type traced struct {
+// traceEvent is something that happened to a task.
+type traceEvent struct {
 	at         time.Duration
 	what, task string
 	host       string
@@ -88,7 +88,7 @@
 }
 
 func (w *world) note(what, task, host string, run int, epoch int64, result executor.OrderResult) {
-	w.trace = append(w.trace, traced{w.now, what, task, host, run, epoch, result})
+	w.trace = append(w.trace, traceEvent{w.now, what, task, host, run, epoch, result})
 }
 
 // story is all that happened to a task.
@@ -110,27 +110,27 @@
 	cut bool
 	// busy owners take answers in and get to nothing else.
 	busy bool
-	// proof is when the journal last took something.
-	proof time.Duration
+	// lastProof is when the journal last took something.
+	lastProof time.Duration
 	// batches are on their way to a journal that is slow, the oldest first.
-	batches []*batchOnItsWay
+	batches []*batchInFlight
 	flushed time.Duration
 }
 
-// batchOnItsWay is stored at one moment and answered at a later one.
-type batchOnItsWay struct {
+// batchInFlight is stored at one moment and answered at a later one.
+type batchInFlight struct {
 	ready                    executor.Ready
 	sent, storedAt, answered time.Duration
 	stored                   bool
 }
 
 const (
-	// mostOnTheirWay and nextBatchAfter are those of the caller of a Core.
-	mostOnTheirWay = 4
-	nextBatchAfter = 50 * time.Millisecond
-	// slowestLeg is how long a batch takes at most to be stored, and its answer to
+	// maxBatchesInFlight and nextBatchAfter are those of the caller of a Core.
+	maxBatchesInFlight = 4
+	batchInterval = 50 * time.Millisecond
+	// maxJournalDelay is how long a batch takes at most to be stored, and its answer to
 	// come.
-	slowestLeg = 200 * time.Millisecond
+	maxJournalDelay = 200 * time.Millisecond
 )
 
 // chance is a number from 0 to 1 for something that happens now. It depends on
@@ -139,11 +139,11 @@
 func (w *world) chance(what ...any) float64 {
 	h := fnv.New64a()
 	fmt.Fprint(h, w.seed, w.now, what)
-	return float64(mixed(h.Sum64())>>11) / (1 << 53)
+	return float64(mixBits(h.Sum64())>>11) / (1 << 53)
 }
 
-// mixed spreads the bits of a hash whose inputs are alike.
-func mixed(x uint64) uint64 {
+// mixBits spreads the bits of a hash whose inputs are alike.
+func mixBits(x uint64) uint64 {
 	x ^= x >> 33
 	x *= 0xff51afd7ed558ccd
 	x ^= x >> 33
@@ -152,8 +152,8 @@
 
 const step = 10 * time.Millisecond
 
-// entryLapses is how long service discovery shows an endpoint that has fallen silent.
-const entryLapses = 4500 * time.Millisecond
+// entryTTL is how long service discovery shows an endpoint that has fallen silent.
+const entryTTL = 4500 * time.Millisecond
 
 func testLimits() executor.Limits {
 	return executor.Limits{Lease: 3 * time.Second, ProofAge: 4 * time.Second, KeepEnded: time.Minute, StopTimeout: 200 * time.Millisecond, LongestLease: longestLease,
@@ -173,7 +173,7 @@
 func (w *world) takeOver() *owner {
 	w.journal.epoch++
 	w.note("takeover", "", "", 0, w.journal.epoch, 0)
-	o := &owner{epoch: w.journal.epoch, proof: w.now}
+	o := &owner{epoch: w.journal.epoch, lastProof: w.now}
 	o.core = executor.New("pool", o.epoch, w.limits, w.now)
 	o.core.SetWall(w.wall())
 	var records []executor.Record
@@ -202,13 +202,13 @@
 
 func (w *world) wall() int64 { return 1_000_000 + w.now.Milliseconds() }
 
-func (w *world) listing() []executor.EndpointInfo {
+func (w *world) discoveryList() []executor.EndpointInfo {
 	var out []executor.EndpointInfo
 	for _, h := range w.hosts {
 		switch {
 		case h.entry != nil && w.now < h.entryUntil:
 			out = append(out, *h.entry)
-		case h.down && w.now-h.downAt > entryLapses:
+		case h.down && w.now-h.downAt > entryTTL:
 		case h.dead:
 		case w.beat > 0:
 			if h.said.ID != "" {
@@ -228,7 +228,7 @@
 		w.now += step
 		w.endpoints()
 		w.heartbeats()
-		w.deliver()
+		w.deliverListings()
 		for _, o := range w.owners {
 			if !o.stopped && !o.busy {
 				w.round(o)
@@ -240,7 +240,7 @@
 func (w *world) round(o *owner) {
 	c := o.core
 	c.SetWall(w.wall())
-	c.ObserveEndpoints(w.now, w.listing())
+	c.ObserveEndpoints(w.now, w.discoveryList())
 	c.Tick(w.now)
 	c.Decide(w.now)
 	for _, e := range c.TakeEvents() {
@@ -252,7 +252,7 @@
 		o.stopped = true
 		return
 	}
-	if w.now-o.proof < w.limits.ProofAge {
+	if w.now-o.lastProof < w.limits.ProofAge {
 		for _, l := range c.DueLooks(w.now) {
 			w.look(o, l)
 		}
@@ -274,10 +274,10 @@
 		return
 	}
 	if w.slowJournal {
-		w.flushSideBySide(o)
+		w.flushPipelined(o)
 		return
 	}
-	o.proof = w.now
+	o.lastProof = w.now
 	ready := o.core.Ready(w.now)
 	w.store(ready)
 	w.release(o, ready)
@@ -308,10 +308,10 @@
 	}
 }
 
-// flushSideBySide goes on with the batches on their way and sends another. They are
+// flushPipelined goes on with the batches on their way and sends another. They are
 // stored in order, each is answered some time later, and what it allows waits for
 // the answers to all before it.
-func (w *world) flushSideBySide(o *owner) {
+func (w *world) flushPipelined(o *owner) {
 	for _, b := range o.batches {
 		if !b.stored && w.now >= b.storedAt {
 			b.stored = true
@@ -321,10 +321,10 @@
 	for len(o.batches) > 0 && o.batches[0].stored && w.now >= o.batches[0].answered {
 		b := o.batches[0]
 		o.batches = o.batches[1:]
-		o.proof = max(o.proof, b.sent)
+		o.lastProof = max(o.lastProof, b.sent)
 		w.release(o, b.ready)
 	}
-	if len(o.batches) == mostOnTheirWay || len(o.batches) > 0 && w.now-o.flushed < nextBatchAfter {
+	if len(o.batches) == maxBatchesInFlight || len(o.batches) > 0 && w.now-o.flushed < batchInterval {
 		return
 	}
 	if !o.core.Dirty() && len(o.batches) > 0 {
@@ -332,14 +332,14 @@
 	}
 	ready := o.core.Ready(w.now)
 	if ready.Empty() {
-		o.proof = w.now
+		o.lastProof = w.now
 		return
 	}
-	b := &batchOnItsWay{ready: ready, sent: w.now, storedAt: w.now + time.Duration(w.chance("store", o.epoch, w.now)*float64(slowestLeg))}
+	b := &batchInFlight{ready: ready, sent: w.now, storedAt: w.now + time.Duration(w.chance("store", o.epoch, w.now)*float64(maxJournalDelay))}
 	if n := len(o.batches); n > 0 {
 		b.storedAt = max(b.storedAt, o.batches[n-1].storedAt)
 	}
-	b.answered = b.storedAt + time.Duration(w.chance("answer", o.epoch, w.now)*float64(slowestLeg))
+	b.answered = b.storedAt + time.Duration(w.chance("answer", o.epoch, w.now)*float64(maxJournalDelay))
 	o.batches, o.flushed = append(o.batches, b), w.now
 }
 
@@ -404,9 +404,9 @@
 	w.answers = append(w.answers, lateAnswer{w.now + delay, o, l, listed, executor.LookAnswered})
 }
 
-// deliver hands listings to their owners, which may have heard newer things
+// deliverListings hands listings to their owners, which may have heard newer things
 // meanwhile.
-func (w *world) deliver() {
+func (w *world) deliverListings() {
 	waiting := w.answers
 	w.answers = nil
 	for _, a := range waiting {
