--- a/internal/executor/core.go
+++ b/internal/executor/core.go
@@ -1,19 +1,20 @@
-// Package executor runs one pool's jobs. Core is a pure state machine: the
-// caller passes in the time and what endpoints and callers said, makes the
-// records durable that Ready returns, and only then sends the orders and
-// answers that wait for them.
+// Package executor decides which endpoint runs each task of one pool's jobs, and when tasks are
+// started, stopped and retried. Its input is the current time, submitted jobs, service discovery
+// and what endpoints answer; Core is a pure state machine and does no I/O. The owner of the pool
+// calls it: it appends the records that Ready returns and sends the orders and replies that
+// become due.
 //
 // Contract with the caller:
-//   - Records of one Ready are appended in order, all or none, under the epoch
-//     that the Core was built with, and after those of every earlier Ready.
-//   - Replies of a Ready leave only after that append, and Advance is called for
-//     each Ready in order. Starts leave as NextStart hands them out, as many at a
-//     time as the owner carries. Stops (TakeStops) need no record and may leave at
-//     once.
-//   - Nothing is sent any more once Fenced reports true or the caller's own
-//     proof of the epoch has grown older than Limits.ProofAge.
+//   - The records of one Ready are appended in order, all or none, under the epoch that the Core
+//     was built with, and after those of every earlier Ready.
+//   - The replies of a Ready are sent only after that append, and Advance is called for each
+//     Ready in order. Starts are sent as NextStart returns them, which bounds how many are in
+//     flight. Stops (TakeStops) need no record and may be sent at once.
+//   - Nothing is sent once Fenced reports true or the caller's proof that its epoch is the newest
+//     is older than Limits.ProofAge.
 //
-// Times are a clock that counts suspension; wall-clock times are ms since 1970.
+// Times are readings of a monotonic clock that also counts time in suspension; wall-clock times
+// are ms since 1970.
 package executor
 
 import (
@@ -24,33 +25,33 @@
 	"cyclamenwheel/internal/routing"
 )
 
-// Limits are the bounds that the deployment's settings give.
+// Limits are the bounds from the deployment's settings.
 type Limits struct {
-	// Lease is how far ahead leases are renewed. All owners of a deployment
-	// must use the same, as a successor waits out its predecessor's.
+	// Lease is the duration for which leases are renewed. All owners of a deployment must use
+	// the same value, because a new owner waits until its predecessor's leases have expired.
 	Lease time.Duration
-	// ProofAge is how long an owner may go on renewing without having heard
-	// from the store that its epoch is still the newest.
+	// ProofAge is how long an owner may renew leases without confirmation from the store that
+	// its epoch is still the newest.
 	ProofAge time.Duration
-	// KeepEnded is how long the state of an ended job can be asked for.
+	// KeepEnded is how long the state of an ended job can be queried.
 	KeepEnded time.Duration
-	// StopTimeout is the longest that a stop takes on an endpoint.
+	// StopTimeout is the longest time that an endpoint takes to stop a run.
 	StopTimeout time.Duration
-	// LongestLease is what endpoints shorten longer leases to.
+	// LongestLease is the longest lease that endpoints grant; they shorten longer ones to it.
 	LongestLease time.Duration
-	// RoomHolds is how long starts may go by a room that has shrunk since: an endpoint tells
-	// its room at intervals. 0 for no bound.
+	// RoomHolds is how long starts may rely on a reported capacity after it has shrunk;
+	// endpoints report their capacity at intervals. 0 means no bound.
 	RoomHolds time.Duration
 }
 
 const (
-	// clockDrift is how slow an endpoint's clock may be.
+	// clockDrift is the largest fraction by which an endpoint's clock may run slow.
 	clockDrift = 0.02
 	// expiryMargin covers rounding to ms and timers that fire late.
 	expiryMargin = 100 * time.Millisecond
 )
 
-// JobState is what callers are shown.
+// JobState is the state of a job as shown to callers.
 type JobState uint8
 
 // States of jobs.
@@ -77,66 +78,68 @@
 
 	jobs      map[string]*job
 	endpoints map[string]*endpoint
-	// terms are the next ones of endpoints that were forgotten.
+	// terms are the next term numbers of endpoints that were removed, by id.
 	terms map[string]int
-	// gone are incarnations that are known to have ended.
+	// gone are incarnations that are confirmed to have ended.
 	gone map[Incarnation]bool
-	// open are jobs with tasks that may still be started, by objective unless
-	// unsorted.
+	// open are the jobs with tasks that may still be started, sorted by priority and objective
+	// unless unsorted is set.
 	open     []*job
 	unsorted bool
-	// ended are jobs that wait for the end of KeepEnded, oldest first.
+	// ended are ended jobs kept for KeepEnded, oldest first.
 	ended []*job
 
-	// allowance is what client accounts may start here.
+	// allowance limits what client accounts may have running in this pool.
 	allowance *quota.Allowance
-	// sharesTold is when the holder of accounts' shares last spoke.
+	// sharesTold is when the accounts' shares were last received.
 	sharesTold time.Duration
-	// blocked is since when accounts have been at their shares.
+	// blocked maps each account that is at its share to the time since when it has been.
 	blocked map[string]time.Duration
 
 	learned map[string]*lengths
-	// learntSavedMs is when it was last written, by the time of day; learntChanged:
-	// runs have ended since.
+	// learntSavedMs is the wall-clock time at which learned was last written; learntChanged is
+	// set when runs have ended since.
 	learntSavedMs int64
 	learntChanged bool
 
-	// offered is all work offered, in core-ms; refusedAt keeps a job that comes
-	// again from counting again.
-	offered   float64
+	// offered is the total work offered, in core-ms. refusedSince is when each refused job was
+	// first offered, so that a resubmitted job is not counted again.
+	offered      float64
 	refusedSince map[string]time.Duration
 	// refusedOf counts refused jobs by client account.
 	refusedOf map[string]int
-	// loans is processor room that comes to the pool, the soonest first; the word
-	// on them holds until loansUntil.
+	// loans are announced additions to the pool's CPU capacity, soonest first; the announcement
+	// is valid until loansUntil.
 	loans      []loan
 	loansUntil time.Duration
 
-	// wary are open tasks that are not placed anywhere (trial.go). watchful: idle endpoints are
-	// asked whether they live, as one of these tasks is to start now or may be soon.
+	// wary are open tasks with an expired lease or crash evidence, which are placed only on
+	// endpoints that reported recently (trial.go). watchful is set while one of them is to start
+	// now or may be soon; idle endpoints are then polled too.
 	wary     []*task
 	watchful bool
-	// unheard are, by task, the endpoints that are silent since its lease ran out there.
+	// unheard records, by task, the endpoints that have not reported since the task's lease
+	// expired there.
 	unheard map[string]unheardLosses
 
-	// unsavedGivenUp are endpoints whose runs that were given up have changed; savedGivenUp
-	// are those with a record of them.
+	// unsavedGivenUp are endpoints whose abandoned runs have changed since they were written;
+	// savedGivenUp are those that have a record of them.
 	unsavedGivenUp, savedGivenUp map[string]bool
 
 	dirty   map[*job]bool
 	order   []*job
 	removed []string
-	// starts are decided and not yet in a Ready; leaving are durable and wait for
-	// their turn to leave, and undurable counts those in between.
+	// starts are decided and not yet part of a Ready. leaving are durable and wait to be sent.
+	// undurable counts those that are part of a Ready which has not been appended yet.
 	starts    []Order
 	leaving   []Order
 	undurable int
 	pace      pace
-	// pacedAt is when the log last said that fewer starts may be under way.
+	// pacedAt is when the reduced limit on starts in flight was last logged.
 	pacedAt time.Duration
-	// placementsLeft is how many more starts this round may decide.
+	// placementsLeft is how many more starts may be decided in this round.
 	placementsLeft int
-	// storeTook is how long the journal takes, a moving average.
+	// storeTook is a moving average of the time that an append to the journal takes.
 	storeTook time.Duration
 	replies   []Reply
 	acks      map[Incarnation]int64
@@ -144,18 +147,18 @@
 	events    []Event
 
 	claimedAt time.Duration
-	// handedOver is how many ms the predecessor's leases lasted at the claim at
-	// most, by endpoint, where it gave the pool up in order.
+	// handedOver is, by endpoint, the longest remaining time in ms of the predecessor's leases
+	// at the claim. It is set only if the predecessor handed the pool over.
 	handedOver map[string]int64
-	// explained is when the log last said what tasks wait for.
+	// explained is when the reasons why tasks wait were last logged.
 	explained time.Duration
 	wallMs    int64
 	fenced    bool
-	// adviceOut: a call for advice is under way.
+	// adviceOut is set while a call for advice is in flight.
 	adviceOut bool
 }
 
-// New returns the empty state of a pool under an epoch claimed at now.
+// New returns the empty state of a pool whose epoch was claimed at now.
 func New(pool string, epoch int64, limits Limits, now time.Duration) *Core {
 	return &Core{
 		pool: pool, epoch: epoch, limits: limits, claimedAt: now,
@@ -167,40 +170,41 @@
 	}
 }
 
-// Epoch is the number of the claim that the state was built under.
+// Epoch returns the epoch that the state was built under.
 func (c *Core) Epoch() int64 { return c.epoch }
 
-// Fenced reports whether an endpoint has seen a newer epoch.
+// Fenced reports whether an endpoint has answered that it has seen a newer epoch.
 func (c *Core) Fenced() bool { return c.fenced }
 
-// SetWall passes the time of day, for due times and the age of ended jobs.
+// SetWall sets the wall-clock time, which start times and the age of ended jobs are compared
+// with.
 func (c *Core) SetWall(ms int64) { c.wallMs = ms }
 
-// job is a caller's job and what has become of it.
+// job is a submitted job and its progress.
 type job struct {
 	rec jobRecord
-	// durable is the state whose record has been written; only it is shown.
+	// durable is the state whose record has been appended; callers are shown no other.
 	durable  JobState
 	accepted bool
-	// started: a start was intended; begun: an endpoint was known to have one.
+	// started is set once a start has been decided, begun once an endpoint has confirmed a run.
 	started bool
 	begun   bool
 	// since is when this owner first saw the job.
 	since time.Duration
-	// offered is when it was first handed in, and objective when it is late, on the
-	// clock of since.
+	// offered is when the job was first submitted, and objective the time by which it should
+	// end; both are on the same clock as since.
 	offered, objective time.Duration
 	// firstOpen is the lowest occurrence that has not ended.
 	firstOpen int
-	// next is the lowest occurrence that has not begun.
+	// next is the lowest occurrence that has not been expanded into tasks.
 	next    int
 	current []*occurrence
-	// placed counts tasks that may be running anywhere.
+	// placed counts tasks that may be running on some endpoint.
 	placed int
 	queued bool
 }
 
-// occurrence is one run of all steps.
+// occurrence is one execution of all steps of a job; recurring jobs have several.
 type occurrence struct {
 	number int
 	steps  []*stepRun
@@ -215,17 +219,18 @@
 	spec  *jobs.Step
 	tasks []*task
 	left  int
-	// waitsFor counts the steps that must end before this one begins.
+	// waitsFor counts the earlier steps that must end before this one may start.
 	waitsFor int
 	waiting  int
-	// failures counts for a gang as a whole.
+	// failures counts the failures of a gang as a whole.
 	failures int
-	// gangDone: one member has ended done, which stands for all of them.
+	// gangDone is set when one member has completed, which counts for all members.
 	gangDone bool
-	// ran counts the tasks whose length is known, and ranMs is all of their lengths.
+	// ran counts the tasks whose run time has been measured, and ranMs is the sum of those
+	// times.
 	ran   int
 	ranMs float64
-	// placedAt is when the newest of its tasks was placed.
+	// placedAt is when one of its tasks was last placed.
 	placedAt time.Duration
 	advice   advice
 	perHost  map[*endpoint]int
@@ -235,63 +240,64 @@
 
 const (
 	taskWaiting phase = iota
-	// taskPlaced: a start is intended, ordered or confirmed.
+	// taskPlaced means that a start has been decided, sent or confirmed.
 	taskPlaced
 	taskDone
 )
 
-// task is one unit of work.
+// task is one unit of work, which runs on one endpoint.
 type task struct {
 	step  *stepRun
 	index int
 	phase phase
-	// run is the number of the newest run that may have been ordered.
+	// run is the number of the newest run whose start may have been sent.
 	run        int
 	failures   int
 	host       *endpoint
 	checkpoint string
 	ticket     string
 
-	// ordered is when the newest start order left; zero before.
+	// ordered is when the newest start order was sent, 0 if none was.
 	ordered time.Duration
-	// confirmed is when the endpoint was first known to have the run.
+	// confirmed is when the endpoint first confirmed the run.
 	confirmed time.Duration
-	// answered reports whether the newest start order was answered.
+	// answered is set once the newest start order has been answered.
 	answered bool
-	// resending: the order waits to leave once more.
+	// resending is set while the start order is queued to be sent again.
 	resending bool
-	// proven: the run is known to have been in the endpoint's present incarnation.
+	// proven is set once the run is confirmed to belong to the endpoint's current incarnation.
 	proven bool
-	// restored: the start was intended by an earlier owner, or left for an earlier
-	// incarnation. Its order carries an older fence, so that it can't begin once the
-	// present incarnation has been heard.
+	// restored is set if the start was decided by an earlier owner, or sent to an earlier
+	// incarnation. Its order carries an older fencing token, so that it can't begin once the
+	// current incarnation has accepted a newer token.
 	restored bool
-	// meantFor is when the incarnation started that a restored start was for, in ms since 1970;
-	// 0 where not told.
+	// meantFor is the start time, in ms since 1970, of the incarnation that a restored start was
+	// sent to; 0 if unknown.
 	meantFor int64
-	// resumed: the run began from a checkpoint.
+	// resumed is set if the run started from a checkpoint.
 	resumed bool
 	percent int
 	// movedAt is when percent last changed.
 	movedAt time.Duration
-	// listedAt is when it was last listed, on the endpoint's clock.
+	// listedAt is when the run was last listed, on the endpoint's clock.
 	listedAt time.Duration
-	// rescues counts the runs that were stopped as their endpoint was slow.
+	// rescues counts the runs that were stopped because their endpoint was slow.
 	rescues int
-	// evidence is what speaks for the task crashing its endpoints. doubted is what the end of
-	// an incarnation says of its run, should that turn out to have ended with it.
+	// evidence counts the crashes that suggest that the task crashes its endpoints. doubted is
+	// the crash to attribute to the current run if the run turns out to have ended together with
+	// an incarnation.
 	evidence evidence
 	doubted  *crash
-	// onTrial: it is suspected, and its run has just begun. waitsSince is since when it has
-	// waited for an endpoint to try it on.
+	// onTrial is set while a run of a suspect task is too young to be cleared. waitsSince is
+	// when the task began to wait for an endpoint to be tried on.
 	onTrial    bool
 	waitsSince time.Duration
-	// lapsed: one of its leases has run out. wary: it is among Core.wary.
+	// lapsed is set if one of the task's leases has expired; wary, if the task is in Core.wary.
 	lapsed, wary bool
-	// stopping is set once the run shall end; stopSent is its newest order.
+	// stopping is set once the run is to be stopped; stopSent is when the stop was last sent.
 	stopping bool
 	stopSent time.Duration
-	// avoid is the incarnation that the last run failed on.
+	// avoid is the incarnation on which the last run failed.
 	avoid     Incarnation
 	notBefore time.Duration
 }
@@ -300,67 +306,69 @@
 	return jobs.TaskName{Job: t.step.job.rec.Job.ID, Occurrence: t.step.occ.number, Step: t.step.index, Index: t.index}.String()
 }
 
-// endpoint is an endpoint of the pool in its present incarnation.
+// endpoint is an endpoint of the pool in its current incarnation.
 type endpoint struct {
 	id, addr, zone, kind, rack string
-	// startedMs is when the incarnation started, in ms since 1970; 0 where not told.
+	// startedMs is when the incarnation started, in ms since 1970; 0 if unknown.
 	startedMs int64
-	// term counts the incarnations that this owner has met.
+	// term counts the incarnations that this owner has seen.
 	term     int
 	capacity Room
-	// toldAt is what its clock showed as it told that; 0 where not told.
+	// toldAt is the endpoint's clock when it reported its capacity; 0 if unknown.
 	toldAt time.Duration
 	used   Room
-	// listed reports whether service discovery has it.
+	// listed is set while service discovery lists the endpoint.
 	listed   bool
 	draining bool
 	vacating bool
-	// vacateUntil ends a request to vacate that is not repeated.
+	// vacateUntil is when a request to vacate expires unless it is repeated.
 	vacateUntil time.Duration
-	// dueUntil is until when the endpoint counts as one that leaves soon.
-	dueUntil  time.Duration
-	tasks     map[*task]bool
+	// dueUntil is the time until which the endpoint is expected to be vacated soon.
+	dueUntil time.Duration
+	tasks    map[*task]bool
+	// strangers counts the listed runs that this owner has no record of.
 	strangers int
 
-	// looked is when a renewal under this epoch was last answered.
+	// looked is when a lease renewal under this epoch was last answered.
 	looked     time.Duration
 	lookedEver bool
 	lookOut    bool
 	nextLook   time.Duration
+	// failedLook counts the renewals that went unanswered since the last answer.
 	failedLook int
 
-	// clockAt and clock are the endpoint's newest clock and when it came.
+	// clock is the newest reading of the endpoint's clock, and clockAt when it was received.
 	clock   time.Duration
 	clockAt time.Duration
-	// granted is the latest end of a lease that this owner asked for.
+	// granted is the latest lease end that this owner has requested.
 	granted time.Duration
-	// heldUntil is how long runs may last whose orders were given to an earlier incarnation:
-	// the ends of their leases were times on another clock.
+	// heldUntil is the latest time until which runs may go on whose orders were sent to an
+	// earlier incarnation: the ends of their leases are times on a different clock.
 	heldUntil time.Duration
-	// seen is the number of the newest end taken in; acknowledged the newest
-	// whose effect is durable.
+	// seen is the number of the newest end that was applied, and acknowledged that of the newest
+	// end whose effect is durable.
 	seen         int64
 	acknowledged int64
-	// givenUp are runs that were given up as their lease ran out, by task.
+	// givenUp are the runs, by task, that were abandoned because their lease expired.
 	givenUp map[string]int
-	// unheard are those of them since which the endpoint has not been heard, and how long it
-	// had been heard before.
+	// unheard are the abandoned runs since which the endpoint has not reported, with how long it
+	// had reported them before.
 	unheard map[string]unheardRun
-	// gaveUpAt is when that last happened, or was restored.
+	// gaveUpAt is when a run was last abandoned, or such runs were restored from the journal.
 	gaveUpAt time.Duration
-	// withheld is the number of the first end that must not be acknowledged, 0 for
-	// none.
+	// withheld is the number of the first end that must not be acknowledged, 0 for none.
 	withheld int64
 
-	// trial is the job whose suspected task has just begun here, nil for none.
+	// trial is the job of the suspect task whose run has just begun here, nil for none.
 	trial *job
 
-	consecutiveFailures    int
-	quarantine time.Duration
-	speed      speed
+	// consecutiveFailures counts failed and stalled runs since the last run that completed.
+	consecutiveFailures int
+	quarantine          time.Duration
+	speed               speed
 
-	// keptFor is a lasting task for whose room the endpoint takes no others,
-	// until keptUntil at the latest.
+	// keptFor is a task that the endpoint's free capacity is reserved for, until keptUntil at
+	// the latest.
 	keptFor   *task
 	keptUntil time.Duration
 }
@@ -368,8 +376,8 @@
 // Room is an amount of an endpoint's resources.
 type Room = quota.Amount
 
-// needs is what a task of the step takes of its endpoint. A filling task takes
-// only the processor time that others leave, but its memory is allocated.
+// needs returns the resources that a task of the step takes from its endpoint. A filler task
+// uses only the CPU time that other tasks leave idle, but its memory is allocated.
 func needs(s *jobs.Step) Room {
 	r := declared(s)
 	if s.Fills {
@@ -378,18 +386,18 @@
 	return r
 }
 
-// EndpointInfo is what service discovery says of an endpoint.
+// EndpointInfo is the entry of an endpoint in service discovery.
 type EndpointInfo struct {
-	// StartedMs is when this incarnation started, in ms since 1970; 0 where not told.
+	// StartedMs is when this incarnation started, in ms since 1970; 0 if unknown.
 	StartedMs                  int64
 	ID, Addr, Zone, Kind, Rack string
 	Capacity                   Room
 	Draining                   bool
-	// Clock is what the endpoint's own steady clock showed as it said this; 0 where not told.
+	// Clock is the endpoint's monotonic clock when it wrote the entry; 0 if unknown.
 	Clock time.Duration
 }
 
-// OrderKind tells orders apart.
+// OrderKind is the kind of an order.
 type OrderKind uint8
 
 // Kinds of orders.
@@ -403,7 +411,7 @@
 	Kind     OrderKind
 	Endpoint string
 	Addr     string
-	// Fence is the number that the endpoint compares with the highest it has seen.
+	// Fence is the fencing token, which the endpoint compares with the highest it has seen.
 	Fence      int64
 	Task       string
 	Run        int
@@ -411,19 +419,19 @@
 	Checkpoint string
 	Ticket     string
 	task       *task
-	// sent is when a start left.
+	// sent is when a start order was sent.
 	sent time.Duration
-	// slot is that of a start that has left.
+	// slot is what a start order that was sent occupies of the limit on starts in flight.
 	slot *slot
 }
 
-// Reply answers a call of Submit or Cancel by its token.
+// Reply identifies a call of Submit or Cancel, by its token, that is to be answered.
 type Reply struct{ Token uint64 }
 
-// EventKind names what a Core decided or came to believe.
+// EventKind is the kind of an event and its message in the log.
 type EventKind string
 
-// Event is a line for the log.
+// Event is a decision or an observation of a Core, for the log.
 type Event struct {
 	Kind     EventKind
 	Job      string
@@ -431,11 +439,11 @@
 	Run      int
 	Endpoint string
 	Reason   string
-	// AgeMs is the age of what the decision rests on.
+	// AgeMs is the age of the information that the decision is based on.
 	AgeMs int64
-	// StartedMs is when the endpoint's incarnation started, where that matters.
+	// StartedMs is when the endpoint's incarnation started, if relevant.
 	StartedMs int64
-	// Account is the client account, where that matters.
+	// Account is the client account, if relevant.
 	Account string
 }
 
@@ -461,9 +469,9 @@
 	EventFine     EventKind = "endpoint no longer slow"
 	EventWithheld EventKind = "end not acknowledged"
 	EventPaced    EventKind = "starts paced"
-	// EventCrashed: an incarnation has ended under a task's run, which had gone on for AgeMs.
+	// EventCrashed: an incarnation ended while a task's run was on it, which had run for AgeMs.
 	EventCrashed EventKind = "endpoint ended under task"
-	// EventGivenUp: a task is given up, as endpoints crash under it.
+	// EventGivenUp: a task is not retried any more because its endpoints crash.
 	EventGivenUp EventKind = "task given up"
 	// EventRestarted: another incarnation answers under an endpoint's id.
 	EventRestarted EventKind = "endpoint restarted"
@@ -471,23 +479,23 @@
 
 func (c *Core) event(e Event) { c.events = append(c.events, e) }
 
-// TakeEvents returns what happened since the last call.
+// TakeEvents returns and clears the events since the last call.
 func (c *Core) TakeEvents() []Event {
 	out := c.events
 	c.events = nil
 	return out
 }
 
-// Accepting is what a caller's job is accepted under.
+// Accepting is the context under which a job is submitted.
 type Accepting struct {
 	Queue string
 	Terms routing.Terms
-	// Account is the client account that hands the job in, "" for none.
+	// Account is the client account that submits the job, "" for none.
 	Account string
 }
 
-// Dirty reports whether records wait for Ready.
+// Dirty reports whether there are records, starts or replies for the next Ready.
 func (c *Core) Dirty() bool { return len(c.dirty) > 0 || len(c.starts) > 0 || len(c.replies) > 0 }
 
-// Busy reports whether anything runs, waits or is to be written.
+// Busy reports whether there are open jobs, unsent stops or records to be written.
 func (c *Core) Busy() bool { return len(c.open) > 0 || len(c.dirty) > 0 || len(c.stops) > 0 }
--- a/internal/executor/ends.go
+++ b/internal/executor/ends.go
@@ -5,19 +5,19 @@
 	"time"
 )
 
+// loseAll requeues all tasks of an endpoint, whose runs have ended with it.
 func (c *Core) loseAll(e *endpoint, reason string) {
-	tasks := make([]*task, 0, len(e.tasks))
+	hosted := make([]*task, 0, len(e.tasks))
 	for t := range e.tasks {
-		tasks = append(tasks, t)
+		hosted = append(hosted, t)
 	}
-	for _, t := range tasks {
+	for _, t := range hosted {
 		c.event(Event{Kind: EventLost, Job: t.step.job.rec.Job.ID, Task: t.name(), Run: t.run, Endpoint: e.id, Reason: reason})
 		c.again(t)
 	}
 }
 
-// again puts a task whose run is known to have ended, or never to begin, back
-// among those that wait.
+// again requeues a task whose run has ended or can't start any more.
 func (c *Core) again(t *task) {
 	s := t.step
 	c.release(t)
@@ -36,8 +36,8 @@
 	c.retireIfStopped(s.job)
 }
 
-// breakGang stops the other members of a gang of which one is not there: they
-// would wait for it until their endpoints give them up.
+// breakGang stops the remaining members of a gang that lacks one. They would otherwise wait for
+// it until their endpoints end them.
 func (c *Core) breakGang(s *stepRun) {
 	if !s.spec.Gang {
 		return
@@ -49,7 +49,7 @@
 	}
 }
 
-// takeEnd takes in an end that an endpoint lists.
+// takeEnd applies an end that an endpoint lists.
 func (c *Core) takeEnd(now time.Duration, e *endpoint, end ListedEnd) {
 	if end.Number <= e.seen {
 		return
@@ -77,14 +77,15 @@
 	}
 }
 
-// completeTask takes in that a task has ended well. One such end of a gang's member
-// stands for all of them.
+// completeTask records the run time of a completed task and marks the task as done.
 func (c *Core) completeTask(now time.Duration, t *task) {
 	c.noteLength(now, t)
 	c.release(t)
 	c.markDone(t)
 }
 
+// markDone marks a task as done, and the rest of its gang if it has one: the completion of one
+// member counts for all of them.
 func (c *Core) markDone(t *task) {
 	s, j := t.step, t.step.job
 	t.phase = taskDone
@@ -99,8 +100,8 @@
 	c.retireIfStopped(j)
 }
 
-// completeGang marks the members whose ends are still to be listed. Each of them
-// ends done as well; their runs stay counted on their endpoints until then.
+// completeGang marks the waiting members of a gang as done. Members that are still running will
+// complete as well and stay counted on their endpoints until their ends are listed.
 func (c *Core) completeGang(s *stepRun) {
 	s.gangDone = true
 	for _, t := range s.tasks {
@@ -112,6 +113,8 @@
 	}
 }
 
+// completeStep records that all tasks of a step have ended, unblocks later steps and ends the
+// job after its last occurrence.
 func (c *Core) completeStep(s *stepRun) {
 	o, j := s.occ, s.job
 	o.left--
@@ -133,22 +136,22 @@
 	}
 }
 
-// Backoff of tasks whose runs fail. A task that fails at once would otherwise
-// be started some ten times a second.
+// Backoff of tasks whose runs fail. Without it, a task that fails at once would be started about
+// ten times a second.
 const (
 	failureBackoff    = 150 * time.Millisecond
 	maxFailureBackoff = 1200 * time.Millisecond
 )
 
-// handleFailure takes in that a run has handleFailure, and fails the job after as many as
-// its queue allows. Tasks that last have no such limit.
+// handleFailure requeues a task whose run has failed, and fails the job after as many failures
+// as its queue allows. Long-running tasks have no such limit.
 func (c *Core) handleFailure(now time.Duration, t *task, e *endpoint) {
 	c.countFailure(now, t, e)
 	c.again(t)
 	c.endIfFailed(t)
 }
 
-// failureCount is where a task's failed runs are counted.
+// failureCount returns the counter of a task's failed runs, which the members of a gang share.
 func (t *task) failureCount() *int {
 	if t.step.spec.Gang {
 		return &t.step.failures
@@ -156,6 +159,7 @@
 	return &t.failures
 }
 
+// countFailure counts a failed run and delays the next one, preferably on another endpoint.
 func (c *Core) countFailure(now time.Duration, t *task, e *endpoint) {
 	count := t.failureCount()
 	*count++
@@ -164,6 +168,7 @@
 	c.touch(t.step.job)
 }
 
+// endIfFailed fails the job if the task has failed as often as its queue allows.
 func (c *Core) endIfFailed(t *task) {
 	j := t.step.job
 	if !t.step.spec.LongRunning && *t.failureCount() >= j.rec.Terms.Attempts && !j.rec.State.Ended() {
--- a/internal/executor/executor_test.go
+++ b/internal/executor/executor_test.go
@@ -15,7 +15,7 @@
 }
 
 var _ = Describe("a pool's jobs", func() {
-	It("run their steps in order and are shown as completed", func() {
+	It("run their steps in order and are reported as completed", func() {
 		w := newWorld(1, 3)
 		o := w.takeOver()
 		w.run(100 * time.Millisecond)
@@ -65,9 +65,8 @@
 })
 
 var _ = Describe("a new owner", func() {
-	// The caller was told that its job is accepted, and asks for it for ever.
-	// The owner dies before it has started any task, so that the journal holds
-	// the job and no progress; its successor has to begin it from that alone.
+	// Guards against losing an accepted job. The owner ends before it starts any task, so that
+	// the journal holds the job but no progress, and its successor has only that record.
 	It("begins a job that its predecessor had only accepted", func() {
 		w := newWorld(1, 0)
 		o := w.takeOver()
@@ -81,9 +80,9 @@
 		Expect(w.state(next, j)).To(Equal("completed"))
 	})
 
-	// The caller's job runs while its owner dies. The successor asks the
-	// endpoints, goes on with what they run, and starts nothing twice.
-	It("adopts what runs", func() {
+	// Guards against starting tasks twice. The owner ends while a job runs; its successor asks
+	// the endpoints what they run and continues from there.
+	It("adopts runs that are in progress", func() {
 		w := newWorld(1, 3)
 		o := w.takeOver()
 		w.run(100 * time.Millisecond)
@@ -97,10 +96,10 @@
 		Expect(w.broken).To(BeEmpty())
 	})
 
-	// A caller's task runs twice at once. The new owner of a full pool has heard its
-	// endpoints and is busy for a moment before it renews their leases; these are
-	// its predecessor's and go on, and must not count as run out.
-	It("does not give up what runs under its predecessor's leases", func() {
+	// Guards against a task that runs twice at once. The new owner of a full pool has polled its
+	// endpoints and is then too busy to renew their leases for a moment. Its predecessor's
+	// leases are still valid and must not count as expired.
+	It("does not abandon runs under its predecessor's leases", func() {
 		w := newWorld(1, 3)
 		o := w.takeOver()
 		w.run(100 * time.Millisecond)
@@ -121,9 +120,8 @@
 		Expect(w.state(next, j)).To(Equal("completed"))
 	})
 
-	// The endpoint of a running task falls silent just as the owner dies. It
-	// may run on for as long as the old owner could have renewed its lease, so
-	// that a second run before that would be a run too many.
+	// Guards against a second run of a task. Its endpoint becomes unreachable just as the owner
+	// ends, and runs the task for as long as the old owner could have renewed its lease.
 	It("waits for the leases of endpoints that it can't reach", func() {
 		w := newWorld(1, 2)
 		o := w.takeOver()
@@ -143,10 +141,10 @@
 		Expect(w.broken).To(BeEmpty())
 	})
 
-	// Nodes are restarted one after the other, each giving its pool up in order,
-	// and an endpoint dies without a word. Its tasks are away for as long as that
-	// goes on if each owner waits anew for what its predecessors may have renewed.
-	It("goes on with its predecessor's wait for a silent endpoint", func() {
+	// Guards against tasks that stay away throughout a rolling restart. Nodes restart one after
+	// the other, each handing its pool over, while an endpoint is down. Each owner would wait
+	// anew for leases that its predecessors may have renewed.
+	It("does not restart its predecessor's wait for an unresponsive endpoint", func() {
 		w := newWorld(1, 2)
 		o := w.takeOver()
 		w.run(100 * time.Millisecond)
@@ -169,10 +167,10 @@
 		Expect(w.broken).To(BeEmpty())
 	})
 
-	// Users of a lasting task see two of its copies away at once, where one may
-	// be. The old owner has ordered one to stop and died; the endpoint lists the
-	// run as working until the stop is through, and the new owner stops another.
-	It("stops no lasting task while its predecessor's stop may be under way", func() {
+	// Guards against two copies of a long-running task being away at once where one may be. The
+	// old owner ended after ordering a stop; the endpoint lists the run as running until the
+	// stop is complete, and the new owner must not stop another.
+	It("stops no long-running task while its predecessor's stop may be in flight", func() {
 		w := newWorld(1, 4)
 		o := w.takeOver()
 		w.run(100 * time.Millisecond)
@@ -201,11 +199,11 @@
 })
 
 var _ = Describe("leases", func() {
-	// An endpoint with a slow clock has been idle for a while when a task is
-	// started on it; its owner dies at that moment. The successor, which can't
-	// reach it, waits for one lease: one that is longer leaves the task running
-	// beside its second run.
-	It("are no longer than a lease on a slow clock that was read long ago", func() {
+	// Guards against a first run that outlasts the successor's wait, so that the task runs
+	// twice. An endpoint with a slow clock is idle for a while and then gets a task as its owner
+	// ends. The successor can't reach it and waits for one lease only, so the lease must not be
+	// longer.
+	It("do not exceed the limit where an endpoint's slow clock was read long ago", func() {
 		w := newWorld(1, 1)
 		h := w.hosts["i-00"]
 		h.skew = 0.98
@@ -219,9 +217,9 @@
 })
 
 var _ = Describe("jobs that wait", func() {
-	// All endpoints have died unseen. Starts are intended and ordered, and go
-	// unanswered; the operator asks how many jobs wait and is told none.
-	It("count as waiting until an endpoint is known to run one", func() {
+	// Guards against reporting that no job waits while all endpoints are down: starts are
+	// decided and sent, and none is answered.
+	It("count as waiting until an endpoint confirms a run of one", func() {
 		w := newWorld(1, 2)
 		o := w.takeOver()
 		w.run(200 * time.Millisecond)
@@ -246,10 +244,9 @@
 })
 
 var _ = Describe("an endpoint whose instance was moved", func() {
-	// Callers' tasks wait for a lease to run out on an endpoint that is no more:
-	// the platform has ended it, service discovery lists it for seconds, and
-	// the promise to place nothing there has expired.
-	It("is given up as soon as the platform has ended it", func() {
+	// Guards against waiting for leases on an endpoint whose instance the platform has ended.
+	// Service discovery still lists it for seconds, and the request to vacate it has expired.
+	It("is treated as gone as soon as the platform has ended it", func() {
 		w := newWorld(1, 1)
 		o := w.takeOver()
 		w.run(100 * time.Millisecond)
--- a/internal/executor/orders.go
+++ b/internal/executor/orders.go
@@ -2,29 +2,29 @@
 
 import "time"
 
-// OrderResult says how an order went.
+// OrderResult is the outcome of an order.
 type OrderResult uint8
 
 // Results of orders.
 const (
 	OrderDone OrderResult = iota
-	// OrderUnanswered: it may have been carried out, or be carried out later.
+	// OrderUnanswered: no answer came; the order may have been carried out, or may be later.
 	OrderUnanswered
-	// OrderFenced: a newer epoch commands the endpoint.
+	// OrderFenced: the endpoint has seen a newer epoch.
 	OrderFenced
-	// OrderOld: that run has ended or was stopped there.
+	// OrderOld: the run has ended or was stopped on the endpoint.
 	OrderOld
-	// OrderLate: its lease had run out on arrival.
+	// OrderLate: the lease had expired when the order arrived.
 	OrderLate
-	// OrderNoRoom: a guarded endpoint is full.
+	// OrderNoRoom: the endpoint, which checks its capacity, is full.
 	OrderNoRoom
-	// OrderNoTicket: the endpoint asks for a fresh ticket.
+	// OrderNoTicket: the endpoint requires a valid ticket.
 	OrderNoTicket
-	// OrderGone: another incarnation lives at the address.
+	// OrderGone: another incarnation answers at the address.
 	OrderGone
-	// OrderUnhealthy: the endpoint takes no orders now.
+	// OrderUnhealthy: the endpoint accepts no orders at present.
 	OrderUnhealthy
-	// OrderInvalid: the endpoint can't read the order.
+	// OrderInvalid: the endpoint can't decode the order.
 	OrderInvalid
 )
 
@@ -32,27 +32,30 @@
 
 func (r OrderResult) String() string { return orderResultNames[r] }
 
-// Quarantine of endpoints that fail what they start. Load: an endpoint fails
-// everything at once while its health is good, and being always free it draws
-// most of the starts. The first probes after it cost one task each.
+// Quarantine of endpoints on which runs fail. Load: an endpoint fails every run at once while
+// its health checks pass, and as it is always free it attracts most of the starts. After a
+// quarantine, the first starts probe the endpoint at the cost of one task each.
 const (
-	// quarantineAfter ends of failed runs in a row may be the tasks' own fault.
+	// quarantineAfter consecutive failures quarantine an endpoint; fewer may be the tasks' own
+	// fault.
 	quarantineAfter = 2
-	quarantineBase = time.Second
-	quarantineMax  = 4 * time.Second
-	// refusalPause follows a refusal that says the endpoint is full or unwell.
+	quarantineBase  = time.Second
+	quarantineMax   = 4 * time.Second
+	// refusalPause is the quarantine after an endpoint refused a start, because it is full or
+	// unhealthy.
 	refusalPause = 300 * time.Millisecond
 )
 
-// TakeStops returns the stops that are due. They need no record.
+// TakeStops returns and clears the stops to send. They need no record.
 func (c *Core) TakeStops() []Order {
 	out := c.stops
 	c.stops = nil
 	return out
 }
 
-// NextStart returns the next start that may leave now, and its lease. It is answered by
-// OrderDone. ok is false once as many are under way as the owner carries.
+// NextStart returns the next start to send now, and the end of its lease. The caller reports its
+// outcome with OrderDone. ok is false if none is ready or the limit on starts in flight is
+// reached.
 func (c *Core) NextStart(now time.Duration) (o Order, lease time.Duration, ok bool) {
 	c.pace.pass(now)
 	for len(c.leaving) > 0 && c.pace.free() > 0 {
@@ -71,12 +74,12 @@
 	return Order{}, 0, false
 }
 
-// isCurrent reports whether the order is about the newest run of its task.
+// isCurrent reports whether the order belongs to the newest run of its task.
 func (o *Order) isCurrent() bool {
 	return o.task != nil && o.task.host != nil && o.task.host.id == o.Endpoint && o.task.run == o.Run
 }
 
-// OrderDone takes in the result of an order.
+// OrderDone applies the outcome of an order.
 func (c *Core) OrderDone(now time.Duration, o Order, result OrderResult, a Answer) {
 	switch {
 	case o.slot == nil:
@@ -88,7 +91,7 @@
 	c.explainPace(now)
 	e := c.endpoints[o.Endpoint]
 	if e == nil || o.Fence != c.fence(e) {
-		return // about an earlier incarnation
+		return // sent to an earlier incarnation
 	}
 	if c.meet(now, e, a.StartedMs); o.Fence != c.fence(e) {
 		return // another incarnation has answered
@@ -131,7 +134,7 @@
 	case OrderUnanswered:
 		e.nextLook = min(e.nextLook, now+unsureWait)
 	case OrderOld:
-		// Its end, or that of a stop, is listed or has been.
+		// The end of the run, or its stop, is listed or was listed earlier.
 		t.answered = true
 		t.confirmed = max(t.confirmed, now)
 		e.nextLook = now
@@ -145,9 +148,9 @@
 	}
 }
 
-// rejectStart takes back a start that the endpoint turned away. An earlier copy
-// of the order may still arrive if one went unanswered, so the run keeps its
-// place until a stop has closed its number.
+// rejectStart withdraws a start that the endpoint refused. An earlier copy of the order may
+// still arrive if one went unanswered, so the run stays on the endpoint until a stop has made
+// sure that its number can't start any more.
 func (c *Core) rejectStart(now time.Duration, t *task, e *endpoint, result OrderResult) {
 	c.event(Event{Kind: EventLost, Job: t.step.job.rec.Job.ID, Task: t.name(), Run: t.run, Endpoint: e.id, Reason: "start refused: " + result.String()})
 	if result != OrderNoTicket {
@@ -163,20 +166,20 @@
 	}
 	e.nextLook = min(e.nextLook, now+lookGap)
 	if t.confirmed == 0 {
-		// Closed before it came, or running unseen: the next listing that was
-		// asked for after this answer tells which.
+		// The run was stopped before it started, or runs without having been listed. The
+		// next listing requested after this answer shows which.
 		t.confirmed = now
 	}
 }
 
-// updateQuarantine learns from an end how well an endpoint works.
+// updateQuarantine counts how runs end on an endpoint, and quarantines one on which they fail.
 func (c *Core) updateQuarantine(now time.Duration, e *endpoint, t *task, outcome HowEnded) {
 	switch outcome {
 	case EndedDone:
 		e.consecutiveFailures = 0
 	case EndedFailed:
 		if t.failures > 0 && t.avoid != e.incarnation() {
-			return // it fails everywhere: the task's own fault
+			return // the task last failed on another endpoint, so this one is not at fault
 		}
 		e.consecutiveFailures++
 		if e.consecutiveFailures >= quarantineAfter {
@@ -187,8 +190,8 @@
 	}
 }
 
-// Tick orders stops that are due, again where the run is still listed, and
-// deals with runs that stand still.
+// Tick issues the stops that are due, repeats those whose run is still listed, and stops runs
+// that have stalled.
 func (c *Core) Tick(now time.Duration) {
 	c.judgeSpeeds()
 	for _, e := range c.endpoints {
@@ -224,29 +227,32 @@
 	c.stops = append(c.stops, Order{Kind: OrderStop, Endpoint: e.id, Addr: e.addr, Fence: c.fence(e), Task: t.name(), Run: t.run, task: t})
 }
 
-// gangStartTimeout is how long the other members of a gang wait for one that is not known to have
-// begun. Its endpoint may have crashed as the start came, and not be missed for seconds; they
-// hold their room meanwhile, and endpoints end those that have waited for long.
+// gangStartTimeout is how long the other members of a gang wait for one whose run is not
+// confirmed. Its endpoint may have crashed as the start arrived, which can go unnoticed for
+// seconds. Meanwhile the other members hold resources, and endpoints end members that wait for
+// too long.
 const gangStartTimeout = time.Second
 
+// exceedsGangStart reports whether a gang member has not been confirmed within gangStartTimeout.
 func (t *task) exceedsGangStart(now time.Duration) bool {
 	return t.step.spec.Gang && t.ordered > 0 && t.confirmed == 0 && now-t.ordered > gangStartTimeout
 }
 
-// Standstill. Load: tasks on some endpoints stand still while their leases are
-// renewed. A run whose progress has not moved for several times what its kind
-// takes is stopped and begins again elsewhere; its checkpoint is kept.
+// Stalled runs. Load: tasks on some endpoints make no progress while their leases are renewed. A
+// run whose progress has not changed for stallFactor tenths of its expected duration, and for at
+// least minStallTimeout, is stopped and started elsewhere; its checkpoint is kept.
 const (
-	stallFactor = 4
-	minStallTimeout  = 2500 * time.Millisecond
+	stallFactor     = 4
+	minStallTimeout = 2500 * time.Millisecond
 )
 
+// isStalled reports whether a run has made no progress for too long.
 func (c *Core) isStalled(t *task) bool {
 	if t.step.spec.LongRunning && t.percent >= atWork {
 		return false
 	}
 	expected := time.Duration(c.taskMs(t.step)) * time.Millisecond
 	limit := max(minStallTimeout, stallFactor*expected/10)
-	// Without an answer from the endpoint nothing is known of its progress.
+	// Progress is unknown while the endpoint does not answer.
 	return t.host.failedLook == 0 && t.host.looked-max(t.movedAt, t.confirmed) > limit
 }
--- a/internal/executor/place.go
+++ b/internal/executor/place.go
@@ -8,24 +8,25 @@
 	"cyclamenwheel/internal/jobs"
 )
 
-// atWork is the percentage of a task that is at work.
+// atWork is the progress, in percent, of a task that is fully started.
 const atWork = 100
 
-// usable reports whether tasks may be placed on the endpoint at all: it is in
-// service discovery, not leaving, and its state under this epoch is known.
+// usable reports whether tasks may be placed on the endpoint at all: service discovery lists it,
+// it is neither draining nor being vacated, and its state under this epoch has been read.
 func (e *endpoint) usable() bool {
 	return e.listed && !e.draining && !e.vacating && e.lookedEver
 }
 
-// isOpen reports whether a new task may be placed there now. An endpoint whose
-// last renewal went unanswered is left alone: a start sent there would hold
-// its task until the lease has run out.
+// isOpen reports whether a task may be placed on the endpoint now. An endpoint that has not
+// answered its last lease renewal gets none: a start sent there would block its task until the
+// lease has expired.
 func (c *Core) isOpen(now time.Duration, e *endpoint) bool {
 	return c.closedBy(now, e) == obstacleNone
 }
 
 func (e *endpoint) free() Room { return e.capacity.Minus(e.used) }
 
+// occupy allocates a task's resources on an endpoint.
 func (c *Core) occupy(t *task, e *endpoint) {
 	t.phase = taskPlaced
 	t.host = e
@@ -37,7 +38,8 @@
 	t.beginTrial()
 }
 
-// release takes a task off its endpoint. The caller sets its next phase.
+// release takes a task off its endpoint and frees its resources. The caller sets the task's next
+// phase.
 func (c *Core) release(t *task) {
 	e := t.host
 	t.endTrial()
@@ -56,11 +58,11 @@
 	t.doubted = nil
 }
 
-// Decide places what can be placed. Jobs come in the order of sortOpen; those
-// that can no longer end within their objective come after all others. Load: a
-// turn of demand begins with two seconds of backlog. First come, first served
-// makes every job of it late by as much; leaving behind what is late anyway lets
-// the rest be in time, and a job in time is worth many late ones.
+// Decide places the tasks that can be placed. Jobs are taken in the order of sortOpen, but those
+// that can no longer end within their objective come last. Load: a phase of high demand begins
+// with two seconds of backlog. First come, first served would make every job of it late by that
+// much. Deferring the jobs that are late in any case lets the others end in time, and a job in
+// time is worth many late ones.
 func (c *Core) Decide(now time.Duration) {
 	c.expire(now)
 	c.expandDueOccurrences()
@@ -98,7 +100,7 @@
 	}
 }
 
-// readySteps are the job's steps with tasks that wait and whose turn has come.
+// readySteps yields the job's steps that have waiting tasks and wait for no earlier step.
 func (j *job) readySteps() iter.Seq[*stepRun] {
 	return func(yield func(*stepRun) bool) {
 		for _, o := range j.current {
@@ -111,7 +113,7 @@
 	}
 }
 
-// waits reports whether the job has such a step.
+// waits reports whether the job has a ready step.
 func (j *job) waits() bool {
 	for range j.readySteps() {
 		return true
@@ -120,23 +122,23 @@
 }
 
 func (c *Core) openEndpoints(now time.Duration) []*endpoint {
-	var endpoints []*endpoint
+	var open []*endpoint
 	for _, e := range c.endpoints {
 		if c.isOpen(now, e) {
-			endpoints = append(endpoints, e)
+			open = append(open, e)
 		}
 	}
-	slices.SortFunc(endpoints, func(a, b *endpoint) int {
+	slices.SortFunc(open, func(a, b *endpoint) int {
 		if a.id < b.id {
 			return -1
 		}
 		return 1
 	})
-	return endpoints
+	return open
 }
 
-// minUsefulCPUMilli is below the smallest task of any use; a pool with less room left
-// on each endpoint is full.
+// minUsefulCPUMilli is less than any useful task needs; a pool with less free CPU on every
+// endpoint is full.
 const minUsefulCPUMilli = 50
 
 func anyCPULeft(endpoints []*endpoint) bool {
@@ -174,12 +176,12 @@
 	}
 }
 
-// mayPlace reports whether a task of the step may be placed in this round. Lasting
-// tasks are few and always may.
+// mayPlace reports whether a task of the step may be placed in this round. Long-running tasks
+// are few and are not limited.
 func (c *Core) mayPlace(s *stepRun) bool { return c.placementsLeft > 0 || s.spec.LongRunning }
 
-// placeGang places all tasks of a gang or none: a part of it would hold room
-// and work on nothing. All members run under one number.
+// placeGang places all tasks of a gang or none, because an incomplete gang would hold resources
+// without making progress. All members get the same run number.
 func (c *Core) placeGang(now time.Duration, s *stepRun, endpoints []*endpoint) {
 	if !c.mayPlace(s) || !c.admits(now, s, len(s.tasks)) {
 		return
@@ -198,7 +200,7 @@
 	}
 }
 
-// gangCandidates returns the sets of endpoints to try, the best first.
+// gangCandidates returns the sets of endpoints to try for a gang, best first.
 func (c *Core) gangCandidates(s *stepRun, endpoints []*endpoint) [][]*endpoint {
 	if !s.spec.SameRack {
 		return [][]*endpoint{endpoints}
@@ -219,6 +221,8 @@
 	return append(sets, endpoints)
 }
 
+// tryPlaceGang places all tasks of a gang on the given endpoints and reports whether they fit.
+// Tentative allocations are undone before any task is placed.
 func (c *Core) tryPlaceGang(now time.Duration, s *stepRun, endpoints []*endpoint, run int) bool {
 	var chosen []*endpoint
 	undo := func() {
@@ -244,7 +248,7 @@
 	return true
 }
 
-// placeTask intends a start. The order leaves once the intent is durable.
+// placeTask decides a start. The order is sent once the decision is durable.
 func (c *Core) placeTask(now time.Duration, t *task, e *endpoint, run int) {
 	c.occupy(t, e)
 	t.run = run
@@ -276,7 +280,7 @@
 	return false
 }
 
-// choose returns the best endpoint for a task, or nil.
+// choose returns the endpoint with the highest score for a task, or nil if none fits.
 func (c *Core) choose(now time.Duration, t *task, endpoints []*endpoint) *endpoint {
 	var best *endpoint
 	bestScore := 0.0
@@ -296,10 +300,10 @@
 	return c.obstacle(now, t, e) == obstacleNone
 }
 
-// sharesBadly keeps tasks that fill away from tasks that serve. Load: what
-// fills disturbs the response times of what serves by amounts that change
-// within seconds and can't be foreseen. Kept apart there is nothing to
-// disturb, at the price of an endpoint that fills alone.
+// sharesBadly reports whether a filler task and a serving task would share the endpoint. Load:
+// filler tasks disturb the response times of serving tasks by amounts that change within seconds
+// and can't be predicted. Keeping them apart avoids this, at the price of an endpoint that runs
+// fillers only.
 func sharesBadly(s *jobs.Step, e *endpoint) bool {
 	if !s.Fills && !s.Serves() {
 		return false
@@ -313,28 +317,28 @@
 	return false
 }
 
-// Weights of score, in shares of an endpoint's whole processor room.
+// Weights of score, as fractions of an endpoint's whole CPU capacity.
 const (
-	// remoteDataPenalty is lost where the data is on another rack: the task then
-	// takes remoteFactor times as long.
+	// remoteDataPenalty applies if the task's data is on another rack: the task then takes
+	// remoteFactor times as long.
 	remoteDataPenalty = 2.0
-	// avoidFailed keeps a task from an endpoint where it has just failed.
+	// avoidFailed is a penalty for the incarnation on which the task last failed.
 	avoidFailed = 3.0
-	// besideLasting gathers tasks that last on few endpoints, so that the
+	// besideLasting is a bonus that packs long-running tasks onto few endpoints, so that the
 	// others can be moved and maintained without stopping any.
 	besideLasting = 2.0
-	// drainsSoonPenalty keeps tasks that last from endpoints that a wave has yet to
-	// take: placed there they are stopped and moved a second time, and the
-	// budget for that is what makes waves late.
+	// drainsSoonPenalty keeps long-running tasks off endpoints that a maintenance wave is still
+	// to take. There they would be stopped and moved a second time, and the disruption budget
+	// for that is what makes waves late.
 	drainsSoonPenalty = 3.0
-	// failurePenalty makes an endpoint whose runs fail the last choice.
+	// failurePenalty, per consecutive failure, makes endpoints whose runs fail the last choice.
 	failurePenalty = 0.5
 )
 
-// score prefers endpoints near the data, then those that work well, then those
-// with the least room left. Load: as a queue's turn ends, its tasks end one by
-// one; spread over all endpoints they keep each of them busy, and none is free
-// for the queue whose turn begins. Packed, most endpoints are empty at once.
+// score ranks endpoints: near the data first, then those whose runs don't fail, then those with
+// the least free CPU. Load: as the demand of one queue ends, its tasks end one by one. Spread
+// over all endpoints they would keep each of them busy, and none would be free for the next
+// queue. Packed, most endpoints are empty at once.
 func (c *Core) score(now time.Duration, t *task, e *endpoint) float64 {
 	s := t.step.spec
 	free := float64(e.free().CPUMilli) / float64(max(1, e.capacity.CPUMilli))
--- a/internal/executor/property_test.go
+++ b/internal/executor/property_test.go
@@ -14,13 +14,13 @@
 	"cyclamenwheel/internal/jobs"
 )
 
-// seeds of the random days; each that ever failed stays among them.
+// seeds is the number of random scenarios. Seeds that ever failed are among them.
 const seeds = 300
 
-// extraSeedsEnv, set in the environment, adds as many seeds after these.
+// extraSeedsEnv names the environment variable with the number of additional seeds.
 const extraSeedsEnv = "CYCLAMEN_MORE_SEEDS"
 
-// additionalSeeds is what the environment asks for, 0 where it does not.
+// additionalSeeds returns the number of additional seeds, 0 if the variable is not set.
 func additionalSeeds() int {
 	more, err := strconv.Atoi(os.Getenv(extraSeedsEnv))
 	if err != nil {
@@ -29,43 +29,43 @@
 	return more
 }
 
-// A day of random trouble: orders and answers are lost, some orders come late,
-// owners are killed, cut off from the journal while they go on, or merely slow,
-// two and three of them at once; endpoints fall silent and come back, crash for
-// good, drain, fail all they start or stand still. Callers see each job end;
-// endpoints see no task twice, none after its end, and never too many at once.
-var _ = Describe("random days", func() {
+// Random faults: orders and answers are lost, and some orders arrive late. Owners are killed,
+// cut off from the journal while they go on, or slow, with two or three active at once.
+// Endpoints become unresponsive and recover, crash for good, drain, fail every run or stall.
+// Every job must end, and no task may run twice at once, start after its end or exceed the
+// capacity of its endpoint.
+var _ = Describe("random faults", func() {
 	for seed := uint64(1); seed <= uint64(seeds+additionalSeeds()); seed++ {
-		It(fmt.Sprintf("keep the promises under seed %d", seed), func() { randomDay(NewWithT(GinkgoT()), seed, variant{}) })
-		It(fmt.Sprintf("keep them where owners give up in order, under seed %d", seed), func() { randomDay(NewWithT(GinkgoT()), seed, variant{inOrder: true}) })
-		It(fmt.Sprintf("keep them beside a slow journal, under seed %d", seed), func() {
+		It(fmt.Sprintf("violate no contract with seed %d", seed), func() { randomDay(NewWithT(GinkgoT()), seed, variant{}) })
+		It(fmt.Sprintf("violate no contract where owners hand over, with seed %d", seed), func() { randomDay(NewWithT(GinkgoT()), seed, variant{inOrder: true}) })
+		It(fmt.Sprintf("violate no contract with a slow journal, with seed %d", seed), func() {
 			randomDay(NewWithT(GinkgoT()), seed, variant{inOrder: seed%2 == 0, slowJournal: true})
 		})
 	}
 })
 
-// variant is how the owners of a random day live.
+// variant selects the faults and the owners' behaviour in a random scenario.
 type variant struct {
 	// inOrder: owners that end hand their pool over.
 	inOrder bool
-	// slowJournal: batches go side by side and are answered late.
+	// slowJournal: several batches are in flight at a time and are answered late.
 	slowJournal bool
-	// restarts: endpoints restart under their ids beside all other trouble.
+	// restarts: endpoints also restart under their ids.
 	restarts bool
-	// unseen: service discovery shows the former incarnations for up to unseenMost, and
-	// leases by their clocks are still to come by the new ones.
+	// unseen: service discovery lists former incarnations for up to maxStaleEntry, and leases
+	// that were computed with their clocks may end in the future of the new ones.
 	unseen bool
 	// crashing: every seventh job has a task that crashes its endpoints.
 	crashing bool
-	// resizing: the room of endpoints changes, and the store is away at times.
+	// resizing: the capacity of endpoints changes, and the store is unavailable at times.
 	resizing bool
-	// limited: the jobs are of an account that may have little running.
+	// limited: the jobs belong to an account with a low limit.
 	limited bool
 }
 
 const maxStaleEntry = 1500 * time.Millisecond
 
-// randomDay plays a day.
+// randomDay runs a random scenario and checks that the contracts hold.
 func randomDay(g Gomega, seed uint64, v variant) {
 	rng := rand.New(rand.NewPCG(seed, 99))
 	w := newWorld(seed, 4)
@@ -115,7 +115,8 @@
 	}
 }
 
-// resizeRandomly changes the room of an endpoint, and whether the store is away.
+// resizeRandomly changes the capacity of an endpoint, and sometimes whether the store is
+// available.
 func (w *world) resizeRandomly(rng *rand.Rand) {
 	w.resize(w.hosts[fmt.Sprintf("i-%02d", rng.IntN(4))], 1000*(1+rng.IntN(4)))
 	if rng.IntN(8) == 0 {
@@ -123,9 +124,9 @@
 	}
 }
 
-// runUntilEnded lets time pass until all jobs have ended, or the limit is over: a task that
-// crashes its endpoints may wait for word of several of them, and an account runs little at a
-// time.
+// runUntilEnded advances the time until all jobs have ended or the limit is reached: a task that
+// crashes its endpoints may wait for reports of several of them, and an account with a limit
+// runs little at a time.
 func (w *world) runUntilEnded(o *owner, handedIn []jobs.Job, limit time.Duration) {
 	for end := w.now + limit; w.now < end; w.run(time.Second) {
 		if !slices.ContainsFunc(handedIn, func(j jobs.Job) bool { return w.state(o, j) == "running" || w.state(o, j) == "queued" }) {
@@ -134,7 +135,7 @@
 	}
 }
 
-// restartOne lets an endpoint restart under its id.
+// restartOne restarts an endpoint under its id.
 func (w *world) restartOne(rng *rand.Rand, v variant) {
 	h := w.hosts[fmt.Sprintf("i-%02d", rng.IntN(4))]
 	if v.unseen {
@@ -144,7 +145,7 @@
 	w.restart(h)
 }
 
-// injectFault lets one thing go wrong, and returns the owner that callers reach.
+// injectFault causes one random fault, and returns the owner that callers reach.
 func (w *world) injectFault(rng *rand.Rand, o *owner, round int) *owner {
 	host := w.hosts[fmt.Sprintf("i-%02d", rng.IntN(4))]
 	switch rng.IntN(14) {
@@ -155,7 +156,7 @@
 		o.stopped = true
 		return w.takeOver()
 	case 1:
-		return w.takeOver() // the other goes on until it notices
+		return w.takeOver() // the earlier owner goes on until it notices that it was fenced
 	case 2:
 		o.cut = true
 		return w.takeOver()
@@ -182,6 +183,7 @@
 	return o
 }
 
+// clearFaults ends all faults and all owners.
 func (w *world) clearFaults() {
 	w.storeAway = false
 	w.loseOrders, w.loseAnswers = 0, 0
--- a/internal/executor/submit.go
+++ b/internal/executor/submit.go
@@ -10,14 +10,15 @@
 // Verdict is the answer to a submission.
 type Verdict uint8
 
-// Verdicts on submissions. VerdictAccepted is given once the job is durable.
+// Verdicts on submissions. VerdictAccepted is given for a new job; its reply follows once the
+// job is durable. VerdictKnown is given for a job that has been accepted already.
 const (
 	VerdictAccepted Verdict = iota
 	VerdictKnown
 	VerdictRefused
 )
 
-// Refusal says why a job was not accepted and when to come back.
+// Refusal is the reason why a job was not accepted, and the time after which to retry.
 type Refusal struct {
 	Reason     string
 	RetryAfter time.Duration
@@ -25,39 +26,39 @@
 
 // Reasons of refusals.
 const (
-	// RefusedBacklog says that the job could not end in time behind the others.
+	// RefusedBacklog means that the job could not end in time behind the accepted work.
 	RefusedBacklog = "backlog"
-	// RefusedTaken says that the id is that of a job which is not the caller's.
+	// RefusedTaken means that the id belongs to a job of another caller.
 	RefusedTaken = "id-taken"
-	// RefusedAccountBacklog says that it could not end in time behind others of its account,
-	// which is at its limit.
+	// RefusedAccountBacklog means that the job could not end in time behind other jobs of its
+	// account, which is at its limit.
 	RefusedAccountBacklog = "account-backlog"
-	// RefusedAccount says that a part of the job alone is above its account's limit.
+	// RefusedAccount means that a part of the job exceeds its account's limit by itself.
 	RefusedAccount = "account-limit"
 )
 
-// Caller is who asks for a job.
+// Caller identifies who submits a job or asks about one.
 type Caller struct {
-	// Queue is the one asked, Account the client account, "" where the queue asks for no
-	// key.
+	// Queue is the queue that is addressed. Account is the client account, "" if the queue
+	// requires no key.
 	Queue   string `cbor:"1,keyasint,omitempty"`
 	Account string `cbor:"2,keyasint,omitempty"`
 }
 
-// Shows reports whether a job is the caller's to know of. One that was handed in without
-// an account is anybody's; so are, for those who ask without one, the jobs of a queue
-// that asks for no key any more.
+// Shows reports whether the caller may see a job. A job that was submitted without an account is
+// visible to everybody. A caller without an account also sees the jobs of the queue that it
+// addresses, which may have required a key earlier.
 func (c *Core) Shows(id string, caller Caller) bool {
 	j := c.jobs[id]
 	if j == nil {
-		return true // and unknown
+		return true // the caller is told that there is no such job
 	}
 	return j.rec.Account == "" || j.rec.Account == caller.Account || caller.Account == "" && j.rec.Queue == caller.Queue
 }
 
-// Submit takes a job. For VerdictAccepted the reply with the token follows
-// once the job is durable; the other verdicts hold at once. A job that is
-// accepted but not yet durable answers its repetition with the same reply.
+// Submit submits a job. After VerdictAccepted, the reply with the token follows once the job is
+// durable; the other verdicts are final at once. Submitting a job again that is accepted but not
+// yet durable gives VerdictAccepted and a reply of its own.
 func (c *Core) Submit(now time.Duration, in jobs.Job, accepting Accepting, token uint64) (Verdict, Refusal) {
 	if j := c.jobs[in.ID]; j != nil {
 		if !c.Shows(in.ID, Caller{Queue: accepting.Queue, Account: accepting.Account}) {
@@ -95,9 +96,9 @@
 	return VerdictAccepted, Refusal{}
 }
 
-// Cancel ends a job. known is false where there is no such job; durable is
-// true where the job had ended before, and otherwise the reply with the token
-// follows once the cancellation is durable.
+// Cancel ends a job. known is false if there is no such job. durable is true if the job's end
+// was durable before; otherwise the reply with the token follows once the cancellation is
+// durable.
 func (c *Core) Cancel(now time.Duration, id string, token uint64) (known, durable bool) {
 	j := c.jobs[id]
 	if j == nil {
@@ -114,7 +115,7 @@
 	return true, false
 }
 
-// State returns the durable state of a job.
+// State returns the durable state of a job, and whether the job has been accepted.
 func (c *Core) State(id string) (JobState, bool) {
 	j := c.jobs[id]
 	if j == nil || !j.accepted {
@@ -129,9 +130,9 @@
 	return JobQueued, true
 }
 
-// Pending is the number of accepted jobs of a queue of which no task has begun.
-// A start that is only intended does not count: its endpoint may be dead, and the
-// caller is told that nothing waits while everything does.
+// Pending returns the number of accepted jobs of a queue of which no run has been confirmed. A
+// job whose start was only decided or sent still counts: its endpoint may be down, and nothing
+// would seem to wait while every job does.
 func (c *Core) Pending(queue string) int {
 	n := 0
 	for _, j := range c.open {
@@ -142,7 +143,7 @@
 	return n
 }
 
-// end makes a job's final state: what waits is dropped, what runs is stopped.
+// end gives a job its final state. Waiting tasks are dropped and running ones stopped.
 func (c *Core) end(j *job, state JobState, reason string) {
 	j.rec.State = state
 	j.rec.EndedMs = c.wallMs
@@ -163,8 +164,7 @@
 	c.retireIfStopped(j)
 }
 
-// retireIfStopped moves an ended job with nothing left running to those that are only
-// remembered.
+// retireIfStopped moves an ended job without running tasks from open to ended.
 func (c *Core) retireIfStopped(j *job) {
 	if !j.rec.State.Ended() || j.placed > 0 || !j.queued {
 		return
@@ -176,7 +176,7 @@
 	c.touch(j)
 }
 
-// evictEnded drops jobs whose state need not be known any longer.
+// evictEnded removes jobs that ended more than KeepEnded ago.
 func (c *Core) evictEnded() {
 	for len(c.ended) > 0 {
 		j := c.ended[0]
@@ -189,7 +189,7 @@
 	}
 }
 
-// begin expands the job's next occurrence.
+// begin expands the job's next occurrence into steps and tasks.
 func (c *Core) begin(j *job) {
 	o := &occurrence{number: j.next, left: len(j.rec.Job.Steps)}
 	j.next++
@@ -214,7 +214,7 @@
 	return slices.Compact(out)
 }
 
-// expandDueOccurrences expands the occurrences whose time has come.
+// expandDueOccurrences expands the occurrences whose start time has come.
 func (c *Core) expandDueOccurrences() {
 	for _, j := range c.open {
 		if j.rec.State.Ended() {
@@ -228,8 +228,8 @@
 
 func (j *job) occurrenceCount() int { return max(1, j.rec.Job.Occurrences) }
 
-// closeOccurrence marks an occurrence as ended, which leaves it without steps,
-// and forgets the lowest ones.
+// closeOccurrence marks an occurrence as ended and drops its steps. It then removes ended
+// occurrences from the front of the job's list.
 func (c *Core) closeOccurrence(j *job, number int) {
 	for _, o := range j.current {
 		if o.number == number {
@@ -242,23 +242,23 @@
 	}
 }
 
-// Admission. Load: a queue asks five times its mean for seconds on end, more
-// than its pool holds. Accepting all of it makes every job late, and a late
-// job earns a fifteenth of one in time; so what could not end within its
-// objective behind the work already accepted is refused at once, with the time
-// after which the backlog has drained.
+// Admission control. Load: a queue receives five times its mean rate for seconds, more than its
+// pool can run. Accepting all of it would make every job late, and a late job earns a fifteenth
+// of one in time. So a job that could not end within its objective behind the work already
+// accepted is refused at once, with the time after which the backlog will have drained.
 const (
-	// minRetryAfter is the shortest advice to come back: HTTP counts in seconds.
+	// minRetryAfter is one second because HTTP's Retry-After counts in seconds.
 	minRetryAfter = time.Second
-	// maxRetryAfter is below the deadline of an ordinary caller, so that the
-	// advice can still be followed.
+	// maxRetryAfter is below the deadline of an ordinary caller, so that the caller can still
+	// retry.
 	maxRetryAfter = 3 * time.Second
-	// refusalMemory bounds how long a refused job's return is recognised.
+	// refusalMemory is how long a refused job is recognised when it is submitted again.
 	refusalMemory = 15 * time.Second
-	// maxRememberedRefusals bounds the memory that takes.
+	// maxRememberedRefusals bounds the memory used for this.
 	maxRememberedRefusals = 20000
 )
 
+// checkAdmission reports whether a job is refused, and why.
 func (c *Core) checkAdmission(now time.Duration, j *job) (Refusal, bool) {
 	if !c.canEverRun(j) {
 		return Refusal{Reason: RefusedAccount}, true
@@ -286,9 +286,9 @@
 	return Refusal{Reason: reason, RetryAfter: min(max(retry, minRetryAfter), maxRetryAfter)}, true
 }
 
-// recordOffer adds a job's work to what was offered, once however often the job
-// comes back after a refusal, and returns when it was first offered: callers
-// count its time from then.
+// recordOffer adds a job's work to the total offered, once however often the job is submitted
+// again after a refusal. It returns when the job was first offered, because callers measure its
+// time from then.
 func (c *Core) recordOffer(now time.Duration, j *job, refused bool) time.Duration {
 	id := j.rec.Job.ID
 	firstOffered, resubmitted := c.refusedSince[id]
@@ -311,7 +311,7 @@
 	return firstOffered
 }
 
-// evictRefused drops refused jobs that have not come back.
+// evictRefused removes refused jobs that have not been submitted again.
 func (c *Core) evictRefused(now time.Duration) {
 	for id, at := range c.refusedSince {
 		if now-at > refusalMemory {
@@ -320,6 +320,7 @@
 	}
 }
 
+// lasting reports whether the job has a long-running step.
 func lasting(j *jobs.Job) bool {
 	for i := range j.Steps {
 		if j.Steps[i].LongRunning {
@@ -329,8 +330,7 @@
 	return false
 }
 
-// shortTaskCPU is the pool's processor room in milli-cores, less what lasting tasks
-// hold.
+// shortTaskCPU is the pool's CPU capacity in milli-cores, less what long-running tasks hold.
 func (c *Core) shortTaskCPU() int {
 	total := 0
 	for _, e := range c.endpoints {
@@ -351,16 +351,16 @@
 	return cpu
 }
 
-// queuedWork is accepted work that stands before a new job.
+// queuedWork is accepted work that is ahead of a new job.
 type queuedWork struct {
-	// byAccount is its sum in milli-core-milliseconds, by client account.
+	// byAccount is the work in milli-core-milliseconds, by client account.
 	byAccount map[string]float64
-	// tasks of it wait.
+	// tasks is the number of tasks of it that could start at once.
 	tasks int
 }
 
-// backlog is the accepted work that has not begun, of this priority or before it. Jobs that
-// are late anyway don't stand before a new one.
+// backlog returns the remaining work of accepted jobs of this or a more urgent priority. Jobs
+// that are late in any case don't count, because they are placed last.
 func (c *Core) backlog(now time.Duration, priority int) queuedWork {
 	q := queuedWork{byAccount: map[string]float64{}}
 	for _, j := range c.open {
@@ -376,10 +376,10 @@
 
 // work is what a job still has to run, in milli-core-milliseconds.
 type work struct {
-	// ready could run at once; later waits for earlier steps; running is half
-	// of what runs now.
+	// ready could start at once; later waits for earlier steps; running is half of the work of
+	// the tasks that are running.
 	ready, later, running float64
-	// tasks could start at once.
+	// tasks is the number of tasks that could start at once.
 	tasks int
 }
 
@@ -401,12 +401,11 @@
 	return w
 }
 
-// laterStepsShare is how much of the work of later steps counts as being ahead of a
-// new job: most of it runs beside the new job's own steps and not before them.
+// laterStepsShare is the fraction of the work of later steps that counts as ahead of a new job:
+// most of it runs beside the new job's own steps and not before them.
 const laterStepsShare = 0.35
 
-// sortOpen orders jobs by priority, then those that can still be in time, then
-// by objective.
+// sortOpen orders jobs by priority and then by objective.
 func (c *Core) sortOpen() {
 	if !c.unsorted {
 		return
--- a/internal/executor/vacate.go
+++ b/internal/executor/vacate.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// vacateFor is how long a request to vacate holds unless it is repeated.
+// vacateFor is how long a request to vacate is valid unless it is repeated.
 const vacateFor = 4 * time.Second
 
-// vacate stops placing on an endpoint and moves what lasts on it elsewhere.
+// vacate marks an endpoint so that no tasks are placed on it for vacateFor.
 func (c *Core) vacate(now time.Duration, e *endpoint) {
 	if !e.vacating {
 		c.event(Event{Kind: EventVacating, Endpoint: e.id, Run: len(e.tasks)})
@@ -14,22 +14,22 @@
 	e.vacateUntil = now + vacateFor
 }
 
-// Vacancy is how far an endpoint is cleared of tasks.
+// Vacancy is how far an endpoint has been vacated.
 type Vacancy struct {
-	// Left is how many tasks are left on it.
+	// Left is the number of tasks that are still on the endpoint.
 	Left int
-	// StartedMs tells the incarnation that this is about, 0 where not told.
+	// StartedMs identifies the incarnation, 0 if unknown.
 	StartedMs int64
 }
 
-// Vacate asks to clear an endpoint of tasks, so that its instance can move or
-// be maintained. It returns how many are left; with none left nothing is
-// placed there for vacateFor, unless the request is withdrawn. Tasks that end
-// by themselves are left to it unless hurry is set. The request holds for the
-// endpoint's instance, and so for an incarnation that begins meanwhile.
+// Vacate requests that an endpoint is cleared of tasks, so that its instance can be moved or
+// maintained. It returns how many are left. With none left, nothing is placed on the endpoint
+// for vacateFor unless the request is withdrawn. Tasks that end by themselves are not stopped
+// unless hurry is set. The request applies to the endpoint's instance, and so to an incarnation
+// that starts meanwhile.
 func (c *Core) Vacate(now time.Duration, id string, hurry bool) (v Vacancy, known bool) {
-	// An endpoint that service discovery has not shown yet is kept clear from
-	// the moment it does.
+	// An endpoint that service discovery does not list yet is kept clear from the moment
+	// that it is listed.
 	e := c.endpoint(id)
 	c.vacate(now, e)
 	c.stopLongRunning(now, e)
@@ -43,8 +43,8 @@
 	return Vacancy{Left: len(e.tasks) + e.strangers, StartedMs: e.startedMs}, e.lookedEver
 }
 
-// LeavesSoon takes in which endpoints will have to be cleared soon. It holds for
-// vacateFor unless it is repeated.
+// LeavesSoon sets which endpoints will have to be vacated soon. It is valid for vacateFor unless
+// it is repeated.
 func (c *Core) LeavesSoon(now time.Duration, ids []string) {
 	for _, id := range ids {
 		if e := c.endpoints[id]; e != nil {
@@ -53,15 +53,15 @@
 	}
 }
 
-// predecessorStopWindow covers a stop that a predecessor sent just before it was fenced.
+// predecessorStopWindow covers a stop that the predecessor sent just before it was fenced.
 const predecessorStopWindow = time.Second
 
-// stopLongRunning stops tasks that last, as many at a time as their steps may
-// miss. A step without a budget is stopped at once.
+// stopLongRunning stops long-running tasks, as many at a time as their steps' disruption budgets
+// (MayMiss) allow. Tasks of a step without a budget are stopped at once.
 //
-// A predecessor may have ordered stops that this owner does not know of, and
-// endpoints list a run as working until its stop is through. Until those stops
-// must have ended, one more could be one too many.
+// The predecessor may have sent stops that this owner has no record of, and endpoints list a run
+// as running until its stop is complete. Until those stops must have ended, a further one could
+// exceed the budget.
 func (c *Core) stopLongRunning(now time.Duration, e *endpoint) {
 	if c.epoch > 1 && now < c.claimedAt+c.limits.StopTimeout+predecessorStopWindow {
 		return
@@ -78,9 +78,9 @@
 	}
 }
 
-// stopLongRunningOnDrain moves what lasts off an endpoint that is about to leave: it
-// would end there without a checkpoint. An endpoint that leaves by itself takes
-// nothing from the steps' budgets.
+// stopLongRunningOnDrain stops the long-running tasks of an endpoint that is shutting down,
+// where they would end without a checkpoint. This does not count against the steps' disruption
+// budgets.
 func (c *Core) stopLongRunningOnDrain(e *endpoint) {
 	for t := range e.tasks {
 		if t.step.spec.LongRunning {
@@ -89,6 +89,7 @@
 	}
 }
 
+// stopFor marks a task's run to be stopped and logs the reason.
 func (c *Core) stopFor(t *task, reason string) {
 	if t.stopping {
 		return
@@ -97,7 +98,8 @@
 	c.event(Event{Kind: EventStop, Job: t.step.job.rec.Job.ID, Task: t.name(), Run: t.run, Endpoint: t.host.id, Reason: reason})
 }
 
-// countUnavailable counts the tasks of a step, besides one, that are not surely at work.
+// countUnavailable counts the tasks of a step, other than one, that are not confirmed to be
+// fully started.
 func (c *Core) countUnavailable(s *stepRun, except *task) int {
 	n := 0
 	for _, t := range s.tasks {
--- a/internal/executor/world_test.go
+++ b/internal/executor/world_test.go
@@ -12,9 +12,9 @@
 	"cyclamenwheel/internal/routing"
 )
 
-// world is a pool's surroundings in memory: a journal that refuses older
-// epochs, endpoints with fences, leases and ends, and one or more owners.
-// Orders and answers can be lost or late.
+// world simulates a pool's environment in memory: a journal that rejects older epochs, endpoints
+// with fencing tokens, leases and ends, and one or more owners. Orders and answers can be lost
+// or late.
 type world struct {
 	now     time.Duration
 	seed    uint64
@@ -23,34 +23,35 @@
 	owners  []*owner
 	late    []lateOrder
 	answers []lateAnswer
-	// loseOrders and loseAnswers are shares of orders; lateOrders of those
-	// lost are carried out later.
+	// loseOrders and loseAnswers are the fractions of orders and answers that are lost;
+	// lateOrders is the fraction of lost orders that are carried out later.
 	loseOrders, loseAnswers, lateOrders float64
-	// trace is what happened to tasks, told of those that break something.
+	// trace records what happened to tasks; it is printed for tasks that violate a contract.
 	trace []traceEvent
-	// broken lists what an observer of the endpoints saw go wrong.
+	// broken lists the contract violations seen on the endpoints.
 	broken []string
-	// runs is what has run of each task, by name.
+	// runs is the history of each task, by name.
 	runs   map[string]*history
 	limits executor.Limits
-	// lengthOf, if set, is how long a task takes on any host.
+	// lengthOf, if set, returns how long a task takes on any host.
 	lengthOf func(jobs.TaskName) time.Duration
-	// slowJournal takes batches side by side and answers them late.
+	// slowJournal makes the journal accept several batches at a time and answer them late.
 	slowJournal bool
-	// crasher tells the tasks that crash the endpoints that start them, crashAfter their start.
-	// An endpoint that has crashed is back after downFor, under another id with newIDs.
+	// crasher selects the tasks that crash the endpoints that start them, crashAfter their
+	// start. An endpoint that has crashed is back after downFor, under another id if newIDs is
+	// set.
 	crasher             func(jobs.TaskName) bool
 	crashAfter, downFor time.Duration
 	newIDs              bool
 	born                int
-	// beat is how often endpoints write their entries in service discovery, 0 for at once.
-	// storeAway: neither they nor owners can write.
+	// beat is the interval at which endpoints write their service discovery entries, 0 for
+	// immediately. While storeAway is set, neither they nor owners can write.
 	beat      time.Duration
 	storeAway bool
-	// account is whose jobs are handed in, which may have limitMilli running in this pool.
+	// account is the account that submits the jobs. It may have limitMilli running in this pool.
 	account    string
 	limitMilli int
-	// inOrder lets owners of random days hand over as they end.
+	// inOrder makes the owners of random scenarios hand their pool over when they end.
 	inOrder bool
 }
 
@@ -64,11 +65,12 @@
 	order executor.Order
 	epoch int64
 	lease time.Duration
-	// startedMs is the incarnation that got the order. A later one knows nothing of it.
+	// startedMs identifies the incarnation that the order was sent to. A later one does not get
+	// it.
 	startedMs int64
 }
 
-// lateAnswer is a listing on its way to an owner.
+// lateAnswer is a listing that is in flight to an owner.
 type lateAnswer struct {
 	at     time.Duration
 	to     *owner
@@ -91,7 +93,7 @@
 	w.trace = append(w.trace, traceEvent{w.now, what, task, host, run, epoch, result})
 }
 
-// story is all that happened to a task.
+// story returns the trace of a task as text.
 func (w *world) story(task string) string {
 	var b strings.Builder
 	for _, t := range w.trace {
@@ -106,18 +108,18 @@
 	core    *executor.Core
 	epoch   int64
 	stopped bool
-	// cut owners reach no journal.
+	// cut means that the owner can't reach the journal.
 	cut bool
-	// busy owners take answers in and get to nothing else.
+	// busy means that the owner receives answers but does nothing else.
 	busy bool
-	// lastProof is when the journal last took something.
+	// lastProof is when the journal last confirmed the owner's epoch.
 	lastProof time.Duration
-	// batches are on their way to a journal that is slow, the oldest first.
+	// batches are in flight to a slow journal, oldest first.
 	batches []*batchInFlight
 	flushed time.Duration
 }
 
-// batchInFlight is stored at one moment and answered at a later one.
+// batchInFlight is stored at one time and answered at a later one.
 type batchInFlight struct {
 	ready                    executor.Ready
 	sent, storedAt, answered time.Duration
@@ -125,24 +127,24 @@
 }
 
 const (
-	// maxBatchesInFlight and nextBatchAfter are those of the caller of a Core.
+	// maxBatchesInFlight and batchInterval are the values that the caller of a Core uses.
 	maxBatchesInFlight = 4
-	batchInterval = 50 * time.Millisecond
-	// maxJournalDelay is how long a batch takes at most to be stored, and its answer to
-	// come.
+	batchInterval      = 50 * time.Millisecond
+	// maxJournalDelay is the longest time until a batch is stored, and from then until its
+	// answer arrives.
 	maxJournalDelay = 200 * time.Millisecond
 )
 
-// chance is a number from 0 to 1 for something that happens now. It depends on
-// what happens and not on the order in which a Core asks, so that a seed gives
-// the same day each time.
+// chance returns a pseudo-random number from 0 to 1 for an event at the current time. It depends
+// on the event and not on the order in which a Core acts, so that a seed always gives the same
+// run.
 func (w *world) chance(what ...any) float64 {
 	h := fnv.New64a()
 	fmt.Fprint(h, w.seed, w.now, what)
 	return float64(mixBits(h.Sum64())>>11) / (1 << 53)
 }
 
-// mixBits spreads the bits of a hash whose inputs are alike.
+// mixBits spreads the bits of hashes whose inputs are similar.
 func mixBits(x uint64) uint64 {
 	x ^= x >> 33
 	x *= 0xff51afd7ed558ccd
@@ -152,7 +154,7 @@
 
 const step = 10 * time.Millisecond
 
-// entryTTL is how long service discovery shows an endpoint that has fallen silent.
+// entryTTL is how long service discovery lists an endpoint that has become unresponsive.
 const entryTTL = 4500 * time.Millisecond
 
 func testLimits() executor.Limits {
@@ -169,7 +171,7 @@
 	return w
 }
 
-// takeOver lets a new owner claim the pool, as the shards package does.
+// takeOver makes a new owner claim the pool, as the shards package does.
 func (w *world) takeOver() *owner {
 	w.journal.epoch++
 	w.note("takeover", "", "", 0, w.journal.epoch, 0)
@@ -191,7 +193,7 @@
 	return o
 }
 
-// handOver lets an owner give the pool up in order.
+// handOver makes an owner hand the pool over.
 func (w *world) handOver(o *owner) {
 	last := o.core.HandOver(w.now)
 	if !o.stopped && !o.cut && o.epoch == w.journal.epoch && len(o.batches) == 0 {
@@ -202,6 +204,7 @@
 
 func (w *world) wall() int64 { return 1_000_000 + w.now.Milliseconds() }
 
+// discoveryList returns what service discovery lists.
 func (w *world) discoveryList() []executor.EndpointInfo {
 	var out []executor.EndpointInfo
 	for _, h := range w.hosts {
@@ -222,7 +225,7 @@
 	return out
 }
 
-// run lets time pass.
+// run advances the simulated time.
 func (w *world) run(d time.Duration) {
 	for end := w.now + d; w.now < end; {
 		w.now += step
@@ -237,6 +240,7 @@
 	}
 }
 
+// round runs one iteration of an owner's loop.
 func (w *world) round(o *owner) {
 	c := o.core
 	c.SetWall(w.wall())
@@ -264,7 +268,7 @@
 	w.flush(o)
 }
 
-// flush appends a batch at once, or ends an owner that has been displaced.
+// flush appends a batch, or stops an owner whose epoch is no longer the newest.
 func (w *world) flush(o *owner) {
 	if o.cut || w.storeAway {
 		return
@@ -308,9 +312,8 @@
 	}
 }
 
-// flushPipelined goes on with the batches on their way and sends another. They are
-// stored in order, each is answered some time later, and what it allows waits for
-// the answers to all before it.
+// flushPipelined advances the batches in flight and sends another. They are stored in order and
+// answered some time later; a batch is released only after the answers to all earlier ones.
 func (w *world) flushPipelined(o *owner) {
 	for _, b := range o.batches {
 		if !b.stored && w.now >= b.storedAt {
@@ -404,8 +407,7 @@
 	w.answers = append(w.answers, lateAnswer{w.now + delay, o, l, listed, executor.LookAnswered})
 }
 
-// deliverListings hands listings to their owners, which may have heard newer things
-// meanwhile.
+// deliverListings passes listings to their owners, which may have received newer ones meanwhile.
 func (w *world) deliverListings() {
 	waiting := w.answers
 	w.answers = nil
