--- a/internal/executor/orders.go
+++ b/internal/executor/orders.go
@@ -142,16 +142,16 @@
 		t.answered = true
 	case OrderNoTicket:
 		delete(t.step.advice.tickets, e.incarnation())
-		c.rejectStart(now, t, e, result)
+		c.withdrawStart(now, t, e, result)
 	case OrderNoRoom, OrderUnhealthy, OrderInvalid:
-		c.rejectStart(now, t, e, result)
+		c.withdrawStart(now, t, e, result)
 	}
 }
 
-// rejectStart withdraws a start that the endpoint refused. An earlier copy of the order may
+// withdrawStart withdraws a start that the endpoint refused. An earlier copy of the order may
 // still arrive if one went unanswered, so the run stays on the endpoint until a stop has made
 // sure that its number can't start any more.
-func (c *Core) rejectStart(now time.Duration, t *task, e *endpoint, result OrderResult) {
+func (c *Core) withdrawStart(now time.Duration, t *task, e *endpoint, result OrderResult) {
 	c.event(Event{Kind: EventLost, Job: t.step.job.rec.Job.ID, Task: t.name(), Run: t.run, Endpoint: e.id, Reason: "start refused: " + result.String()})
 	if result != OrderNoTicket {
 		e.quarantine = max(e.quarantine, now+refusalPause)
@@ -214,9 +214,9 @@
 		e.consecutiveFailures++
 		e.quarantine = now + quarantineBase
 		t.avoid = e.incarnation()
-		c.event(Event{Kind: EventStop, Job: t.step.job.rec.Job.ID, Task: t.name(), Run: t.run, Endpoint: e.id, Reason: "stands still"})
+		c.event(Event{Kind: EventStop, Job: t.step.job.rec.Job.ID, Task: t.name(), Run: t.run, Endpoint: e.id, Reason: "no progress"})
 	}
-	if t.exceedsGangStart(now) {
+	if t.gangStartOverdue(now) {
 		c.breakGang(t.step)
 	}
 	c.rescue(e, t)
@@ -233,8 +233,8 @@
 // too long.
 const gangStartTimeout = time.Second
 
-// exceedsGangStart reports whether a gang member has not been confirmed within gangStartTimeout.
-func (t *task) exceedsGangStart(now time.Duration) bool {
+// gangStartOverdue reports whether a gang member is still not confirmed after gangStartTimeout.
+func (t *task) gangStartOverdue(now time.Duration) bool {
 	return t.step.spec.Gang && t.ordered > 0 && t.confirmed == 0 && now-t.ordered > gangStartTimeout
 }
 
--- a/internal/executor/place.go
+++ b/internal/executor/place.go
@@ -327,10 +327,10 @@
 	// besideLasting is a bonus that packs long-running tasks onto few endpoints, so that the
 	// others can be moved and maintained without stopping any.
 	besideLasting = 2.0
-	// drainsSoonPenalty keeps long-running tasks off endpoints that a maintenance wave is still
+	// vacatedSoonPenalty keeps long-running tasks off endpoints that a maintenance wave is still
 	// to take. There they would be stopped and moved a second time, and the disruption budget
 	// for that is what makes waves late.
-	drainsSoonPenalty = 3.0
+	vacatedSoonPenalty = 3.0
 	// failurePenalty, per consecutive failure, makes endpoints whose runs fail the last choice.
 	failurePenalty = 0.5
 )
@@ -350,7 +350,7 @@
 		score += besideLasting
 	}
 	if s.LongRunning && now < e.dueUntil {
-		score -= drainsSoonPenalty
+		score -= vacatedSoonPenalty
 	}
 	if s.DataRack != "" && s.DataRack != e.rack {
 		score -= remoteDataPenalty
--- a/internal/executor/submit.go
+++ b/internal/executor/submit.go
@@ -252,8 +252,8 @@
 	// maxRetryAfter is below the deadline of an ordinary caller, so that the caller can still
 	// retry.
 	maxRetryAfter = 3 * time.Second
-	// refusalMemory is how long a refused job is recognised when it is submitted again.
-	refusalMemory = 15 * time.Second
+	// refusalTTL is how long a refused job is recognised when it is submitted again.
+	refusalTTL = 15 * time.Second
 	// maxRememberedRefusals bounds the memory used for this.
 	maxRememberedRefusals = 20000
 )
@@ -292,7 +292,7 @@
 func (c *Core) recordOffer(now time.Duration, j *job, refused bool) time.Duration {
 	id := j.rec.Job.ID
 	firstOffered, resubmitted := c.refusedSince[id]
-	resubmitted = resubmitted && now-firstOffered < refusalMemory
+	resubmitted = resubmitted && now-firstOffered < refusalTTL
 	if !resubmitted {
 		firstOffered = now
 	}
@@ -314,7 +314,7 @@
 // evictRefused removes refused jobs that have not been submitted again.
 func (c *Core) evictRefused(now time.Duration) {
 	for id, at := range c.refusedSince {
-		if now-at > refusalMemory {
+		if now-at > refusalTTL {
 			delete(c.refusedSince, id)
 		}
 	}
