--- a/internal/executor/orders.go
+++ b/internal/executor/orders.go
@@ -2,29 +2,29 @@
 
 import "time"
 
-// OrderResult says how an order went.
+// OrderResult is the outcome of an order.
 type OrderResult uint8
 
 // Results of orders.
 const (
 	OrderDone OrderResult = iota
-	// OrderUnanswered: it may have been carried out, or be carried out later.
+	// OrderUnanswered: no answer came; the order may have been carried out, or may be later.
 	OrderUnanswered
-	// OrderFenced: a newer epoch commands the endpoint.
+	// OrderFenced: the endpoint has seen a newer epoch.
 	OrderFenced
-	// OrderOld: that run has ended or was stopped there.
+	// OrderOld: the run has ended or was stopped on the endpoint.
 	OrderOld
-	// OrderLate: its lease had run out on arrival.
+	// OrderLate: the lease had expired when the order arrived.
 	OrderLate
-	// OrderNoRoom: a guarded endpoint is full.
+	// OrderNoRoom: the endpoint, which checks its capacity, is full.
 	OrderNoRoom
-	// OrderNoTicket: the endpoint asks for a fresh ticket.
+	// OrderNoTicket: the endpoint requires a valid ticket.
 	OrderNoTicket
-	// OrderGone: another incarnation lives at the address.
+	// OrderGone: another incarnation answers at the address.
 	OrderGone
-	// OrderUnhealthy: the endpoint takes no orders now.
+	// OrderUnhealthy: the endpoint accepts no orders at present.
 	OrderUnhealthy
-	// OrderInvalid: the endpoint can't read the order.
+	// OrderInvalid: the endpoint can't decode the order.
 	OrderInvalid
 )
 
@@ -32,32 +32,35 @@
 
 func (r OrderResult) String() string { return orderResultNames[r] }
 
-// Quarantine of endpoints that fail what they start. Load: an endpoint fails
-// everything at once while its health is good, and being always free it draws
-// most of the starts. The first probes after it cost one task each.
+// Quarantine of endpoints on which runs fail. Load: an endpoint fails every run at once while
+// its health checks pass, and as it is always free it attracts most of the starts. After a
+// quarantine, the first starts probe the endpoint at the cost of one task each.
 const (
-	// badRunsAllowed ends of failed runs in a row may be the tasks' own fault.
-	badRunsAllowed = 2
-	quarantineBase = time.Second
-	quarantineMax  = 4 * time.Second
-	// refusedPause follows a refusal that says the endpoint is full or unwell.
-	refusedPause = 300 * time.Millisecond
+	// quarantineAfter consecutive failures quarantine an endpoint; fewer may be the tasks' own
+	// fault.
+	quarantineAfter = 2
+	quarantineBase  = time.Second
+	quarantineMax   = 4 * time.Second
+	// refusalPause is the quarantine after an endpoint refused a start, because it is full or
+	// unhealthy.
+	refusalPause = 300 * time.Millisecond
 )
 
-// TakeStops returns the stops that are due. They need no record.
+// TakeStops returns and clears the stops to send. They need no record.
 func (c *Core) TakeStops() []Order {
 	out := c.stops
 	c.stops = nil
 	return out
 }
 
-// NextStart returns the next start that may leave now, and its lease. It is answered by
-// OrderDone. ok is false once as many are under way as the owner carries.
+// NextStart returns the next start to send now, and the end of its lease. The caller reports its
+// outcome with OrderDone. ok is false if none is ready or the limit on starts in flight is
+// reached.
 func (c *Core) NextStart(now time.Duration) (o Order, lease time.Duration, ok bool) {
 	c.pace.pass(now)
 	for len(c.leaving) > 0 && c.pace.free() > 0 {
 		o, c.leaving = c.leaving[0], c.leaving[1:]
-		if !o.current() || o.Fence != c.fence(o.task.host) || o.task.stopping {
+		if !o.isCurrent() || o.Fence != c.fence(o.task.host) || o.task.stopping {
 			continue
 		}
 		if !c.mayLeave(now, o.task.host) {
@@ -71,12 +74,12 @@
 	return Order{}, 0, false
 }
 
-// current reports whether the order is about the newest run of its task.
-func (o *Order) current() bool {
+// isCurrent reports whether the order belongs to the newest run of its task.
+func (o *Order) isCurrent() bool {
 	return o.task != nil && o.task.host != nil && o.task.host.id == o.Endpoint && o.task.run == o.Run
 }
 
-// OrderDone takes in the result of an order.
+// OrderDone applies the outcome of an order.
 func (c *Core) OrderDone(now time.Duration, o Order, result OrderResult, a Answer) {
 	switch {
 	case o.slot == nil:
@@ -88,13 +91,13 @@
 	c.explainPace(now)
 	e := c.endpoints[o.Endpoint]
 	if e == nil || o.Fence != c.fence(e) {
-		return // about an earlier incarnation
+		return // sent to an earlier incarnation
 	}
 	if c.meet(now, e, a.StartedMs); o.Fence != c.fence(e) {
 		return // another incarnation has answered
 	}
-	same := a.isFrom(now, o.sent, e)
-	if same {
+	fromCurrent := a.isFrom(now, o.sent, e)
+	if fromCurrent {
 		e.noteClock(now, a.Clock)
 	}
 	switch result {
@@ -112,17 +115,17 @@
 	}
 	switch o.Kind {
 	case OrderStart:
-		t.proven = t.proven || same && result == OrderDone
-		c.startDone(now, t, e, result)
-		if !same && a.Clock > 0 {
+		t.proven = t.proven || fromCurrent && result == OrderDone
+		c.applyStartResult(now, t, e, result)
+		if !fromCurrent && a.Clock > 0 {
 			c.unsure(now, e)
 		}
 	case OrderStop:
-		c.stopDone(now, t, e, result)
+		c.applyStopResult(now, t, e, result)
 	}
 }
 
-func (c *Core) startDone(now time.Duration, t *task, e *endpoint, result OrderResult) {
+func (c *Core) applyStartResult(now time.Duration, t *task, e *endpoint, result OrderResult) {
 	switch result {
 	case OrderDone:
 		t.answered = true
@@ -131,7 +134,7 @@
 	case OrderUnanswered:
 		e.nextLook = min(e.nextLook, now+unsureWait)
 	case OrderOld:
-		// Its end, or that of a stop, is listed or has been.
+		// The end of the run, or its stop, is listed or was listed earlier.
 		t.answered = true
 		t.confirmed = max(t.confirmed, now)
 		e.nextLook = now
@@ -139,56 +142,56 @@
 		t.answered = true
 	case OrderNoTicket:
 		delete(t.step.advice.tickets, e.incarnation())
-		c.notStarted(now, t, e, result)
+		c.withdrawStart(now, t, e, result)
 	case OrderNoRoom, OrderUnhealthy, OrderInvalid:
-		c.notStarted(now, t, e, result)
+		c.withdrawStart(now, t, e, result)
 	}
 }
 
-// notStarted takes back a start that the endpoint turned away. An earlier copy
-// of the order may still arrive if one went unanswered, so the run keeps its
-// place until a stop has closed its number.
-func (c *Core) notStarted(now time.Duration, t *task, e *endpoint, result OrderResult) {
+// withdrawStart withdraws a start that the endpoint refused. An earlier copy of the order may
+// still arrive if one went unanswered, so the run stays on the endpoint until a stop has made
+// sure that its number can't start any more.
+func (c *Core) withdrawStart(now time.Duration, t *task, e *endpoint, result OrderResult) {
 	c.event(Event{Kind: EventLost, Job: t.step.job.rec.Job.ID, Task: t.name(), Run: t.run, Endpoint: e.id, Reason: "start refused: " + result.String()})
 	if result != OrderNoTicket {
-		e.quarantine = max(e.quarantine, now+refusedPause)
+		e.quarantine = max(e.quarantine, now+refusalPause)
 	}
 	t.stopping = true
 	c.breakGang(t.step)
 }
 
-func (c *Core) stopDone(now time.Duration, t *task, e *endpoint, result OrderResult) {
+func (c *Core) applyStopResult(now time.Duration, t *task, e *endpoint, result OrderResult) {
 	if result != OrderDone {
 		return
 	}
 	e.nextLook = min(e.nextLook, now+lookGap)
 	if t.confirmed == 0 {
-		// Closed before it came, or running unseen: the next listing that was
-		// asked for after this answer tells which.
+		// The run was stopped before it started, or runs without having been listed. The
+		// next listing requested after this answer shows which.
 		t.confirmed = now
 	}
 }
 
-// judge learns from an end how well an endpoint works.
-func (c *Core) judge(now time.Duration, e *endpoint, t *task, how HowEnded) {
-	switch how {
+// updateQuarantine counts how runs end on an endpoint, and quarantines one on which they fail.
+func (c *Core) updateQuarantine(now time.Duration, e *endpoint, t *task, outcome HowEnded) {
+	switch outcome {
 	case EndedDone:
-		e.badRuns = 0
+		e.consecutiveFailures = 0
 	case EndedFailed:
 		if t.failures > 0 && t.avoid != e.incarnation() {
-			return // it fails everywhere: the task's own fault
+			return // the task last failed on another endpoint, so this one is not at fault
 		}
-		e.badRuns++
-		if e.badRuns >= badRunsAllowed {
-			pause := min(quarantineBase<<min(e.badRuns-badRunsAllowed, 4), quarantineMax)
+		e.consecutiveFailures++
+		if e.consecutiveFailures >= quarantineAfter {
+			pause := min(quarantineBase<<min(e.consecutiveFailures-quarantineAfter, 4), quarantineMax)
 			e.quarantine = now + pause
-			c.event(Event{Kind: EventQuiet, Endpoint: e.id, Reason: "runs fail", Run: e.badRuns, AgeMs: pause.Milliseconds()})
+			c.event(Event{Kind: EventQuiet, Endpoint: e.id, Reason: "runs fail", Run: e.consecutiveFailures, AgeMs: pause.Milliseconds()})
 		}
 	}
 }
 
-// Tick orders stops that are due, again where the run is still listed, and
-// deals with runs that stand still.
+// Tick issues the stops that are due, repeats those whose run is still listed, and stops runs
+// that have stalled.
 func (c *Core) Tick(now time.Duration) {
 	c.judgeSpeeds()
 	for _, e := range c.endpoints {
@@ -196,7 +199,7 @@
 			e.vacating = false
 		}
 		if e.draining {
-			c.leaveDraining(e)
+			c.stopLongRunningOnDrain(e)
 		}
 		c.presumeGone(now, e)
 		for t := range e.tasks {
@@ -206,14 +209,14 @@
 }
 
 func (c *Core) tickTask(now time.Duration, e *endpoint, t *task) {
-	if t.confirmed > 0 && !t.stopping && c.hangs(t) {
+	if t.confirmed > 0 && !t.stopping && c.isStalled(t) {
 		t.stopping = true
-		e.badRuns++
+		e.consecutiveFailures++
 		e.quarantine = now + quarantineBase
 		t.avoid = e.incarnation()
-		c.event(Event{Kind: EventStop, Job: t.step.job.rec.Job.ID, Task: t.name(), Run: t.run, Endpoint: e.id, Reason: "stands still"})
+		c.event(Event{Kind: EventStop, Job: t.step.job.rec.Job.ID, Task: t.name(), Run: t.run, Endpoint: e.id, Reason: "no progress"})
 	}
-	if t.missesGang(now) {
+	if t.gangStartOverdue(now) {
 		c.breakGang(t.step)
 	}
 	c.rescue(e, t)
@@ -224,29 +227,32 @@
 	c.stops = append(c.stops, Order{Kind: OrderStop, Endpoint: e.id, Addr: e.addr, Fence: c.fence(e), Task: t.name(), Run: t.run, task: t})
 }
 
-// gangPatience is how long the other members of a gang wait for one that is not known to have
-// begun. Its endpoint may have crashed as the start came, and not be missed for seconds; they
-// hold their room meanwhile, and endpoints end those that have waited for long.
-const gangPatience = time.Second
+// gangStartTimeout is how long the other members of a gang wait for one whose run is not
+// confirmed. Its endpoint may have crashed as the start arrived, which can go unnoticed for
+// seconds. Meanwhile the other members hold resources, and endpoints end members that wait for
+// too long.
+const gangStartTimeout = time.Second
 
-func (t *task) missesGang(now time.Duration) bool {
-	return t.step.spec.Gang && t.ordered > 0 && t.confirmed == 0 && now-t.ordered > gangPatience
+// gangStartOverdue reports whether a gang member is still not confirmed after gangStartTimeout.
+func (t *task) gangStartOverdue(now time.Duration) bool {
+	return t.step.spec.Gang && t.ordered > 0 && t.confirmed == 0 && now-t.ordered > gangStartTimeout
 }
 
-// Standstill. Load: tasks on some endpoints stand still while their leases are
-// renewed. A run whose progress has not moved for several times what its kind
-// takes is stopped and begins again elsewhere; its checkpoint is kept.
+// Stalled runs. Load: tasks on some endpoints make no progress while their leases are renewed. A
+// run whose progress has not changed for stallFactor tenths of its expected duration, and for at
+// least minStallTimeout, is stopped and started elsewhere; its checkpoint is kept.
 const (
-	standstillFactor = 4
-	standstillFloor  = 2500 * time.Millisecond
+	stallFactor     = 4
+	minStallTimeout = 2500 * time.Millisecond
 )
 
-func (c *Core) hangs(t *task) bool {
+// isStalled reports whether a run has made no progress for too long.
+func (c *Core) isStalled(t *task) bool {
 	if t.step.spec.LongRunning && t.percent >= atWork {
 		return false
 	}
 	expected := time.Duration(c.taskMs(t.step)) * time.Millisecond
-	limit := max(standstillFloor, standstillFactor*expected/10)
-	// Without an answer from the endpoint nothing is known of its progress.
+	limit := max(minStallTimeout, stallFactor*expected/10)
+	// Progress is unknown while the endpoint does not answer.
 	return t.host.failedLook == 0 && t.host.looked-max(t.movedAt, t.confirmed) > limit
 }
--- a/internal/executor/place.go
+++ b/internal/executor/place.go
@@ -8,24 +8,25 @@
 	"cyclamenwheel/internal/jobs"
 )
 
-// atWork is the percentage of a task that is at work.
+// atWork is the progress, in percent, of a task that is fully started.
 const atWork = 100
 
-// usable reports whether tasks may be placed on the endpoint at all: it is in
-// service discovery, not leaving, and its state under this epoch is known.
+// usable reports whether tasks may be placed on the endpoint at all: service discovery lists it,
+// it is neither draining nor being vacated, and its state under this epoch has been read.
 func (e *endpoint) usable() bool {
 	return e.listed && !e.draining && !e.vacating && e.lookedEver
 }
 
-// isOpen reports whether a new task may be placed there now. An endpoint whose
-// last renewal went unanswered is left alone: a start sent there would hold
-// its task until the lease has run out.
+// isOpen reports whether a task may be placed on the endpoint now. An endpoint that has not
+// answered its last lease renewal gets none: a start sent there would block its task until the
+// lease has expired.
 func (c *Core) isOpen(now time.Duration, e *endpoint) bool {
 	return c.closedBy(now, e) == obstacleNone
 }
 
 func (e *endpoint) free() Room { return e.capacity.Minus(e.used) }
 
+// occupy allocates a task's resources on an endpoint.
 func (c *Core) occupy(t *task, e *endpoint) {
 	t.phase = taskPlaced
 	t.host = e
@@ -37,7 +38,8 @@
 	t.beginTrial()
 }
 
-// release takes a task off its endpoint. The caller sets its next phase.
+// release takes a task off its endpoint and frees its resources. The caller sets the task's next
+// phase.
 func (c *Core) release(t *task) {
 	e := t.host
 	t.endTrial()
@@ -56,26 +58,26 @@
 	t.doubted = nil
 }
 
-// Decide places what can be placed. Jobs come in the order of sortOpen; those
-// that can no longer end within their objective come after all others. Load: a
-// turn of demand begins with two seconds of backlog. First come, first served
-// makes every job of it late by as much; leaving behind what is late anyway lets
-// the rest be in time, and a job in time is worth many late ones.
+// Decide places the tasks that can be placed. Jobs are taken in the order of sortOpen, but those
+// that can no longer end within their objective come last. Load: a phase of high demand begins
+// with two seconds of backlog. First come, first served would make every job of it late by that
+// much. Deferring the jobs that are late in any case lets the others end in time, and a job in
+// time is worth many late ones.
 func (c *Core) Decide(now time.Duration) {
 	c.expire(now)
-	c.beginDue()
-	c.forgetEnded()
-	c.forgetRefused(now)
+	c.expandDueOccurrences()
+	c.evictEnded()
+	c.evictRefused(now)
 	c.sortOpen()
 	c.forgetBlocked()
 	c.explainWaiting(now)
 	c.watch(now)
-	hosts := c.openHosts(now)
-	if len(hosts) == 0 {
+	endpoints := c.openEndpoints(now)
+	if len(endpoints) == 0 {
 		return
 	}
-	c.reserve(now, hosts)
-	c.placeable = c.mostPlaced()
+	c.reserve(now, endpoints)
+	c.placementsLeft = c.mostPlaced()
 	var late []*job
 	for _, j := range c.open {
 		if j.rec.State.Ended() || !j.waits() {
@@ -85,20 +87,20 @@
 			late = append(late, j)
 			continue
 		}
-		if !roomLeft(hosts) {
+		if !anyCPULeft(endpoints) {
 			return
 		}
-		c.placeJob(now, j, hosts)
+		c.placeJob(now, j, endpoints)
 	}
 	for _, j := range late {
-		if !roomLeft(hosts) {
+		if !anyCPULeft(endpoints) {
 			return
 		}
-		c.placeJob(now, j, hosts)
+		c.placeJob(now, j, endpoints)
 	}
 }
 
-// readySteps are the job's steps with tasks that wait and whose turn has come.
+// readySteps yields the job's steps that have waiting tasks and wait for no earlier step.
 func (j *job) readySteps() iter.Seq[*stepRun] {
 	return func(yield func(*stepRun) bool) {
 		for _, o := range j.current {
@@ -111,7 +113,7 @@
 	}
 }
 
-// waits reports whether the job has such a step.
+// waits reports whether the job has a ready step.
 func (j *job) waits() bool {
 	for range j.readySteps() {
 		return true
@@ -119,46 +121,46 @@
 	return false
 }
 
-func (c *Core) openHosts(now time.Duration) []*endpoint {
-	var hosts []*endpoint
+func (c *Core) openEndpoints(now time.Duration) []*endpoint {
+	var open []*endpoint
 	for _, e := range c.endpoints {
 		if c.isOpen(now, e) {
-			hosts = append(hosts, e)
+			open = append(open, e)
 		}
 	}
-	slices.SortFunc(hosts, func(a, b *endpoint) int {
+	slices.SortFunc(open, func(a, b *endpoint) int {
 		if a.id < b.id {
 			return -1
 		}
 		return 1
 	})
-	return hosts
+	return open
 }
 
-// leastCPU is below the smallest task of any use; a pool with less room left
-// on each endpoint is full.
-const leastCPU = 50
+// minUsefulCPUMilli is less than any useful task needs; a pool with less free CPU on every
+// endpoint is full.
+const minUsefulCPUMilli = 50
 
-func roomLeft(hosts []*endpoint) bool {
-	for _, e := range hosts {
-		if e.free().CPUMilli >= leastCPU {
+func anyCPULeft(endpoints []*endpoint) bool {
+	for _, e := range endpoints {
+		if e.free().CPUMilli >= minUsefulCPUMilli {
 			return true
 		}
 	}
 	return false
 }
 
-func (c *Core) placeJob(now time.Duration, j *job, hosts []*endpoint) {
+func (c *Core) placeJob(now time.Duration, j *job, endpoints []*endpoint) {
 	for s := range j.readySteps() {
 		if s.spec.Gang {
-			c.placeGang(now, s, hosts)
+			c.placeGang(now, s, endpoints)
 			continue
 		}
-		c.placeStep(now, s, hosts)
+		c.placeStep(now, s, endpoints)
 	}
 }
 
-func (c *Core) placeStep(now time.Duration, s *stepRun, hosts []*endpoint) {
+func (c *Core) placeStep(now time.Duration, s *stepRun, endpoints []*endpoint) {
 	for _, t := range s.tasks {
 		if !c.mayPlace(s) || !c.admits(now, s, 1) {
 			return
@@ -166,21 +168,21 @@
 		if !c.isDue(now, t) {
 			continue
 		}
-		e := c.choose(now, t, hosts)
+		e := c.choose(now, t, endpoints)
 		if e == nil {
 			return
 		}
-		c.place(now, t, e, t.run+1)
+		c.placeTask(now, t, e, t.run+1)
 	}
 }
 
-// mayPlace reports whether a task of the step may be placed in this round. Lasting
-// tasks are few and always may.
-func (c *Core) mayPlace(s *stepRun) bool { return c.placeable > 0 || s.spec.LongRunning }
+// mayPlace reports whether a task of the step may be placed in this round. Long-running tasks
+// are few and are not limited.
+func (c *Core) mayPlace(s *stepRun) bool { return c.placementsLeft > 0 || s.spec.LongRunning }
 
-// placeGang places all tasks of a gang or none: a part of it would hold room
-// and work on nothing. All members run under one number.
-func (c *Core) placeGang(now time.Duration, s *stepRun, hosts []*endpoint) {
+// placeGang places all tasks of a gang or none, because an incomplete gang would hold resources
+// without making progress. All members get the same run number.
+func (c *Core) placeGang(now time.Duration, s *stepRun, endpoints []*endpoint) {
 	if !c.mayPlace(s) || !c.admits(now, s, len(s.tasks)) {
 		return
 	}
@@ -191,21 +193,21 @@
 		}
 		run = max(run, t.run)
 	}
-	for _, candidates := range c.gangRacks(s, hosts) {
-		if c.placeAll(now, s, candidates, run+1) {
+	for _, candidates := range c.gangCandidates(s, endpoints) {
+		if c.tryPlaceGang(now, s, candidates, run+1) {
 			return
 		}
 	}
 }
 
-// gangRacks returns the sets of endpoints to try, the best first.
-func (c *Core) gangRacks(s *stepRun, hosts []*endpoint) [][]*endpoint {
+// gangCandidates returns the sets of endpoints to try for a gang, best first.
+func (c *Core) gangCandidates(s *stepRun, endpoints []*endpoint) [][]*endpoint {
 	if !s.spec.SameRack {
-		return [][]*endpoint{hosts}
+		return [][]*endpoint{endpoints}
 	}
 	byRack := map[string][]*endpoint{}
 	var racks []string
-	for _, e := range hosts {
+	for _, e := range endpoints {
 		if byRack[e.rack] == nil {
 			racks = append(racks, e.rack)
 		}
@@ -216,10 +218,12 @@
 	for _, r := range racks {
 		sets = append(sets, byRack[r])
 	}
-	return append(sets, hosts)
+	return append(sets, endpoints)
 }
 
-func (c *Core) placeAll(now time.Duration, s *stepRun, hosts []*endpoint, run int) bool {
+// tryPlaceGang places all tasks of a gang on the given endpoints and reports whether they fit.
+// Tentative allocations are undone before any task is placed.
+func (c *Core) tryPlaceGang(now time.Duration, s *stepRun, endpoints []*endpoint, run int) bool {
 	var chosen []*endpoint
 	undo := func() {
 		for i, t := range s.tasks[:len(chosen)] {
@@ -229,7 +233,7 @@
 		}
 	}
 	for _, t := range s.tasks {
-		e := c.choose(now, t, hosts)
+		e := c.choose(now, t, endpoints)
 		if e == nil {
 			undo()
 			return false
@@ -239,13 +243,13 @@
 	}
 	undo()
 	for i, t := range s.tasks {
-		c.place(now, t, chosen[i], run)
+		c.placeTask(now, t, chosen[i], run)
 	}
 	return true
 }
 
-// place intends a start. The order leaves once the intent is durable.
-func (c *Core) place(now time.Duration, t *task, e *endpoint, run int) {
+// placeTask decides a start. The order is sent once the decision is durable.
+func (c *Core) placeTask(now time.Duration, t *task, e *endpoint, run int) {
 	c.occupy(t, e)
 	t.run = run
 	t.ticket, _ = t.step.ticketFor(now, e)
@@ -258,7 +262,7 @@
 	delete(c.blocked, t.step.job.rec.Account)
 	c.touch(t.step.job)
 	c.starts = append(c.starts, c.startOrder(t))
-	c.placeable--
+	c.placementsLeft--
 	c.event(Event{Kind: EventPlaced, Job: t.step.job.rec.Job.ID, Task: t.name(), Run: run, Endpoint: e.id})
 }
 
@@ -276,11 +280,11 @@
 	return false
 }
 
-// choose returns the best endpoint for a task, or nil.
-func (c *Core) choose(now time.Duration, t *task, hosts []*endpoint) *endpoint {
+// choose returns the endpoint with the highest score for a task, or nil if none fits.
+func (c *Core) choose(now time.Duration, t *task, endpoints []*endpoint) *endpoint {
 	var best *endpoint
 	bestScore := 0.0
-	for _, e := range hosts {
+	for _, e := range endpoints {
 		if !c.fits(now, t, e) {
 			continue
 		}
@@ -296,10 +300,10 @@
 	return c.obstacle(now, t, e) == obstacleNone
 }
 
-// sharesBadly keeps tasks that fill away from tasks that serve. Load: what
-// fills disturbs the response times of what serves by amounts that change
-// within seconds and can't be foreseen. Kept apart there is nothing to
-// disturb, at the price of an endpoint that fills alone.
+// sharesBadly reports whether a filler task and a serving task would share the endpoint. Load:
+// filler tasks disturb the response times of serving tasks by amounts that change within seconds
+// and can't be predicted. Keeping them apart avoids this, at the price of an endpoint that runs
+// fillers only.
 func sharesBadly(s *jobs.Step, e *endpoint) bool {
 	if !s.Fills && !s.Serves() {
 		return false
@@ -313,28 +317,28 @@
 	return false
 }
 
-// Weights of score, in shares of an endpoint's whole processor room.
+// Weights of score, as fractions of an endpoint's whole CPU capacity.
 const (
-	// awayFromData is lost where the data is on another rack: the task then
-	// takes remoteFactor times as long.
-	awayFromData = 2.0
-	// avoidFailed keeps a task from an endpoint where it has just failed.
+	// remoteDataPenalty applies if the task's data is on another rack: the task then takes
+	// remoteFactor times as long.
+	remoteDataPenalty = 2.0
+	// avoidFailed is a penalty for the incarnation on which the task last failed.
 	avoidFailed = 3.0
-	// besideLasting gathers tasks that last on few endpoints, so that the
+	// besideLasting is a bonus that packs long-running tasks onto few endpoints, so that the
 	// others can be moved and maintained without stopping any.
 	besideLasting = 2.0
-	// leavesSoon keeps tasks that last from endpoints that a wave has yet to
-	// take: placed there they are stopped and moved a second time, and the
-	// budget for that is what makes waves late.
-	leavesSoon = 3.0
-	// perBadRun makes an endpoint whose runs fail the last choice.
-	perBadRun = 0.5
+	// vacatedSoonPenalty keeps long-running tasks off endpoints that a maintenance wave is still
+	// to take. There they would be stopped and moved a second time, and the disruption budget
+	// for that is what makes waves late.
+	vacatedSoonPenalty = 3.0
+	// failurePenalty, per consecutive failure, makes endpoints whose runs fail the last choice.
+	failurePenalty = 0.5
 )
 
-// score prefers endpoints near the data, then those that work well, then those
-// with the least room left. Load: as a queue's turn ends, its tasks end one by
-// one; spread over all endpoints they keep each of them busy, and none is free
-// for the queue whose turn begins. Packed, most endpoints are empty at once.
+// score ranks endpoints: near the data first, then those whose runs don't fail, then those with
+// the least free CPU. Load: as the demand of one queue ends, its tasks end one by one. Spread
+// over all endpoints they would keep each of them busy, and none would be free for the next
+// queue. Packed, most endpoints are empty at once.
 func (c *Core) score(now time.Duration, t *task, e *endpoint) float64 {
 	s := t.step.spec
 	free := float64(e.free().CPUMilli) / float64(max(1, e.capacity.CPUMilli))
@@ -346,13 +350,13 @@
 		score += besideLasting
 	}
 	if s.LongRunning && now < e.dueUntil {
-		score -= leavesSoon
+		score -= vacatedSoonPenalty
 	}
 	if s.DataRack != "" && s.DataRack != e.rack {
-		score -= awayFromData
+		score -= remoteDataPenalty
 	}
 	if t.avoid == e.incarnation() {
 		score -= avoidFailed
 	}
-	return score - perBadRun*float64(e.badRuns)
+	return score - failurePenalty*float64(e.consecutiveFailures)
 }
--- a/internal/executor/submit.go
+++ b/internal/executor/submit.go
@@ -10,14 +10,15 @@
 // Verdict is the answer to a submission.
 type Verdict uint8
 
-// Verdicts on submissions. VerdictAccepted is given once the job is durable.
+// Verdicts on submissions. VerdictAccepted is given for a new job; its reply follows once the
+// job is durable. VerdictKnown is given for a job that has been accepted already.
 const (
 	VerdictAccepted Verdict = iota
 	VerdictKnown
 	VerdictRefused
 )
 
-// Refusal says why a job was not accepted and when to come back.
+// Refusal is the reason why a job was not accepted, and the time after which to retry.
 type Refusal struct {
 	Reason     string
 	RetryAfter time.Duration
@@ -25,42 +26,42 @@
 
 // Reasons of refusals.
 const (
-	// RefusedBacklog says that the job could not end in time behind the others.
+	// RefusedBacklog means that the job could not end in time behind the accepted work.
 	RefusedBacklog = "backlog"
-	// RefusedTaken says that the id is that of a job which is not the caller's.
+	// RefusedTaken means that the id belongs to a job of another caller.
 	RefusedTaken = "id-taken"
-	// RefusedAccountBacklog says that it could not end in time behind others of its account,
-	// which is at its limit.
+	// RefusedAccountBacklog means that the job could not end in time behind other jobs of its
+	// account, which is at its limit.
 	RefusedAccountBacklog = "account-backlog"
-	// RefusedAccount says that a part of the job alone is above its account's limit.
+	// RefusedAccount means that a part of the job exceeds its account's limit by itself.
 	RefusedAccount = "account-limit"
 )
 
-// Caller is who asks for a job.
+// Caller identifies who submits a job or asks about one.
 type Caller struct {
-	// Queue is the one asked, Account the client account, "" where the queue asks for no
-	// key.
+	// Queue is the queue that is addressed. Account is the client account, "" if the queue
+	// requires no key.
 	Queue   string `cbor:"1,keyasint,omitempty"`
 	Account string `cbor:"2,keyasint,omitempty"`
 }
 
-// Shows reports whether a job is the caller's to know of. One that was handed in without
-// an account is anybody's; so are, for those who ask without one, the jobs of a queue
-// that asks for no key any more.
-func (c *Core) Shows(id string, by Caller) bool {
+// Shows reports whether the caller may see a job. A job that was submitted without an account is
+// visible to everybody. A caller without an account also sees the jobs of the queue that it
+// addresses, which may have required a key earlier.
+func (c *Core) Shows(id string, caller Caller) bool {
 	j := c.jobs[id]
 	if j == nil {
-		return true // and unknown
+		return true // the caller is told that there is no such job
 	}
-	return j.rec.Account == "" || j.rec.Account == by.Account || by.Account == "" && j.rec.Queue == by.Queue
+	return j.rec.Account == "" || j.rec.Account == caller.Account || caller.Account == "" && j.rec.Queue == caller.Queue
 }
 
-// Submit takes a job. For VerdictAccepted the reply with the token follows
-// once the job is durable; the other verdicts hold at once. A job that is
-// accepted but not yet durable answers its repetition with the same reply.
-func (c *Core) Submit(now time.Duration, in jobs.Job, under Accepting, token uint64) (Verdict, Refusal) {
+// Submit submits a job. After VerdictAccepted, the reply with the token follows once the job is
+// durable; the other verdicts are final at once. Submitting a job again that is accepted but not
+// yet durable gives VerdictAccepted and a reply of its own.
+func (c *Core) Submit(now time.Duration, in jobs.Job, accepting Accepting, token uint64) (Verdict, Refusal) {
 	if j := c.jobs[in.ID]; j != nil {
-		if !c.Shows(in.ID, Caller{Queue: under.Queue, Account: under.Account}) {
+		if !c.Shows(in.ID, Caller{Queue: accepting.Queue, Account: accepting.Account}) {
 			return VerdictRefused, Refusal{Reason: RefusedTaken}
 		}
 		if j.accepted {
@@ -70,24 +71,24 @@
 		c.replies = append(c.replies, Reply{token})
 		return VerdictAccepted, Refusal{}
 	}
-	j := &job{since: now, rec: jobRecord{Job: in, Queue: under.Queue, Terms: under.Terms, Account: under.Account, AcceptedMs: c.wallMs}}
-	refusal, refused := c.refuse(now, j)
-	first := c.countOffer(now, j, refused)
+	j := &job{since: now, rec: jobRecord{Job: in, Queue: accepting.Queue, Terms: accepting.Terms, Account: accepting.Account, AcceptedMs: c.wallMs}}
+	refusal, refused := c.checkAdmission(now, j)
+	firstOffered := c.recordOffer(now, j, refused)
 	if refused {
-		c.event(Event{Kind: EventRefused, Job: in.ID, Reason: refusal.Reason, Account: under.Account})
-		if under.Account != "" {
-			c.refusedOf[under.Account]++
+		c.event(Event{Kind: EventRefused, Job: in.ID, Reason: refusal.Reason, Account: accepting.Account})
+		if accepting.Account != "" {
+			c.refusedOf[accepting.Account]++
 		}
 		return VerdictRefused, refusal
 	}
-	j.offered = first
-	j.rec.OfferedMs = c.wallMs - (now - first).Milliseconds()
+	j.offered = firstOffered
+	j.rec.OfferedMs = c.wallMs - (now - firstOffered).Milliseconds()
 	c.jobs[in.ID] = j
 	c.open = append(c.open, j)
 	j.queued = true
 	c.touch(j)
 	c.replies = append(c.replies, Reply{token})
-	c.event(Event{Kind: EventAccepted, Job: in.ID, Reason: under.Queue})
+	c.event(Event{Kind: EventAccepted, Job: in.ID, Reason: accepting.Queue})
 	if in.Occurrences == 0 {
 		c.begin(j)
 	}
@@ -95,9 +96,9 @@
 	return VerdictAccepted, Refusal{}
 }
 
-// Cancel ends a job. known is false where there is no such job; durable is
-// true where the job had ended before, and otherwise the reply with the token
-// follows once the cancellation is durable.
+// Cancel ends a job. known is false if there is no such job. durable is true if the job's end
+// was durable before; otherwise the reply with the token follows once the cancellation is
+// durable.
 func (c *Core) Cancel(now time.Duration, id string, token uint64) (known, durable bool) {
 	j := c.jobs[id]
 	if j == nil {
@@ -114,7 +115,7 @@
 	return true, false
 }
 
-// State returns the durable state of a job.
+// State returns the durable state of a job, and whether the job has been accepted.
 func (c *Core) State(id string) (JobState, bool) {
 	j := c.jobs[id]
 	if j == nil || !j.accepted {
@@ -129,9 +130,9 @@
 	return JobQueued, true
 }
 
-// Pending is the number of accepted jobs of a queue of which no task has begun.
-// A start that is only intended does not count: its endpoint may be dead, and the
-// caller is told that nothing waits while everything does.
+// Pending returns the number of accepted jobs of a queue of which no run has been confirmed. A
+// job whose start was only decided or sent still counts: its endpoint may be down, and nothing
+// would seem to wait while every job does.
 func (c *Core) Pending(queue string) int {
 	n := 0
 	for _, j := range c.open {
@@ -142,7 +143,7 @@
 	return n
 }
 
-// end makes a job's final state: what waits is dropped, what runs is stopped.
+// end gives a job its final state. Waiting tasks are dropped and running ones stopped.
 func (c *Core) end(j *job, state JobState, reason string) {
 	j.rec.State = state
 	j.rec.EndedMs = c.wallMs
@@ -160,12 +161,11 @@
 			}
 		}
 	}
-	c.settle(j)
+	c.retireIfStopped(j)
 }
 
-// settle moves an ended job with nothing left running to those that are only
-// remembered.
-func (c *Core) settle(j *job) {
+// retireIfStopped moves an ended job without running tasks from open to ended.
+func (c *Core) retireIfStopped(j *job) {
 	if !j.rec.State.Ended() || j.placed > 0 || !j.queued {
 		return
 	}
@@ -176,8 +176,8 @@
 	c.touch(j)
 }
 
-// forgetEnded drops jobs whose state need not be known any longer.
-func (c *Core) forgetEnded() {
+// evictEnded removes jobs that ended more than KeepEnded ago.
+func (c *Core) evictEnded() {
 	for len(c.ended) > 0 {
 		j := c.ended[0]
 		if c.wallMs-j.rec.EndedMs < c.limits.KeepEnded.Milliseconds() {
@@ -189,7 +189,7 @@
 	}
 }
 
-// begin expands the job's next occurrence.
+// begin expands the job's next occurrence into steps and tasks.
 func (c *Core) begin(j *job) {
 	o := &occurrence{number: j.next, left: len(j.rec.Job.Steps)}
 	j.next++
@@ -214,8 +214,8 @@
 	return slices.Compact(out)
 }
 
-// beginDue expands the occurrences whose time has come.
-func (c *Core) beginDue() {
+// expandDueOccurrences expands the occurrences whose start time has come.
+func (c *Core) expandDueOccurrences() {
 	for _, j := range c.open {
 		if j.rec.State.Ended() {
 			continue
@@ -226,10 +226,10 @@
 	}
 }
 
-func (j *job) occurrences() int { return max(1, j.rec.Job.Occurrences) }
+func (j *job) occurrenceCount() int { return max(1, j.rec.Job.Occurrences) }
 
-// closeOccurrence marks an occurrence as ended, which leaves it without steps,
-// and forgets the lowest ones.
+// closeOccurrence marks an occurrence as ended and drops its steps. It then removes ended
+// occurrences from the front of the job's list.
 func (c *Core) closeOccurrence(j *job, number int) {
 	for _, o := range j.current {
 		if o.number == number {
@@ -242,31 +242,31 @@
 	}
 }
 
-// Admission. Load: a queue asks five times its mean for seconds on end, more
-// than its pool holds. Accepting all of it makes every job late, and a late
-// job earns a fifteenth of one in time; so what could not end within its
-// objective behind the work already accepted is refused at once, with the time
-// after which the backlog has drained.
+// Admission control. Load: a queue receives five times its mean rate for seconds, more than its
+// pool can run. Accepting all of it would make every job late, and a late job earns a fifteenth
+// of one in time. So a job that could not end within its objective behind the work already
+// accepted is refused at once, with the time after which the backlog will have drained.
 const (
-	// retryFloor is the shortest advice to come back: HTTP counts in seconds.
-	retryFloor = time.Second
-	// retryCeiling is below the deadline of an ordinary caller, so that the
-	// advice can still be followed.
-	retryCeiling = 3 * time.Second
-	// rememberRefused bounds how long a refused job's return is recognised.
-	rememberRefused = 15 * time.Second
-	// maxRefused bounds the memory that takes.
-	maxRefused = 20000
+	// minRetryAfter is one second because HTTP's Retry-After counts in seconds.
+	minRetryAfter = time.Second
+	// maxRetryAfter is below the deadline of an ordinary caller, so that the caller can still
+	// retry.
+	maxRetryAfter = 3 * time.Second
+	// refusalTTL is how long a refused job is recognised when it is submitted again.
+	refusalTTL = 15 * time.Second
+	// maxRememberedRefusals bounds the memory used for this.
+	maxRememberedRefusals = 20000
 )
 
-func (c *Core) refuse(now time.Duration, j *job) (Refusal, bool) {
+// checkAdmission reports whether a job is refused, and why.
+func (c *Core) checkAdmission(now time.Duration, j *job) (Refusal, bool) {
 	if !c.canEverRun(j) {
 		return Refusal{Reason: RefusedAccount}, true
 	}
 	if lasting(&j.rec.Job) || j.rec.Job.Occurrences > 0 {
 		return Refusal{}, false
 	}
-	pool := float64(c.serving())
+	pool := float64(c.shortTaskCPU())
 	if pool <= 0 {
 		return Refusal{}, false
 	}
@@ -276,50 +276,51 @@
 	backlog := c.withinShares(ahead.byAccount, slack)
 	wait := max(c.waitMs(now, backlog, pool), float64(c.pace.startsWait(ahead.tasks+len(c.leaving)).Milliseconds()))
 	reason := RefusedBacklog
-	if own := c.accountWaitMs(now, j.rec.Account, ahead.byAccount[j.rec.Account]); own > wait {
-		wait, reason = own, RefusedAccountBacklog
+	if accountWait := c.accountWaitMs(now, j.rec.Account, ahead.byAccount[j.rec.Account]); accountWait > wait {
+		wait, reason = accountWait, RefusedAccountBacklog
 	}
 	if wait <= slack {
 		return Refusal{}, false
 	}
 	retry := time.Duration(wait-slack) * time.Millisecond
-	return Refusal{Reason: reason, RetryAfter: min(max(retry, retryFloor), retryCeiling)}, true
+	return Refusal{Reason: reason, RetryAfter: min(max(retry, minRetryAfter), maxRetryAfter)}, true
 }
 
-// countOffer adds a job's work to what was offered, once however often the job
-// comes back after a refusal, and returns when it was first offered: callers
-// count its time from then.
-func (c *Core) countOffer(now time.Duration, j *job, refused bool) time.Duration {
+// recordOffer adds a job's work to the total offered, once however often the job is submitted
+// again after a refusal. It returns when the job was first offered, because callers measure its
+// time from then.
+func (c *Core) recordOffer(now time.Duration, j *job, refused bool) time.Duration {
 	id := j.rec.Job.ID
-	first, again := c.refusedAt[id]
-	again = again && now-first < rememberRefused
-	if !again {
-		first = now
+	firstOffered, resubmitted := c.refusedSince[id]
+	resubmitted = resubmitted && now-firstOffered < refusalTTL
+	if !resubmitted {
+		firstOffered = now
 	}
-	if refused && len(c.refusedAt) < maxRefused {
-		c.refusedAt[id] = first
+	if refused && len(c.refusedSince) < maxRememberedRefusals {
+		c.refusedSince[id] = firstOffered
 	} else {
-		delete(c.refusedAt, id)
+		delete(c.refusedSince, id)
 	}
-	if again || lasting(&j.rec.Job) {
-		return first
+	if resubmitted || lasting(&j.rec.Job) {
+		return firstOffered
 	}
 	for i := range j.rec.Job.Steps {
 		st := &j.rec.Job.Steps[i]
 		c.offered += float64(st.Count) * float64(st.CPUMilli) / 1000 * c.expectMs(j.rec.Queue, st)
 	}
-	return first
+	return firstOffered
 }
 
-// forgetRefused drops refused jobs that have not come back.
-func (c *Core) forgetRefused(now time.Duration) {
-	for id, at := range c.refusedAt {
-		if now-at > rememberRefused {
-			delete(c.refusedAt, id)
+// evictRefused removes refused jobs that have not been submitted again.
+func (c *Core) evictRefused(now time.Duration) {
+	for id, at := range c.refusedSince {
+		if now-at > refusalTTL {
+			delete(c.refusedSince, id)
 		}
 	}
 }
 
+// lasting reports whether the job has a long-running step.
 func lasting(j *jobs.Job) bool {
 	for i := range j.Steps {
 		if j.Steps[i].LongRunning {
@@ -329,9 +330,8 @@
 	return false
 }
 
-// serving is the pool's processor room in milli-cores, less what lasting tasks
-// hold.
-func (c *Core) serving() int {
+// shortTaskCPU is the pool's CPU capacity in milli-cores, less what long-running tasks hold.
+func (c *Core) shortTaskCPU() int {
 	total := 0
 	for _, e := range c.endpoints {
 		if e.usable() {
@@ -351,24 +351,24 @@
 	return cpu
 }
 
-// queued is accepted work that stands before a new job.
-type queued struct {
-	// byAccount is its sum in milli-core-milliseconds, by client account.
+// queuedWork is accepted work that is ahead of a new job.
+type queuedWork struct {
+	// byAccount is the work in milli-core-milliseconds, by client account.
 	byAccount map[string]float64
-	// tasks of it wait.
+	// tasks is the number of tasks of it that could start at once.
 	tasks int
 }
 
-// backlog is the accepted work that has not begun, of this priority or before it. Jobs that
-// are late anyway don't stand before a new one.
-func (c *Core) backlog(now time.Duration, priority int) queued {
-	q := queued{byAccount: map[string]float64{}}
+// backlog returns the remaining work of accepted jobs of this or a more urgent priority. Jobs
+// that are late in any case don't count, because they are placed last.
+func (c *Core) backlog(now time.Duration, priority int) queuedWork {
+	q := queuedWork{byAccount: map[string]float64{}}
 	for _, j := range c.open {
 		if j.rec.State.Ended() || j.rec.Terms.Priority > priority || lasting(&j.rec.Job) || c.hopeless(now, j) {
 			continue
 		}
 		w := c.remaining(j)
-		q.byAccount[j.rec.Account] += w.ready + w.running + laterShare*w.later
+		q.byAccount[j.rec.Account] += w.ready + w.running + laterStepsShare*w.later
 		q.tasks += w.tasks
 	}
 	return q
@@ -376,10 +376,10 @@
 
 // work is what a job still has to run, in milli-core-milliseconds.
 type work struct {
-	// ready could run at once; later waits for earlier steps; running is half
-	// of what runs now.
+	// ready could start at once; later waits for earlier steps; running is half of the work of
+	// the tasks that are running.
 	ready, later, running float64
-	// tasks could start at once.
+	// tasks is the number of tasks that could start at once.
 	tasks int
 }
 
@@ -387,26 +387,25 @@
 	var w work
 	for _, o := range j.current {
 		for _, s := range o.steps {
-			each := float64(s.spec.CPUMilli) * c.taskMs(s)
-			waiting := float64(s.waiting) * each
+			perTask := float64(s.spec.CPUMilli) * c.taskMs(s)
+			waiting := float64(s.waiting) * perTask
 			if s.waitsFor > 0 {
 				w.later += waiting
 			} else {
 				w.ready += waiting
 				w.tasks += s.waiting
 			}
-			w.running += float64(s.left-s.waiting) * each / 2
+			w.running += float64(s.left-s.waiting) * perTask / 2
 		}
 	}
 	return w
 }
 
-// laterShare is how much of the work of later steps counts as being ahead of a
-// new job: most of it runs beside the new job's own steps and not before them.
-const laterShare = 0.35
+// laterStepsShare is the fraction of the work of later steps that counts as ahead of a new job:
+// most of it runs beside the new job's own steps and not before them.
+const laterStepsShare = 0.35
 
-// sortOpen orders jobs by priority, then those that can still be in time, then
-// by objective.
+// sortOpen orders jobs by priority and then by objective.
 func (c *Core) sortOpen() {
 	if !c.unsorted {
 		return
