--- a/internal/executor/crashes.go
+++ b/internal/executor/crashes.go
@@ -5,50 +5,50 @@
 	"time"
 )
 
-// Tasks that crash their endpoints. Load: a task takes each endpoint down that starts it, with
-// all that runs there. Started again without a limit, it takes one endpoint after the other
-// out of its pool for some seconds, and a dozen sound runs with each. A crash lists no ends: all
-// that is known is which runs an incarnation had as it ended, most of them sound.
+// Poison tasks: tasks that crash their endpoints. Load: a task crashes each endpoint that starts
+// it, with everything that runs there. Restarted without a limit, it takes one endpoint after
+// another out of its pool for some seconds, each with a dozen healthy runs. A crashed endpoint
+// lists no ends: all that is known is which runs its incarnation had, and most of them were healthy.
 //
-// So the ends of incarnations count as evidence against the tasks whose runs they took. A
-// suspect runs where nothing of another job has just begun (trial.go): if that endpoint
-// crashes as well, nothing else can have caused it.
+// So the end of an incarnation counts as evidence against the tasks whose runs it took. A suspect
+// task runs only where no run of another job is new (trial.go): if that endpoint crashes as well,
+// no other run can have caused it.
 
 const (
-	// justBegun is how long an endpoint must have been heard after it was first known to
-	// have a run for that run to count as one that goes on.
-	justBegun = 250 * time.Millisecond
-	// settledAfter is how long it must have been heard for its end to say nothing against
-	// the run, and for the ends before to be forgotten: what lasts would otherwise be given up
-	// after some crashes of other causes.
-	settledAfter = 2 * time.Second
+	// newRunPeriod is how long an endpoint must have reported since it confirmed a run for that
+	// run not to count as new.
+	newRunPeriod = 250 * time.Millisecond
+	// stableRunAfter is how long it must have reported for its crash not to count against the run,
+	// and for earlier crashes to be forgotten. Otherwise a long-running task would be failed after some
+	// crashes with other causes.
+	stableRunAfter = 2 * time.Second
 )
 
 const (
-	// crashesShown crashes, crashesAlone of them with nothing else to blame, are a task's own
-	// fault.
-	crashesShown = 3
-	crashesAlone = 2
-	// crashesMost ends a task whatever caused them: three starts more than crashesShown are
-	// never made.
-	crashesMost = crashesShown + 2
+	// A task with poisonCrashes crashes is a poison task if no other run can have caused
+	// poisonIsolatedCrashes of them.
+	poisonCrashes         = 3
+	poisonIsolatedCrashes = 2
+	// A task is failed after maxCrashes crashes, whatever their cause: it never gets a third start
+	// after poisonCrashes crashes.
+	maxCrashes = poisonCrashes + 2
 )
 
-// awaitWord is how long after its last lease has run out a task waits for word of
-// endpoints that may have crashed under it.
-const awaitWord = 8 * time.Second
+// crashReportTimeout is how long after its last lease has expired a task waits for reports from
+// endpoints that it may have crashed.
+const crashReportTimeout = 8 * time.Second
 
-// evidence is what speaks for a task being the cause of crashes.
+// evidence is what suggests that a task crashes its endpoints.
 type evidence struct {
-	// Crashes counts the incarnations that ended under its runs.
+	// Crashes counts the incarnations that ended with its runs on them.
 	Crashes int `cbor:"1,keyasint"`
-	// Alone counts those of them in which its run had just begun and none of another job had.
-	// Of several in a row at one address the first counts: an endpoint may crash by itself, and
-	// whenever it is back.
+	// Alone counts those of them in which its run was new and no run of another job was. Several
+	// crashes in a row at one address count once: an endpoint may crash by itself whenever it is
+	// back.
 	Alone int `cbor:"2,keyasint,omitempty"`
-	// Addr is the address of the last of them.
+	// Addr is the address of the last crash counted in Alone.
 	Addr string `cbor:"4,keyasint,omitempty"`
-	// Suspect: its run had just begun in one of them, or there were several.
+	// Suspect is set if its run was new in one of the crashes, or if there were several crashes.
 	Suspect bool `cbor:"3,keyasint,omitempty"`
 }
 
@@ -61,64 +61,65 @@
 	return sum
 }
 
-// String tells people what speaks against the task.
+// String describes the evidence for logs and error messages.
 func (e evidence) String() string {
-	return fmt.Sprintf("%d endpoints have crashed under it, %d of them with no other run to blame", e.Crashes, e.Alone)
+	return fmt.Sprintf("%d endpoints have crashed under it, %d of them while no other run was new", e.Crashes, e.Alone)
 }
 
-// shows reports whether the task is to be given up.
-func (e evidence) shows() bool {
-	return e.Crashes >= crashesMost || e.Crashes >= crashesShown && e.Alone >= crashesAlone
+// isPoison reports whether the evidence suffices to fail the task.
+func (e evidence) isPoison() bool {
+	return e.Crashes >= maxCrashes || e.Crashes >= poisonCrashes && e.Alone >= poisonIsolatedCrashes
 }
 
-// endedRun is a run that was on an incarnation as that ended.
+// endedRun is a run that its endpoint had when the incarnation ended.
 type endedRun struct {
 	task   *task
 	number int
-	// known: the incarnation was known to have the run, and was heard for so long after that.
-	known bool
-	heard time.Duration
+	// confirmed reports whether the incarnation had confirmed the run; confirmedFor is how long
+	// it reported after that.
+	confirmed    bool
+	confirmedFor time.Duration
 }
 
-// crash is what the end of an incarnation says of one run that it took with it.
+// crash is the evidence that the end of an incarnation gives on one of its runs.
 type crash struct {
 	endedRun
-	in Incarnation
-	// others counts the runs of other jobs that had just begun there.
-	others   int
-	evidence evidence
+	incarnation Incarnation
+	// otherNewRuns counts the new runs of other jobs there.
+	otherNewRuns int
+	evidence     evidence
 }
 
-// heardFor is how long the task's endpoint has been heard since it was first known to have
-// the run; 0 where it is not known to have it.
-func (t *task) heardFor() time.Duration {
+// confirmedFor is how long the task's endpoint has reported since it first confirmed the run; 0 if
+// it has not confirmed it.
+func (t *task) confirmedFor() time.Duration {
 	if t.confirmed == 0 {
 		return 0
 	}
 	return max(0, t.host.clockAt-t.confirmed)
 }
 
-// weigh returns what the end of an incarnation says of the runs that it took with it. An
-// endpoint that was dark before a start was sent to it has not crashed by that start: a run
-// that it is not known to have had does not make its task a suspect.
-func weigh(e *endpoint, runs []endedRun) []crash {
+// attributeCrash returns the evidence that the end of an incarnation gives on its runs. An endpoint
+// that was unresponsive before a start was sent to it did not crash because of that start: an
+// unconfirmed run does not make its task a suspect.
+func attributeCrash(e *endpoint, runs []endedRun) []crash {
 	begun, all := map[*job]int{}, 0
 	for _, r := range runs {
-		if r.heard < justBegun {
+		if r.confirmedFor < newRunPeriod {
 			begun[r.task.step.job]++
 			all++
 		}
 	}
 	out := make([]crash, len(runs))
 	for i, r := range runs {
-		out[i] = crash{endedRun: r, in: e.incarnation(), others: all - begun[r.task.step.job]}
-		if r.heard >= settledAfter {
+		out[i] = crash{endedRun: r, incarnation: e.incarnation(), otherNewRuns: all - begun[r.task.step.job]}
+		if r.confirmedFor >= stableRunAfter {
 			continue
 		}
 		out[i].evidence.Crashes = 1
-		if r.known && r.heard < justBegun {
+		if r.confirmed && r.confirmedFor < newRunPeriod {
 			out[i].evidence.Suspect = true
-			if out[i].others == 0 {
+			if out[i].otherNewRuns == 0 {
 				out[i].evidence.Alone, out[i].evidence.Addr = 1, e.addr
 			}
 		}
@@ -126,52 +127,53 @@
 	return out
 }
 
-// runsOf returns the runs that an incarnation has, but for those whose order never left.
-func (e *endpoint) runsOf() []endedRun {
+// orderedRuns returns the runs of an incarnation whose start order has been sent.
+func (e *endpoint) orderedRuns() []endedRun {
 	var out []endedRun
 	for t := range e.tasks {
 		if t.ordered > 0 || t.restored {
-			out = append(out, endedRun{t, t.run, t.confirmed > 0, t.heardFor()})
+			out = append(out, endedRun{t, t.run, t.confirmed > 0, t.confirmedFor()})
 		}
 	}
 	return out
 }
 
-// unheardRuns returns the runs of an endpoint that were given up and of which nothing was
-// heard since, where their tasks are still open.
-func (c *Core) unheardRuns(e *endpoint) []endedRun {
+// unreportedRuns returns the abandoned runs of an endpoint that has not reported since, as far as
+// their tasks are still open.
+func (c *Core) unreportedRuns(e *endpoint) []endedRun {
 	var out []endedRun
 	for name, r := range e.unheard {
-		if t := c.taskNamed(name); t != nil {
-			out = append(out, endedRun{t, e.givenUp[name], r.known, r.heard})
+		if t := c.taskByName(name); t != nil {
+			out = append(out, endedRun{t, e.givenUp[name], r.confirmed, r.confirmedFor})
 		}
 	}
 	return out
 }
 
-// presumeGone takes an endpoint for gone that service discovery does not show, and of which
-// nothing has been heard for long since runs on it were given up. It may as well be cut off.
+// presumeGone treats an endpoint as gone that service discovery does not list and that has not
+// reported for long since runs on it were abandoned. It may only be unreachable, so that no task
+// becomes a suspect by it.
 func (c *Core) presumeGone(now time.Duration, e *endpoint) {
-	if e.listed || len(e.unheard) == 0 || now-e.gaveUpAt < awaitWord {
+	if e.listed || len(e.unheard) == 0 || now-e.gaveUpAt < crashReportTimeout {
 		return
 	}
 	presumed := c.presumedCrashes(e)
-	c.forgetUnheard(e)
-	c.accuseAll(presumed)
+	c.clearUnreported(e)
+	c.recordCrashes(presumed)
 }
 
-// presumedCrashes returns what it says of runs that were given up on a silent endpoint that
-// nothing more will be heard of it: none of them is a suspect for that.
+// presumedCrashes returns the evidence for abandoned runs of an endpoint that will not report
+// again. It makes none of their tasks a suspect.
 func (c *Core) presumedCrashes(e *endpoint) []crash {
-	out := weigh(e, c.unheardRuns(e))
+	out := attributeCrash(e, c.unreportedRuns(e))
 	for i := range out {
 		out[i].evidence.Alone, out[i].evidence.Suspect = 0, false
 	}
 	return out
 }
 
-// accuse takes in what a crash says of a task.
-func (c *Core) accuse(x crash) {
+// recordCrash adds the evidence of a crash to its task, and fails the job if the task is a poison task.
+func (c *Core) recordCrash(x crash) {
 	t, j := x.task, x.task.step.job
 	if x.evidence.Crashes == 0 || t.phase == taskDone || j.rec.State.Ended() {
 		return
@@ -179,17 +181,17 @@
 	t.evidence = t.evidence.plus(x.evidence)
 	c.beWary(t)
 	c.touch(j)
-	c.event(Event{Kind: EventCrashed, Job: j.rec.Job.ID, Task: t.name(), Run: x.number, Endpoint: x.in.ID, StartedMs: x.in.StartedMs,
-		AgeMs:  x.heard.Milliseconds(),
-		Reason: fmt.Sprintf("%s; on the last one %d runs of other jobs had just begun", t.evidence, x.others)})
-	if t.evidence.shows() {
+	c.event(Event{Kind: EventCrashed, Job: j.rec.Job.ID, Task: t.name(), Run: x.number, Endpoint: x.incarnation.ID, StartedMs: x.incarnation.StartedMs,
+		AgeMs:  x.confirmedFor.Milliseconds(),
+		Reason: fmt.Sprintf("%s; the last one had %d new runs of other jobs", t.evidence, x.otherNewRuns)})
+	if t.evidence.isPoison() {
 		c.event(Event{Kind: EventGivenUp, Job: j.rec.Job.ID, Task: t.name(), Run: x.number, Reason: t.evidence.String()})
 		c.end(j, JobFailed, "task "+t.name()+" is given up: "+t.evidence.String())
 	}
 }
 
-// absolve takes in that a run has settled: its task does not crash each endpoint.
-func (c *Core) absolve(t *task) {
+// clearEvidence drops the evidence against a task with a stable run: it does not crash every endpoint.
+func (c *Core) clearEvidence(t *task) {
 	if !t.cautious() {
 		return
 	}
@@ -197,22 +199,22 @@
 	c.touch(t.step.job)
 }
 
-// accuseAll takes in the end of an incarnation.
-func (c *Core) accuseAll(crashes []crash) {
+// recordCrashes adds the evidence of an ended incarnation to its tasks.
+func (c *Core) recordCrashes(crashes []crash) {
 	for _, x := range crashes {
-		c.accuse(x)
+		c.recordCrash(x)
 	}
 }
 
-// unheardLosses is how many endpoints have not been heard since a task's lease ran out there,
-// and when that last happened.
+// unheardLosses counts the endpoints that have not reported since a task's lease expired there; last
+// is when a lease last expired.
 type unheardLosses struct {
 	endpoints int
 	last      time.Duration
 }
 
-// countUnheard counts them for all tasks.
-func (c *Core) countUnheard() {
+// countUnreportedLosses computes Core.unheard.
+func (c *Core) countUnreportedLosses() {
 	clear(c.unheard)
 	for _, e := range c.endpoints {
 		for task := range e.unheard {
@@ -222,20 +224,20 @@
 	}
 }
 
-// heldBack reports whether too many endpoints that may have crashed under a task are silent
-// for it to be started again: each of them tells, once it is heard, or is back as another
-// incarnation, whether it did. One that is gone for good never tells.
-func (c *Core) heldBack(now time.Duration, t *task) bool {
-	if t.run < crashesShown || len(c.unheard) == 0 {
+// awaitsCrashReports reports whether a task must not be started yet because too many endpoints that
+// it may have crashed are unresponsive. Each shows whether it crashed once it reports, or
+// is back as another incarnation. One that is gone for good never does, hence the timeout.
+func (c *Core) awaitsCrashReports(now time.Duration, t *task) bool {
+	if t.run < poisonCrashes || len(c.unheard) == 0 {
 		return false
 	}
 	lost := c.unheard[t.name()]
-	return lost.endpoints > 0 && now-lost.last < awaitWord && t.evidence.Crashes+lost.endpoints >= crashesShown
+	return lost.endpoints > 0 && now-lost.last < crashReportTimeout && t.evidence.Crashes+lost.endpoints >= poisonCrashes
 }
 
-// isDue reports whether a task waits, and nothing of its own keeps it from being placed now.
+// isDue reports whether a task is waiting and neither its backoff nor pending crash reports keep it from being placed now.
 func (c *Core) isDue(now time.Duration, t *task) bool {
-	return t.phase == taskWaiting && now >= t.notBefore && !c.heldBack(now, t)
+	return t.phase == taskWaiting && now >= t.notBefore && !c.awaitsCrashReports(now, t)
 }
 
 // mayStart reports whether a task is due and its account may start it.
--- a/internal/executor/givenup.go
+++ b/internal/executor/givenup.go
@@ -8,31 +8,31 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// Runs that were given up, kept for successors. Load: an endpoint is not heard until its
-// leases have run out, its tasks end elsewhere, and their jobs are over as the pool changes
-// its owner. The next owner hears the endpoint list a good end, finds nothing of its task,
-// and would acknowledge what its predecessor withheld or would have withheld.
+// Abandoned runs, recorded for later owners. Load: an endpoint does not report until its leases have
+// expired, its tasks end elsewhere, and their jobs are over when the pool changes owner. The next
+// owner sees the endpoint list a successful end, finds no task for it, and would acknowledge an end
+// that its predecessor withheld or would have withheld.
 
-// keyGivenUp, followed by an endpoint's id, names the record of its runs that were given up.
+// keyGivenUp, followed by an endpoint's id, is the key of the record of its abandoned runs.
 const keyGivenUp = "g"
 
-// givenUpRecord is what is kept of the runs that were given up on an incarnation.
-type givenUpRecord struct {
+// abandonedRunsRecord lists the runs that were abandoned on an incarnation.
+type abandonedRunsRecord struct {
 	StartedMs int64          `cbor:"1,keyasint,omitempty"`
 	Runs      map[string]int `cbor:"2,keyasint"`
-	// UnheardMs are those since which the endpoint has not been heard, and how long it had
-	// been heard before; below 0 where it was not known to have them.
+	// UnheardMs has those after which the endpoint has not reported, with how long it had
+	// reported since it confirmed them; below 0 if it had not.
 	UnheardMs map[string]int64 `cbor:"3,keyasint,omitempty"`
 }
 
-// rememberGivenUp is how long an endpoint that is not in service discovery is kept for
-// its runs that were given up: its entry may have lapsed while it lives.
-const rememberGivenUp = time.Minute
+// keepAbandonedFor is how long an endpoint that service discovery does not list is kept for its
+// abandoned runs: its entry may have expired while it still runs.
+const keepAbandonedFor = time.Minute
 
-// giveUp notes that a run is given up while its endpoint may yet be heard.
-func (c *Core) giveUp(now time.Duration, e *endpoint, t *task) {
+// abandon records that a run is abandoned while its endpoint may still report.
+func (c *Core) abandon(now time.Duration, e *endpoint, t *task) {
 	if t.ordered == 0 && !t.restored {
-		return // its order has never left
+		return // its order was never sent
 	}
 	if e.givenUp == nil {
 		e.givenUp = map[string]int{}
@@ -41,37 +41,38 @@
 	if e.unheard == nil {
 		e.unheard = map[string]unheardRun{}
 	}
-	e.unheard[t.name()] = unheardRun{t.confirmed > 0, t.heardFor()}
+	e.unheard[t.name()] = unheardRun{t.confirmed > 0, t.confirmedFor()}
 	t.lapsed = true
 	c.beWary(t)
 	e.gaveUpAt = now
 	c.unsavedGivenUp[e.id] = true
 }
 
-// unheardRun is a run that was given up, and how far it had come.
+// unheardRun is an abandoned run on an endpoint that has not reported since.
 type unheardRun struct {
-	// known: the endpoint was known to have it, and was heard for so long after that.
-	known bool
-	heard time.Duration
+	// confirmed reports whether the endpoint had confirmed it; confirmedFor is how long it reported
+	// after that.
+	confirmed    bool
+	confirmedFor time.Duration
 }
 
 func (r unheardRun) milliseconds() int64 {
-	if !r.known {
+	if !r.confirmed {
 		return -1
 	}
-	return r.heard.Milliseconds()
+	return r.confirmedFor.Milliseconds()
 }
 
-// forgetUnheard drops what was kept in case that an incarnation has crashed under its runs.
-func (c *Core) forgetUnheard(e *endpoint) {
+// clearUnreported drops what was kept in case an incarnation had crashed with its runs.
+func (c *Core) clearUnreported(e *endpoint) {
 	if len(e.unheard) > 0 {
 		e.unheard = nil
 		c.unsavedGivenUp[e.id] = true
 	}
 }
 
-// dropGivenUp forgets a run whose end is known.
-func (c *Core) dropGivenUp(e *endpoint, task string) {
+// dropAbandoned removes an abandoned run whose end is known.
+func (c *Core) dropAbandoned(e *endpoint, task string) {
 	if _, known := e.givenUp[task]; known {
 		delete(e.givenUp, task)
 		c.unsavedGivenUp[e.id] = true
@@ -79,11 +80,11 @@
 }
 
 func (e *endpoint) remembered(now time.Duration) bool {
-	return len(e.givenUp) > 0 && now-e.gaveUpAt < rememberGivenUp
+	return len(e.givenUp) > 0 && now-e.gaveUpAt < keepAbandonedFor
 }
 
-// givenUpRecords returns what has to be written of endpoints whose runs were given up, or
-// are no longer of interest.
+// givenUpRecords returns the changed records of endpoints with abandoned runs, and deletions of
+// those that are no longer needed.
 func (c *Core) givenUpRecords() []Record {
 	var out []Record
 	for _, id := range slices.Sorted(maps.Keys(c.unsavedGivenUp)) {
@@ -92,7 +93,7 @@
 		switch {
 		case e != nil && len(e.givenUp) > 0:
 			c.savedGivenUp[id] = true
-			out = append(out, Record{Key: keyGivenUp + id, Value: Encode(e.givenUpRecord())})
+			out = append(out, Record{Key: keyGivenUp + id, Value: Encode(e.abandonedRunsRecord())})
 		case c.savedGivenUp[id]:
 			delete(c.savedGivenUp, id)
 			out = append(out, Record{Key: keyGivenUp + id})
@@ -101,8 +102,8 @@
 	return out
 }
 
-func (e *endpoint) givenUpRecord() givenUpRecord {
-	r := givenUpRecord{StartedMs: e.startedMs, Runs: e.givenUp}
+func (e *endpoint) abandonedRunsRecord() abandonedRunsRecord {
+	r := abandonedRunsRecord{StartedMs: e.startedMs, Runs: e.givenUp}
 	for task, run := range e.unheard {
 		if r.UnheardMs == nil {
 			r.UnheardMs = map[string]int64{}
@@ -113,7 +114,7 @@
 }
 
 func (c *Core) restoreGivenUp(r Record, now time.Duration) error {
-	var in givenUpRecord
+	var in abandonedRunsRecord
 	if err := cbor.Unmarshal(r.Value, &in); err != nil {
 		return &MalformedRecordError{Key: r.Key, Cause: err}
 	}
--- a/internal/executor/handover.go
+++ b/internal/executor/handover.go
@@ -6,26 +6,25 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// keyHandover names the last record of an owner that gives its pool up in order.
+// keyHandover is the key of the last record of an owner that hands over its pool in order.
 const keyHandover = "h"
 
-// handoverRecord says how long the leases that an owner has given may last. It
-// gives none after this record.
+// handoverRecord has how much longer the leases that an owner granted may last. The owner grants
+// none after this record.
 //
-// Without it a successor that can't hear an endpoint has to wait for as long as a
-// predecessor may believe in itself, and a lease more. Load: nodes are restarted
-// one after the other, and a pool changes its owner every few seconds; the wait
-// begins anew with each, and the tasks of an endpoint that has died stay away for
-// as long as the restarts go on.
+// Without it, a successor that can't reach an endpoint has to wait until its predecessor's proof of
+// ownership has expired, and for one more lease. Load: nodes are restarted one after the other, and
+// a pool changes owner every few seconds; the wait starts again with each owner, and the tasks of a
+// crashed endpoint stay unavailable as long as the restarts go on.
 type handoverRecord struct {
-	// Epoch is the owner's; the record counts for its direct successor only.
+	// Epoch is the owner's epoch; only its direct successor uses the record.
 	Epoch int64 `cbor:"1,keyasint"`
-	// LeftMs is how long tasks may still run, by endpoint.
+	// LeftMs is how much longer tasks may run, by endpoint.
 	LeftMs map[string]int64 `cbor:"2,keyasint"`
 }
 
-// HandOver returns the record with which an owner gives the pool up. Nothing may
-// be sent to endpoints after it was asked for.
+// HandOver returns the record with which an owner hands over the pool. The caller sends nothing to
+// endpoints any more once it has called HandOver.
 func (c *Core) HandOver(now time.Duration) Record {
 	r := handoverRecord{Epoch: c.epoch, LeftMs: map[string]int64{}}
 	for id, e := range c.endpoints {
@@ -36,8 +35,8 @@
 	return Record{Key: keyHandover, Value: Encode(r)}
 }
 
-// restoreHandover takes in the record of an owner that gave the pool up. One of
-// an earlier epoch says nothing of the leases that its successor gave.
+// restoreHandover restores the record of an owner that handed over the pool. One of an earlier epoch
+// does not cover the leases that its successor granted.
 func (c *Core) restoreHandover(r Record) error {
 	var in handoverRecord
 	if err := cbor.Unmarshal(r.Value, &in); err != nil {
@@ -49,11 +48,11 @@
 	return nil
 }
 
-// unheardExpiry is when the leases on an endpoint that has not answered this
-// owner have surely run out.
-func (c *Core) unheardExpiry(e *endpoint) time.Duration {
+// predecessorExpiry is when the leases on an endpoint that has not answered this owner have certainly
+// expired.
+func (c *Core) predecessorExpiry(e *endpoint) time.Duration {
 	if left, ok := c.handedOver[e.id]; ok {
 		return c.claimedAt + time.Duration(left)*time.Millisecond + expiryMargin
 	}
-	return c.claimedAt + c.limits.ProofAge + stretched(c.limits.Lease)
+	return c.claimedAt + c.limits.ProofAge + maxElapsed(c.limits.Lease)
 }
--- a/internal/executor/incarnation.go
+++ b/internal/executor/incarnation.go
@@ -5,46 +5,47 @@
 	"time"
 )
 
-// Incarnation names one life of an endpoint. An endpoint may restart under its id: it then
-// holds nothing of before, numbers its ends from 1 again and has another clock.
+// Incarnation identifies one run of an endpoint process. An endpoint may restart under its id: it
+// then has none of its earlier state, numbers its ends from 1 again and has another clock.
 type Incarnation struct {
 	ID string
-	// StartedMs is when it started, in ms since 1970; 0 where that was not told.
+	// StartedMs is when it started, in ms since 1970; 0 if not reported.
 	StartedMs int64
 }
 
 func (e *endpoint) incarnation() Incarnation { return Incarnation{ID: e.id, StartedMs: e.startedMs} }
 
-// termBits of a fence number count the incarnations that an owner has met under one id;
+// The lowest termBits of a fencing token count the incarnations that an owner has seen under one id;
 // the bits above are its epoch.
 const termBits = 20
 
-// fence is the number of orders to an endpoint. It rises with each incarnation: one that
-// has been heard under its own number turns away what was ordered of those before.
+// fence is the fencing token for orders to an endpoint. It rises with each incarnation: one that has
+// received its own token rejects orders meant for earlier incarnations.
 func (c *Core) fence(e *endpoint) int64 { return c.epoch<<termBits | int64(e.term) }
 
-// forget drops an endpoint. Should its id come back, orders of before must not reach it.
-func (c *Core) forget(e *endpoint) {
+// forgetEndpoint drops an endpoint. The next term keeps earlier orders from taking effect should its
+// id return.
+func (c *Core) forgetEndpoint(e *endpoint) {
 	delete(c.endpoints, e.id)
 	c.terms[e.id] = e.term + 1
 	c.unsavedGivenUp[e.id] = true
 }
 
-// meet takes in the start of the incarnation that an answer is from, or an entry of service
-// discovery. What was asked under the endpoint's present fence left after that incarnation
-// had started, so that another start is a later one whatever the time of day says.
+// meet applies the start time of the incarnation that sent an answer or a service discovery entry.
+// A request under the endpoint's present fencing token was sent after the known incarnation had
+// started, so a different start time is a later incarnation, whatever the time of day says.
 func (c *Core) meet(now time.Duration, e *endpoint, startedMs int64) {
 	switch {
 	case startedMs == 0 || startedMs == e.startedMs:
 	case e.startedMs == 0:
 		e.startedMs = startedMs
 	default:
-		c.beginAnew(now, e, startedMs)
+		c.resetIncarnation(now, e, startedMs)
 	}
 }
 
-// restoreStart takes in the start of an incarnation that a record names. Of several the
-// newest is kept, without what was kept for one before.
+// restoreStart applies the start time of an incarnation that a record names. The newest
+// incarnation wins, and the state of earlier ones is dropped.
 func (c *Core) restoreStart(e *endpoint, startedMs int64) {
 	if startedMs > e.startedMs {
 		e.startedMs, e.givenUp, e.unheard = startedMs, nil, nil
@@ -52,9 +53,9 @@
 	}
 }
 
-// doubtRestored deals with tasks that were placed on an earlier incarnation than the newest one
-// that the records name. Their orders, with leases by the earlier clock, may have reached it,
-// and a predecessor may send them for as long as it believes in itself.
+// doubtRestored handles tasks that were placed on an earlier incarnation than the newest one that
+// the records name. Their orders, with leases by the earlier clock, may have reached the newest one,
+// and a predecessor may still send them until its proof of ownership expires.
 func (c *Core) doubtRestored(now time.Duration, e *endpoint) {
 	var taken []endedRun
 	for t := range e.tasks {
@@ -63,41 +64,41 @@
 		}
 	}
 	if len(taken) > 0 {
-		e.heldUntil = now + c.limits.ProofAge + stretched(c.limits.LongestLease)
+		e.heldUntil = now + c.limits.ProofAge + maxElapsed(c.limits.LongestLease)
 	}
-	for _, x := range weigh(e, taken) {
-		x.in.StartedMs = x.task.meantFor
+	for _, x := range attributeCrash(e, taken) {
+		x.incarnation.StartedMs = x.task.meantFor
 		x.task.doubted = &x
 	}
 }
 
-// beginAnew forgets what was known of an endpoint's incarnation before, such as the number
-// of its last end: by that number the new ends would be taken for known and be acknowledged
-// unread, and their tasks run again. It counts as not listed, as the new one may have less
-// room. What belongs to the endpoint's instance is kept.
-func (c *Core) beginAnew(now time.Duration, e *endpoint, startedMs int64) {
+// resetIncarnation drops what was known of an endpoint's previous incarnation, such as the number of
+// its last end: otherwise the new ends would count as seen and be acknowledged unread, and their
+// tasks would run again. The endpoint counts as unlisted, as the new incarnation may have less
+// capacity. What belongs to the endpoint's instance is kept.
+func (c *Core) resetIncarnation(now time.Duration, e *endpoint, startedMs int64) {
 	c.event(Event{Kind: EventRestarted, Endpoint: e.id, StartedMs: startedMs, Run: len(e.tasks),
-		Reason: fmt.Sprintf("ends up to %d acknowledged before", e.acknowledged)})
-	c.accuseAll(weigh(e, c.unheardRuns(e)))
-	taken := weigh(e, e.runsOf())
+		Reason: fmt.Sprintf("the previous incarnation's ends were acknowledged up to %d", e.acknowledged)})
+	c.recordCrashes(attributeCrash(e, c.unreportedRuns(e)))
+	taken := attributeCrash(e, e.orderedRuns())
 	c.unsavedGivenUp[e.id] = true
 	*e = endpoint{
 		id: e.id, addr: e.addr, zone: e.zone, kind: e.kind, rack: e.rack, startedMs: startedMs, term: e.term + 1,
 		capacity: e.capacity, used: e.used, tasks: e.tasks,
 		vacating: e.vacating, vacateUntil: e.vacateUntil, dueUntil: e.dueUntil,
-		nextLook: now, heldUntil: now + stretched(c.limits.LongestLease), trial: e.trial,
+		nextLook: now, heldUntil: now + maxElapsed(c.limits.LongestLease), trial: e.trial,
 	}
 	for _, x := range taken {
 		x.task.doubted = &x
 	}
 	for t := range e.tasks {
-		c.doubt(now, e, t)
+		c.markUnconfirmed(now, e, t)
 	}
 }
 
-// doubt deals with a task of an endpoint that has restarted. Where its order has left, the
-// run is over, or the order reached the new incarnation: its first listing tells.
-func (c *Core) doubt(now time.Duration, e *endpoint, t *task) {
+// markUnconfirmed resets a task of an endpoint that has restarted. If its order has been sent, the run
+// either is over or starts on the new incarnation: that one's first listing shows which.
+func (c *Core) markUnconfirmed(now time.Duration, e *endpoint, t *task) {
 	if t.ordered == 0 && !t.restored {
 		c.event(Event{Kind: EventLost, Job: t.step.job.rec.Job.ID, Task: t.name(), Run: t.run, Endpoint: e.id, Reason: "incarnation ended"})
 		c.again(t)
@@ -108,12 +109,12 @@
 	t.answered, t.resending, t.proven = false, false, false
 }
 
-// mayForget is the number of the last end that a renewal may let the endpoint forget. The
-// renewal may find a new incarnation, whose ends nobody has read: it has none unless a start
-// reached it, which then is not known to have reached the present one.
-func (e *endpoint) mayForget() int64 {
+// safeAcknowledgement is the number of the last end that a poll may acknowledge. The poll may reach a
+// new incarnation whose ends nobody has read. That one has ends only if a start reached it, and
+// such a start is not proven to have reached the present incarnation.
+func (e *endpoint) safeAcknowledgement() int64 {
 	if e.startedMs == 0 {
-		return e.acknowledged // endpoints that don't tell their starts have one life an id
+		return e.acknowledged // an endpoint that reports no start time has one incarnation per id
 	}
 	if e.failedLook > 0 {
 		return 0
@@ -126,22 +127,20 @@
 	return e.acknowledged
 }
 
-// Answer is what an endpoint tells of itself with an answer to an order.
+// Answer is what an endpoint reports about itself in its answer to an order.
 type Answer struct {
-	// Clock is its own steady clock, 0 where not told.
+	// Clock is its monotonic clock, 0 if not reported.
 	Clock time.Duration
-	// StartedMs is when the incarnation that answered started, in ms since 1970; 0 where
-	// not told.
+	// StartedMs is when the incarnation that answered started, in ms since 1970; 0 if not reported.
 	StartedMs int64
 }
 
-// clockSlack is how late the reading of a clock may come: the answer with it was under way,
-// or waited here.
+// clockSlack is the most by which a clock reading may be delayed, in transit or in a queue here.
 const clockSlack = 2 * time.Second
 
-// isFrom reports whether an answer to an order that left at sent is from the endpoint's
-// present incarnation. One that does not say is told by its clock, which goes on from its
-// last reading and may be slow.
+// isFrom reports whether an answer to an order sent at sent is from the endpoint's present
+// incarnation. Without a start time, the clock decides: it continues from its last reading and may
+// be slow.
 func (a Answer) isFrom(now, sent time.Duration, e *endpoint) bool {
 	if a.StartedMs != 0 && e.startedMs != 0 {
 		return a.StartedMs == e.startedMs
@@ -149,17 +148,17 @@
 	if a.Clock == 0 || e.clockAt == 0 {
 		return false
 	}
-	least := e.clock + time.Duration(float64(sent-e.clockAt)*(1-clockDrift)) - time.Millisecond
-	most := e.clock + now - e.clockAt + clockSlack
-	return a.Clock >= least && a.Clock <= most
+	earliest := e.clock + time.Duration(float64(sent-e.clockAt)*(1-clockDrift)) - time.Millisecond
+	latest := e.clock + now - e.clockAt + clockSlack
+	return a.Clock >= earliest && a.Clock <= latest
 }
 
-// unsure takes in that an endpoint may have restarted: an answer does not seem to be from the
-// incarnation that is known. It is asked at once; runs may last as if it had restarted.
+// unsure handles an answer that may be from another incarnation than the known one. The endpoint is
+// polled at once, and its leases count as if it had restarted.
 func (c *Core) unsure(now time.Duration, e *endpoint) {
 	if e.startedMs == 0 {
 		return
 	}
 	e.nextLook = now
-	e.heldUntil = now + stretched(c.limits.LongestLease)
+	e.heldUntil = now + maxElapsed(c.limits.LongestLease)
 }
--- a/internal/executor/looks.go
+++ b/internal/executor/looks.go
@@ -6,38 +6,39 @@
 	"cyclamenwheel/internal/jobs"
 )
 
-// Pace of renewals. Load: an endpoint of 16 to 64 cores ends some ten tasks a
-// second. A renewal that waits for an end comes back at once with each; the
-// gap lets ends gather, at a cost of half the gap to each step.
+// Timing of polls. A poll of an endpoint renews its leases and lists its runs. Load: an endpoint
+// of 16 to 64 cores ends some ten tasks a second. A poll that waits for an end is answered at each
+// of them; the gap lets ends accumulate, at a cost of half the gap to each step.
 const (
 	lookGap = 60 * time.Millisecond
-	// lookWait is how long a renewal waits for an end. It bounds how late a
-	// lease is renewed, and so how short a lease may be.
-	lookWait = 1000 * time.Millisecond
-	// startingWait is the wait while a lasting task starts up: that it is at work
-	// shows in a listing only, and others of its step wait to be moved till then.
-	startingWait = 200 * time.Millisecond
-	// unconfirmedWait is the wait while the answer to a start is on its way: it says
-	// more, and sooner, than a listing that does not have the run yet. Only where it
-	// does not come for unsureAfter is the endpoint asked.
-	unconfirmedWait = 300 * time.Millisecond
-	unsureAfter     = 200 * time.Millisecond
-	// lookRetry follows a renewal without an answer.
-	lookRetry = 120 * time.Millisecond
-	// unsureWait is the gap before asking after a start without an answer.
+	// maxPollWait is how long a poll waits for an end. It bounds how late a lease is renewed, and
+	// so how short a lease may be.
+	maxPollWait = 1000 * time.Millisecond
+	// startingPollWait is the wait while a long-running task starts up: only a listing shows that it is
+	// working, and until then no other task of its step is moved.
+	startingPollWait = 200 * time.Millisecond
+	// unconfirmedPollWait is the wait while the answer to a start is pending: it says more, and
+	// sooner, than a listing that does not have the run yet. The endpoint is polled faster only if
+	// there is no answer for startAnswerTimeout.
+	unconfirmedPollWait = 300 * time.Millisecond
+	startAnswerTimeout  = 200 * time.Millisecond
+	// pollRetryDelay is the delay after a poll without an answer.
+	pollRetryDelay = 120 * time.Millisecond
+	// unsureWait is how long a poll waits, or is delayed, while the result of a start or stop is
+	// unknown.
 	unsureWait = 80 * time.Millisecond
-	// clockFresh is how old the reading of an idle endpoint's clock may be: each
-	// second of it takes 20 ms from the next lease.
-	clockFresh = 20 * time.Second
-	// stopRepeat is how long an endpoint has to list a stopped run's end
-	// before it is told again.
+	// maxClockAge is how old the reading of an idle endpoint's clock may be: each second of age takes
+	// 20 ms off the next lease.
+	maxClockAge = 20 * time.Second
+	// stopRepeat is how long an endpoint has to list the end of a stopped run before the stop is
+	// repeated.
 	stopRepeat = 400 * time.Millisecond
-	// resendAfter is how long a start may go unlisted before it is repeated
-	// under the same number.
+	// resendAfter is how long a start may stay unlisted before it is sent again under the same run
+	// number.
 	resendAfter = 300 * time.Millisecond
 )
 
-// endpoint returns the incarnation with this id, known or not.
+// endpoint returns the endpoint with this id, and adds it if it is unknown.
 func (c *Core) endpoint(id string) *endpoint {
 	e := c.endpoints[id]
 	if e == nil {
@@ -47,7 +48,7 @@
 	return e
 }
 
-// ObserveEndpoints takes in service discovery: the pool's whole list.
+// ObserveEndpoints applies the pool's complete list of endpoints from service discovery.
 func (c *Core) ObserveEndpoints(now time.Duration, list []EndpointInfo) {
 	for _, e := range c.endpoints {
 		e.listed = false
@@ -60,7 +61,7 @@
 		}
 		e := c.endpoint(info.ID)
 		if info.StartedMs != 0 && info.StartedMs < e.startedMs {
-			continue // the entry of an earlier incarnation
+			continue // entry of an earlier incarnation
 		}
 		c.meet(now, e, info.StartedMs)
 		e.listed, e.draining = true, info.Draining
@@ -72,14 +73,13 @@
 	}
 	for id, e := range c.endpoints {
 		if !shown[id] && len(e.tasks) == 0 && !(e.vacating && now < e.vacateUntil) && !e.remembered(now) {
-			c.forget(e)
+			c.forgetEndpoint(e)
 		}
 	}
 }
 
-// Gone takes in that an operation has ended an incarnation, and everything on it with it. Where the
-// endpoint's present one is not known yet, its tasks may run on a later one: its first
-// listing tells.
+// Gone records that an operation has ended an incarnation with everything on it. If the endpoint's
+// present incarnation is unknown, its tasks may run on a later one: its first listing shows that.
 func (c *Core) Gone(in Incarnation) {
 	c.gone[in] = true
 	e := c.endpoints[in.ID]
@@ -88,24 +88,24 @@
 	}
 	presumed := c.presumedCrashes(e)
 	c.endIncarnation(e)
-	c.accuseAll(presumed)
+	c.recordCrashes(presumed)
 }
 
 func (c *Core) endIncarnation(e *endpoint) {
 	c.gone[e.incarnation()] = true
 	c.event(Event{Kind: EventGone, Endpoint: e.id, StartedMs: e.startedMs, Run: len(e.tasks)})
 	c.loseAll(e, "incarnation ended")
-	c.forget(e)
+	c.forgetEndpoint(e)
 }
 
-// crashed takes in that an incarnation has ended for no reason that is known.
+// crashed records that an incarnation has ended for an unknown reason.
 func (c *Core) crashed(e *endpoint) {
-	taken := weigh(e, append(e.runsOf(), c.unheardRuns(e)...))
+	taken := attributeCrash(e, append(e.orderedRuns(), c.unreportedRuns(e)...))
 	c.endIncarnation(e)
-	c.accuseAll(taken)
+	c.recordCrashes(taken)
 }
 
-// Look is a renewal to send.
+// Look is a poll to send: it renews the endpoint's leases, acknowledges ends and asks for a listing.
 type Look struct {
 	Endpoint     string
 	Addr         string
@@ -116,62 +116,61 @@
 	sent         time.Duration
 }
 
-// DueLooks returns the renewals to send now; each is answered by LookDone.
+// DueLooks returns the polls to send now; LookDone reports the result of each.
 func (c *Core) DueLooks(now time.Duration) []Look {
 	var due []Look
 	for _, e := range c.endpoints {
-		if e.lookOut || now < e.nextLook || e.addr == "" || !c.needsLook(now, e) {
+		if e.lookOut || now < e.nextLook || e.addr == "" || !c.needsPoll(now, e) {
 			continue
 		}
 		e.lookOut = true
-		due = append(due, Look{Endpoint: e.id, Addr: e.addr, Fence: c.fence(e), Acknowledged: e.mayForget(),
-			LeaseUntil: c.grant(e, now), Wait: c.lookWait(now, e), sent: now})
+		due = append(due, Look{Endpoint: e.id, Addr: e.addr, Fence: c.fence(e), Acknowledged: e.safeAcknowledgement(),
+			LeaseUntil: c.grant(e, now), Wait: c.pollWait(now, e), sent: now})
 	}
 	return due
 }
 
-func (c *Core) needsLook(now time.Duration, e *endpoint) bool {
-	if !e.lookedEver || now-e.looked > clockFresh {
+func (c *Core) needsPoll(now time.Duration, e *endpoint) bool {
+	if !e.lookedEver || now-e.looked > maxClockAge {
 		return true
 	}
-	if c.watchful && now-e.clockAt > watchEvery {
+	if c.watchful && now-e.clockAt > idlePollInterval {
 		return true
 	}
-	return len(e.tasks) > 0 || e.strangers > 0 || e.acknowledgeable() > e.acknowledged || e.failedLook > 0
+	return len(e.tasks) > 0 || e.strangers > 0 || e.lastAcknowledgeable() > e.acknowledged || e.failedLook > 0
 }
 
-func (c *Core) lookWait(now time.Duration, e *endpoint) time.Duration {
+func (c *Core) pollWait(now time.Duration, e *endpoint) time.Duration {
 	if !e.lookedEver || e.failedLook > 0 {
 		return 0
 	}
-	wait := lookWait
+	wait := maxPollWait
 	if e.tries() {
-		wait = trialLook
+		wait = trialPollWait
 	}
 	for t := range e.tasks {
-		wait = min(wait, t.lookWait(now))
+		wait = min(wait, t.pollWait(now))
 	}
 	return wait
 }
 
-// lookWait is how long a renewal of the task's endpoint may wait for an end.
-func (t *task) lookWait(now time.Duration) time.Duration {
+// pollWait is how long a poll of the task's endpoint may wait for an end.
+func (t *task) pollWait(now time.Duration) time.Duration {
 	switch {
-	case t.stopping, t.ordered > 0 && t.confirmed == 0 && now-t.ordered > unsureAfter:
+	case t.stopping, t.ordered > 0 && t.confirmed == 0 && now-t.ordered > startAnswerTimeout:
 		return unsureWait
 	case t.step.spec.LongRunning && t.percent < atWork:
-		return startingWait
+		return startingPollWait
 	case t.confirmed == 0:
-		return unconfirmedWait
+		return unconfirmedPollWait
 	}
-	return lookWait
+	return maxPollWait
 }
 
-// Listed is what an endpoint listed in answer to a renewal.
+// Listed is an endpoint's answer to a poll.
 type Listed struct {
 	Clock time.Duration
-	// StartedMs is when the incarnation that answered started, in ms since 1970; 0 where
-	// not told.
+	// StartedMs is when the incarnation that answered started, in ms since 1970; 0 if not reported.
 	StartedMs int64
 	Running   []ListedRun
 	Ended     []ListedEnd
@@ -185,10 +184,10 @@
 	Percent    int
 }
 
-// HowEnded says how a run ended.
+// HowEnded is the outcome of a run.
 type HowEnded uint8
 
-// How runs end.
+// Outcomes of runs.
 const (
 	EndedDone HowEnded = iota
 	EndedFailed
@@ -198,11 +197,11 @@
 	EndedAlone
 )
 
-var howNames = [...]string{"done", "failed", "stopped", "lapsed", "broken", "alone"}
+var howEndedNames = [...]string{"done", "failed", "stopped", "lapsed", "broken", "alone"}
 
-func (h HowEnded) String() string { return howNames[h] }
+func (h HowEnded) String() string { return howEndedNames[h] }
 
-// ListedEnd is an end that an endpoint lists.
+// ListedEnd is the end of a run that an endpoint lists.
 type ListedEnd struct {
 	Number     int64
 	Task       string
@@ -211,10 +210,10 @@
 	Checkpoint string
 }
 
-// LookResult says how a renewal went.
+// LookResult is the result of a poll.
 type LookResult uint8
 
-// Results of renewals.
+// Results of polls.
 const (
 	LookAnswered LookResult = iota
 	LookUnanswered
@@ -222,11 +221,11 @@
 	LookGone
 )
 
-// LookDone takes in the result of a renewal.
+// LookDone applies the result of a poll.
 func (c *Core) LookDone(now time.Duration, l Look, result LookResult, in Listed) {
 	e := c.endpoints[l.Endpoint]
 	if e == nil || l.Fence != c.fence(e) {
-		return // about an earlier incarnation
+		return // result for an earlier incarnation
 	}
 	e.lookOut = false
 	switch result {
@@ -236,80 +235,79 @@
 		c.fenced = true
 		c.event(Event{Kind: EventFenced, Endpoint: e.id})
 	case LookUnanswered:
-		e.lookFailed(now)
+		e.pollFailed(now)
 	case LookAnswered:
-		c.lookAnswered(now, l, e, in)
+		c.pollAnswered(now, l, e, in)
 	}
 }
 
-func (e *endpoint) lookFailed(now time.Duration) {
+func (e *endpoint) pollFailed(now time.Duration) {
 	e.failedLook++
-	e.nextLook = now + lookRetry
+	e.nextLook = now + pollRetryDelay
 }
 
-// lookAnswered takes in a listing. One that shows a new incarnation only says that it lives:
-// orders for the one before may yet reach it.
-func (c *Core) lookAnswered(now time.Duration, l Look, e *endpoint, in Listed) {
+// pollAnswered applies a listing. If it is from a new incarnation, it only shows that this one is
+// running: orders for the previous incarnation may still reach it.
+func (c *Core) pollAnswered(now time.Duration, l Look, e *endpoint, in Listed) {
 	c.meet(now, e, in.StartedMs)
 	if l.Fence == c.fence(e) {
-		c.takeIn(now, l.sent, e, in)
+		c.applyListing(now, l.sent, e, in)
 	}
 }
 
-func (c *Core) takeIn(now, sent time.Duration, e *endpoint, in Listed) {
+func (c *Core) applyListing(now, sent time.Duration, e *endpoint, in Listed) {
 	e.noteClock(now, in.Clock)
 	if !e.lookedEver {
-		// What a predecessor granted goes on, for a lease at most: it can grant
-		// nothing more now that the fence is raised. Taken for no lease at all,
-		// it would have run out before this owner's first renewal leaves, and
-		// the tasks would begin elsewhere beside the runs that go on here.
+		// Leases that a predecessor granted last for one more lease duration at most: it can't
+		// renew them now that the fence is raised. If they counted as expired, the tasks would
+		// be started elsewhere before this owner's first renewal, beside runs that go on here.
 		e.granted = max(e.granted, e.clock+c.limits.Lease)
 	}
-	e.nextLook = now + e.lookPause()
+	e.nextLook = now + e.pollInterval()
 	if !e.lookedEver || e.failedLook > 0 {
-		e.nextLook = now // nothing was renewed
+		e.nextLook = now // this poll renewed nothing
 	}
 	e.lookedEver, e.looked, e.failedLook = true, now, 0
-	c.forgetUnheard(e)
+	c.clearUnreported(e)
 	running := make(map[*task]bool, len(in.Running))
-	strangers := 0
+	unknownRuns := 0
 	for _, r := range in.Running {
 		t := c.find(e, r.Task, r.Run)
 		if t == nil {
-			strangers++
-			c.stopStranger(e, r)
+			unknownRuns++
+			c.stopUnknownRun(e, r)
 			continue
 		}
 		running[t] = true
-		c.seeRunning(now, in.Clock, t, r)
+		c.applyRunning(now, in.Clock, t, r)
 	}
-	e.strangers = strangers
+	e.strangers = unknownRuns
 	for _, end := range in.Ended {
 		c.takeEnd(now, e, end)
 	}
-	if upTo := e.acknowledgeable(); upTo > e.acknowledged {
+	if upTo := e.lastAcknowledgeable(); upTo > e.acknowledged {
 		c.acks[e.incarnation()] = upTo
 	}
 	if len(in.Ended) < fullListing {
-		c.settleUnlisted(now, sent, e, running)
+		c.resolveUnlisted(now, sent, e, running)
 	}
 }
 
-// fullListing is how many ends one answer lists at most; with as many, more
-// may follow and nothing can be concluded from what is missing.
+// fullListing is how many ends one answer lists at most. With as many, more may follow, so a run
+// that is missing from the listing proves nothing.
 const fullListing = 500
 
 // find returns the task that is placed on e under this run.
 func (c *Core) find(e *endpoint, name string, run int) *task {
-	t := c.taskNamed(name)
+	t := c.taskByName(name)
 	if t == nil || t.host != e || t.run != run {
 		return nil
 	}
 	return t
 }
 
-// taskNamed returns the task of this name, nil where its job is not open.
-func (c *Core) taskNamed(name string) *task {
+// taskByName returns the task of this name, nil if its job is not open.
+func (c *Core) taskByName(name string) *task {
 	n, ok := jobs.ParseTaskName(name)
 	if !ok {
 		return nil
@@ -321,23 +319,23 @@
 	return j.task(n.Occurrence, n.Step, n.Index)
 }
 
-// stopStranger ends a run that this owner does not know. Every start was
-// recorded before it was ordered, so this is a run that was given up as lost
-// while its endpoint lived on; it must not go on beside its successor.
-func (c *Core) stopStranger(e *endpoint, r ListedRun) {
+// stopUnknownRun stops a run that this owner does not have. Every start is recorded before it is
+// ordered, so the run was abandoned while its endpoint was still up; it must not go on beside the
+// run that replaces it.
+func (c *Core) stopUnknownRun(e *endpoint, r ListedRun) {
 	c.event(Event{Kind: EventStranger, Task: r.Task, Run: r.Run, Endpoint: e.id})
 	c.stops = append(c.stops, Order{Kind: OrderStop, Endpoint: e.id, Addr: e.addr, Fence: c.fence(e), Task: r.Task, Run: r.Run})
 }
 
-func (c *Core) seeRunning(now, clock time.Duration, t *task, r ListedRun) {
+func (c *Core) applyRunning(now, clock time.Duration, t *task, r ListedRun) {
 	c.confirm(now, t)
 	t.proven = true
 	t.doubted = nil
-	if t.heardFor() >= justBegun {
+	if t.confirmedFor() >= newRunPeriod {
 		t.endTrial()
 	}
-	if t.heardFor() >= settledAfter {
-		c.absolve(t)
+	if t.confirmedFor() >= stableRunAfter {
+		c.clearEvidence(t)
 	}
 	c.noteProgress(clock, t, r.Percent)
 	if r.Percent != t.percent {
@@ -348,7 +346,7 @@
 	}
 }
 
-// confirm takes in that an endpoint has a task's run.
+// confirm records that an endpoint has a task's run.
 func (c *Core) confirm(now time.Duration, t *task) {
 	if t.confirmed == 0 {
 		t.confirmed = now
@@ -356,46 +354,45 @@
 	t.step.job.begun = true
 }
 
-// settleUnlisted deals with runs that the endpoint neither runs nor has ended.
-// Only a renewal sent after the start was answered, or after it went without
-// an answer for long enough, says anything about it.
-func (c *Core) settleUnlisted(now, sent time.Duration, e *endpoint, running map[*task]bool) {
+// resolveUnlisted handles runs that the endpoint lists neither as running nor as ended. Only a poll
+// that was sent after the start was answered, or after it went unanswered for long enough, is
+// conclusive.
+func (c *Core) resolveUnlisted(now, sent time.Duration, e *endpoint, running map[*task]bool) {
 	for t := range e.tasks {
 		if running[t] || t.confirmed >= sent && t.confirmed > 0 {
 			continue
 		}
 		if t.confirmed > 0 {
-			// An end is listed until it is acknowledged, and it is
-			// acknowledged only once recorded: the endpoint has forgotten it.
-			c.loseUnlisted(t, "no longer listed")
+			// An end is listed until it is acknowledged, and acknowledged only once it is
+			// recorded: the endpoint has lost this run.
+			c.requeueUnlisted(t, "no longer listed")
 			continue
 		}
-		c.settleUnsure(now, sent, t)
+		c.resolveUnconfirmed(now, sent, t)
 	}
 }
 
-// loseUnlisted takes back a task whose run its endpoint does not have. If an incarnation has
-// ended meanwhile, the run has ended with it.
-func (c *Core) loseUnlisted(t *task, reason string) {
+// requeueUnlisted requeues a task whose run its endpoint does not have. If an incarnation has ended
+// since the start, the run ended with it and counts as crash evidence.
+func (c *Core) requeueUnlisted(t *task, reason string) {
 	c.event(Event{Kind: EventLost, Job: t.step.job.rec.Job.ID, Task: t.name(), Run: t.run, Endpoint: t.host.id, Reason: reason})
 	doubted := t.doubted
 	c.again(t)
 	if doubted != nil {
-		c.accuse(*doubted)
+		c.recordCrash(*doubted)
 	}
 }
 
-// settleUnsure repeats a start that the endpoint does not list. It may have
-// been lost, or be carried out later: under the same number either way only one
-// run can come of it. A task to be stopped gets a stop, after which that number
-// can no longer start.
-func (c *Core) settleUnsure(now, sent time.Duration, t *task) {
+// resolveUnconfirmed repeats a start that the endpoint does not list. The order may have been lost,
+// or may still be carried out: under the same run number it can only result in one run. A task that
+// is being stopped gets a stop instead, after which that number can't start any more.
+func (c *Core) resolveUnconfirmed(now, sent time.Duration, t *task) {
 	if t.restored {
-		c.loseUnlisted(t, "never began")
+		c.requeueUnlisted(t, "never began")
 		return
 	}
-	// Before the first order has left there is nothing to repeat, and the
-	// intent may not be durable yet.
+	// Before the first order has been sent there is nothing to repeat, and the intent may not
+	// be durable yet.
 	if t.stopping || t.resending || t.ordered == 0 || sent < t.ordered {
 		return
 	}
--- a/internal/executor/trial.go
+++ b/internal/executor/trial.go
@@ -5,32 +5,33 @@
 	"time"
 )
 
-// Trials. A task that may crash its endpoints is placed where no run of another job has just
-// begun, and none is placed beside it until its own goes on. If it is sound, its run shows
-// that within moments and the endpoint takes other tasks again; if not, nothing else there
-// can have caused the crash, and no sound task becomes a suspect by it.
+// Isolated runs. A suspect task is placed where no run of another job is new, and no run of another
+// job is placed beside it while its own is new. If the task is healthy, its run shows that within
+// moments and the endpoint accepts other tasks again; if not, no other run there can have caused the
+// crash, and no healthy task becomes a suspect.
 
 const (
-	// heardOfLate is how long ago an endpoint may have been heard for a wary task.
+	// heardOfLate is the longest time since the last report of an endpoint on which a cautious task
+	// (see task.cautious) may be placed.
 	heardOfLate = 1500 * time.Millisecond
-	// watchEvery is how often idle endpoints are asked meanwhile.
-	watchEvery = heardOfLate / 2
-	// trialLook is how long a renewal waits while a run is on trial, or a suspect waits for those
-	// on the endpoint to go on.
-	trialLook = 200 * time.Millisecond
-	// trialPatience is how long a suspect waits for an endpoint of that kind: a gang or a
-	// lasting task in a small pool may never find one.
-	trialPatience = 3 * time.Second
+	// idlePollInterval is how often idle endpoints are polled while a cautious task waits.
+	idlePollInterval = heardOfLate / 2
+	// trialPollWait is how long a poll waits during an isolated run, or while an endpoint is reserved
+	// for a suspect.
+	trialPollWait = 200 * time.Millisecond
+	// trialTimeout is how long a suspect waits for such an endpoint: a gang or a long-running task
+	// in a small pool may never find one.
+	trialTimeout = 3 * time.Second
 )
 
-// beginTrial keeps other jobs from an endpoint that a suspect is placed on.
+// beginTrial reserves the endpoint of a suspect for that suspect's job.
 func (t *task) beginTrial() {
 	if t.evidence.Suspect {
 		t.onTrial, t.host.trial = true, t.step.job
 	}
 }
 
-// endTrial lets them on it again.
+// endTrial ends the reservation, unless another suspect still runs isolated there.
 func (t *task) endTrial() {
 	if !t.onTrial {
 		return
@@ -44,18 +45,18 @@
 	t.host.trial = nil
 }
 
-// tries reports whether a suspect is tried on an endpoint, or will be next.
+// tries reports whether an endpoint has an isolated run of a suspect or is reserved for one.
 func (e *endpoint) tries() bool {
 	return e.trial != nil || e.keptFor != nil && e.keptFor.evidence.Suspect
 }
 
-// alone reports whether a task may only be placed where nothing else has just begun.
+// alone reports whether a task may only be placed where no run of another job is new.
 func (t *task) alone(now time.Duration) bool {
-	return t.evidence.Suspect && (t.waitsSince == 0 || now-t.waitsSince < trialPatience)
+	return t.evidence.Suspect && (t.waitsSince == 0 || now-t.waitsSince < trialTimeout)
 }
 
-// trialScore prefers, for a suspect, an endpoint with little to take down, and another one than
-// that of its last crash.
+// trialScore ranks endpoints for a suspect: it prefers those with few runs to lose, and another one
+// than that of its last crash.
 func (t *task) trialScore(e *endpoint, free float64) float64 {
 	score := free
 	if e.hasLasting() {
@@ -67,23 +68,22 @@
 	return score
 }
 
-// hasJustBegun reports whether runs of other jobs have just begun on an endpoint, or are
-// still to begin.
+// hasJustBegun reports whether an endpoint has new or unconfirmed runs of other jobs.
 func (e *endpoint) hasJustBegun(besides *job) bool {
 	for t := range e.tasks {
-		if t.step.job != besides && t.heardFor() < justBegun {
+		if t.step.job != besides && t.confirmedFor() < newRunPeriod {
 			return true
 		}
 	}
 	return false
 }
 
-// cautious reports whether the task is placed only on endpoints that have been heard of late.
-// Load: a zone goes dark. Idle endpoints there are not missed; a task whose lease has run out
-// on one of them would be sent to the next.
+// cautious reports whether the task is placed only on endpoints that reported recently. Load: a zone
+// goes dark. Its idle endpoints are not yet known to be down, and a task whose lease has expired on
+// one of them would be placed on the next.
 func (t *task) cautious() bool { return t.lapsed || t.evidence.Crashes > 0 }
 
-// beWary puts a task among those that are not placed anywhere.
+// beWary adds a cautious task to those that watch looks after.
 func (c *Core) beWary(t *task) {
 	if t.cautious() && !t.wary {
 		t.wary = true
@@ -91,14 +91,16 @@
 	}
 }
 
-// watch notes whether wary tasks wait, or runs on a silent endpoint may have to begin again.
+// watch drops finished and cleared tasks from the cautious ones and decides whether idle endpoints
+// are polled: because cautious tasks are due, or because runs on an unresponsive endpoint may have
+// to be restarted.
 func (c *Core) watch(now time.Duration) {
 	c.wary = slices.DeleteFunc(c.wary, func(t *task) bool {
 		over := t.phase == taskDone || t.step.job.rec.State.Ended() || !t.cautious()
 		t.wary = t.wary && !over
 		return over
 	})
-	c.countUnheard()
+	c.countUnreportedLosses()
 	c.watchful = false
 	for _, t := range c.wary {
 		if t.step.waitsFor > 0 || !c.mayStart(now, t) {
@@ -114,7 +116,7 @@
 	}
 }
 
-// suspectsWaiting returns the suspects that could start now, where they are alone.
+// suspectsWaiting returns the suspects that could start now and need an isolated run.
 func (c *Core) suspectsWaiting(now time.Duration) []*task {
 	var out []*task
 	for _, t := range c.wary {
