--- a/internal/tenure/tenure.go
+++ b/internal/tenure/tenure.go
@@ -1,10 +1,12 @@
-// Package tenure is sole ownership of a topic of the platform's store, under an
-// epoch that fences earlier owners.
+// Package tenure gives one owner at a time the sole right to append to a topic of the
+// platform's store, under an epoch that fences earlier owners. Whether a claim succeeds, and
+// under which epoch, follows from the topic's records and from the claims that the claimant
+// has seen (Claims). The packages shards and fleetops call it, to claim pools and the duty
+// that manages instances.
 //
-// Contract: records that Claim returns are all that anybody has ever appended
-// and nobody of an earlier epoch can append more. Batches are numbered by one
-// goroutine and may be on their way side by side: the store takes them in the order
-// of their numbers.
+// Contract: Claim returns all records that were ever appended, and nobody can append more
+// under an earlier epoch. One goroutine numbers the batches; several may be in flight at
+// once, and the store takes them in the order of their numbers.
 package tenure
 
 import (
@@ -27,13 +29,13 @@
 )
 
 const (
-	// producer names the owner's appends; a topic has one writer.
-	producer = "owner"
-	// keyEpoch names the record of the newest claim.
-	keyEpoch = "e"
+	// producerName is the writer's name of the owner's appends; a topic has one writer.
+	producerName = "owner"
+	// epochKey is the key of the newest claim's record.
+	epochKey = "e"
 )
 
-// Journal is the part of the platform's client that holds records.
+// Journal is the part of the platform's client that reads and appends records.
 type Journal interface {
 	Append(ctx context.Context, topic string, at int64, w platform.Writer, records []platform.Record) (int64, error)
 	Newest(ctx context.Context, topic string) (platform.Page, error)
@@ -44,12 +46,12 @@
 type epochRecord struct {
 	Epoch int64  `cbor:"1,keyasint"`
 	Owner string `cbor:"2,keyasint"`
-	// Claim tells the claims of one owner apart.
+	// Claim distinguishes the claims of one owner.
 	Claim string `cbor:"3,keyasint,omitempty"`
 }
 
-// MalformedEpochError says that the record of the newest claim can't be read,
-// so that no higher epoch can be chosen.
+// MalformedEpochError reports that the record of the newest claim can't be read, so that no
+// higher epoch can be chosen.
 type MalformedEpochError struct {
 	Topic string
 	Cause error
@@ -57,32 +59,32 @@
 
 func (e *MalformedEpochError) Error() string { return e.Topic + ": epoch: " + e.Cause.Error() }
 
-// Unwrap returns the decoder's failure.
+// Unwrap returns the decoding error.
 func (e *MalformedEpochError) Unwrap() error { return e.Cause }
 
-// Tenure is one owner's time with a topic.
+// Tenure is one owner's ownership of a topic, from its claim until it is fenced.
 type Tenure struct {
 	store Store
 	topic string
 	log   *slog.Logger
-	// Epoch is higher than that of all earlier owners.
+	// Epoch is higher than the epochs of all earlier owners.
 	Epoch int64
-	// next is the number of the next batch; all below done are stored.
-	next int64
-	done atomic.Int64
-	// proof is when the newest append that succeeded was sent.
-	proof atomic.Int64
+	// nextSeq is the number of the next batch; all batches below storedBelow are stored.
+	nextSeq     int64
+	storedBelow atomic.Int64
+	// provenAt is when the newest append that succeeded was sent.
+	provenAt atomic.Int64
 }
 
-// Store is what a tenure needs of the platform's store: its records, and how long
-// to wait for answers.
+// Store is the platform's store as a tenure uses it: its records, and the policy for
+// repeating calls.
 type Store struct {
 	Journal  Journal
 	Attempts *attempts.Policy
 }
 
-// Put appends records wherever the topic ends, until that is answered. They may be
-// written more than once: the newest record of a key counts.
+// Put appends records at the topic's end and retries until the store answers. Records may be
+// written more than once; the newest record of a key counts.
 func (s Store) Put(ctx context.Context, topic string, w platform.Writer, records []platform.Record) error {
 	_, _, err := attempts.Repeat(ctx, s.Attempts, attempts.OfStore, func(ctx context.Context) (int64, error) {
 		return s.Journal.Append(ctx, topic, platform.AnyEnd, w, records)
@@ -90,17 +92,17 @@
 	return err
 }
 
-// Claims is what a claimant knows of a topic's claims.
+// Claims are the claims of a topic that the claimant has seen.
 type Claims interface {
-	// Known is the epoch of the newest claim that the claimant knows of, 0 for none.
+	// Known returns the epoch of the newest claim seen, 0 for none.
 	Known() int64
-	// Learn takes in a newer claim, also the claimant's own, and reports whether the
-	// topic is the claimant's with it.
+	// Learn records a newer claim, which may be the claimant's own, and reports whether the
+	// topic is assigned to the claimant, given that claim.
 	Learn(owner string, epoch int64) bool
 }
 
-// HeldError says that a topic was left to another owner, whose claim is newer than
-// the claimant knew.
+// HeldError reports that a topic was left to another owner, whose claim is newer than those
+// that the claimant had seen.
 type HeldError struct {
 	Topic, Owner string
 	Epoch        int64
@@ -110,113 +112,112 @@
 	return fmt.Sprintf("%s: held by %s under epoch %d", e.Topic, e.Owner, e.Epoch)
 }
 
-// Claim takes a topic over, unless it finds a claim that it did not know of, by an owner
-// whom claims leave the topic to.
+// Claim claims a topic. It returns a HeldError if it finds a claim that the claimant had not
+// seen and, given that claim, the topic is not assigned to the claimant.
 //
-// Two nodes that know different members both find a topic to be theirs. Each claim
-// fences the other's, and without a word on who has it now the loser would claim it
-// again: its pool changed hands each second and a half for as long as both lived.
-// The newest claim's record names its owner, so that whoever did not know of it
-// decides anew before claiming.
+// Two nodes that see different members may both be assigned a topic. Each claim fences the
+// other's; if the loser did not find out who owns the topic now, it would claim it again, and
+// a pool would change owners every one and a half seconds for as long as both run. The newest
+// claim's record therefore names its owner, and a claimant that had not seen that claim
+// decides again before it claims.
 //
-// A record with the next epoch, appended on the
-// condition that the topic ends where it was read to, makes one claimant the
-// winner of that epoch: under a producer's name two claimants of one epoch
-// would look like one that repeats itself. Announcing the epoch then fences the
-// predecessor, and what it appended in between is read last.
+// A record with the next epoch, appended on the condition that the topic has not grown since
+// it was read, selects one winner for that epoch: under a producer's name, two claimants of
+// one epoch would look like one writer that repeats its append. Announcing the epoch then
+// fences the predecessor, and the records that it appended in between are read last.
 //
-// Both writes are repeated until they are answered. A claim that starts over at
-// each lost answer needs two answered in a row, and takes seconds where half of them
-// are lost.
-func Claim(ctx context.Context, store Store, topic, owner string, claims Claims, log *slog.Logger) (*Tenure, []platform.Record, error) {
+// Both writes are repeated until they are answered. A claim that started over at each lost
+// answer would need two answers in a row, which takes seconds if half of them are lost.
+func Claim(ctx context.Context, store Store, topic, claimant string, claims Claims, log *slog.Logger) (*Tenure, []platform.Record, error) {
 	page, err := store.Journal.Newest(ctx, topic)
 	if err != nil {
 		return nil, nil, err
 	}
-	if err := undamaged(topic, page.Records); err != nil {
+	if err := checkUndamaged(topic, page.Records); err != nil {
 		return nil, nil, err
 	}
-	last, holder, err := NewestClaim(topic, page.Records)
+	lastEpoch, holder, err := NewestClaim(topic, page.Records)
 	if err != nil {
 		return nil, nil, err
 	}
-	if last > claims.Known() && holder != owner && !claims.Learn(holder, last) {
-		return nil, nil, &HeldError{Topic: topic, Owner: holder, Epoch: last}
+	if lastEpoch > claims.Known() && holder != claimant && !claims.Learn(holder, lastEpoch) {
+		return nil, nil, &HeldError{Topic: topic, Owner: holder, Epoch: lastEpoch}
 	}
-	t := &Tenure{store: store, topic: topic, log: log, Epoch: last + 1}
-	err = t.take(ctx, page.Next, owner)
+	t := &Tenure{store: store, topic: topic, log: log, Epoch: lastEpoch + 1}
+	err = t.appendClaim(ctx, page.Next, claimant)
 	if !errors.HasType(err, (*platform.MovedOnError)(nil)) {
-		// The record is stored, or may be yet, though this claim is given up: others
-		// learn from it that the topic is the claimant's, who has to know it too, or
-		// all leave the topic to each other.
-		claims.Learn(owner, t.Epoch)
+		// The record is stored, or may still be, even if this claim is abandoned. Others that
+		// find it leave the topic to the claimant, so the claimant has to record it too;
+		// otherwise all of them leave the topic to each other.
+		claims.Learn(claimant, t.Epoch)
 	}
 	if err != nil {
 		return nil, nil, err
 	}
-	sent := planlease.Boottime()
+	sentAt := planlease.Boottime()
 	if _, err := t.append(ctx, platform.AnyEnd, t.writer(0), nil); err != nil {
 		return nil, nil, err
 	}
-	t.proof.Store(int64(sent))
-	records, err := t.upToFence(ctx, page.Records, page.Next+1)
+	t.provenAt.Store(int64(sentAt))
+	records, err := t.recordsAtFence(ctx, page.Records, page.Next+1)
 	return t, records, err
 }
 
 // append makes an append that the store recognises when it is repeated.
-func (t *Tenure) append(ctx context.Context, at int64, w platform.Writer, records []platform.Record) (tries int, err error) {
-	judge := func(err error) attempts.Verdict { return t.judge(w, err) }
-	_, tries, err = attempts.Repeat(ctx, t.store.Attempts, judge, func(ctx context.Context) (int64, error) {
+func (t *Tenure) append(ctx context.Context, at int64, w platform.Writer, records []platform.Record) (attemptCount int, err error) {
+	classify := func(err error) attempts.Verdict { return t.classify(w, err) }
+	_, attemptCount, err = attempts.Repeat(ctx, t.store.Attempts, classify, func(ctx context.Context) (int64, error) {
 		return t.store.Journal.Append(ctx, t.topic, at, w, records)
 	})
-	return tries, err
+	return attemptCount, err
 }
 
-// judge says what an append's error means. A batch that overtakes an earlier one on
-// its way is turned away for its number, and is in turn once that one is stored.
-func (t *Tenure) judge(w platform.Writer, err error) attempts.Verdict {
-	var turnedAway *platform.NotDoneError
-	if errors.As(err, &turnedAway) && turnedAway.Reason == platform.ReasonOutOfOrder && w.Seq > t.done.Load() {
+// classify returns what an append's error means. A batch that arrives before an earlier one
+// in flight is rejected for its number, and is accepted once the earlier one is stored.
+func (t *Tenure) classify(w platform.Writer, err error) attempts.Verdict {
+	var notDone *platform.NotDoneError
+	if errors.As(err, &notDone) && notDone.Reason == platform.ReasonOutOfOrder && w.Seq > t.storedBelow.Load() {
 		return attempts.TurnedAway
 	}
 	return attempts.OfStore(err)
 }
 
-// take appends the record of the claim at the topic's end. Where an attempt went
-// unanswered, a topic that has moved on may have done so by this very record.
-func (t *Tenure) take(ctx context.Context, at int64, owner string) error {
+// appendClaim appends the claim's record at the topic's end. If an attempt was not answered
+// and the topic has grown since, it checks whether it has grown by this record.
+func (t *Tenure) appendClaim(ctx context.Context, at int64, owner string) error {
 	value, err := cbor.Marshal(epochRecord{Epoch: t.Epoch, Owner: owner, Claim: uuid.NewString()})
 	if err != nil {
 		return &MalformedEpochError{Topic: t.topic, Cause: err}
 	}
-	tries, err := t.append(ctx, at, platform.Writer{}, []platform.Record{{Key: keyEpoch, Value: value}})
+	attemptCount, err := t.append(ctx, at, platform.Writer{}, []platform.Record{{Key: epochKey, Value: value}})
 	var movedOn *platform.MovedOnError
-	if tries == 1 || !errors.As(err, &movedOn) {
+	if attemptCount == 1 || !errors.As(err, &movedOn) {
 		return err
 	}
 	page, readErr := t.store.Journal.Read(ctx, t.topic, at, 0)
 	if readErr != nil {
 		return readErr
 	}
-	if len(page.Records) > 0 && page.Records[0].Key == keyEpoch && bytes.Equal(page.Records[0].Value, value) {
-		t.log.Info("claim found done", "topic", t.topic, "epoch", t.Epoch, "tries", tries)
+	if len(page.Records) > 0 && page.Records[0].Key == epochKey && bytes.Equal(page.Records[0].Value, value) {
+		t.log.Info("claim found done", "topic", t.topic, "epoch", t.Epoch, "tries", attemptCount)
 		return nil
 	}
 	return err
 }
 
 func (t *Tenure) writer(number int64) platform.Writer {
-	return platform.Writer{Name: producer, Epoch: t.Epoch, Seq: number}
+	return platform.Writer{Name: producerName, Epoch: t.Epoch, Seq: number}
 }
 
-// upToFence adds what was appended between the claim and the fence. Another
-// claim among it means that this one was overtaken.
-func (t *Tenure) upToFence(ctx context.Context, base []platform.Record, from int64) ([]platform.Record, error) {
+// recordsAtFence returns base, updated with the records that were appended between the
+// claim and the fence. If they include another claim, it returns a FencedError:
+// this claim was overtaken.
+func (t *Tenure) recordsAtFence(ctx context.Context, base []platform.Record, from int64) ([]platform.Record, error) {
 	page, err := t.store.Journal.Read(ctx, t.topic, from, 0)
 	if err != nil {
 		return nil, err
 	}
-	if err := undamaged(t.topic, page.Records); err != nil {
+	if err := checkUndamaged(t.topic, page.Records); err != nil {
 		return nil, err
 	}
 	newest := make(map[string][]byte, len(base))
@@ -224,12 +225,12 @@
 		newest[p.Key] = p.Value
 	}
 	for _, p := range page.Records {
-		if p.Key == keyEpoch {
+		if p.Key == epochKey {
 			return nil, &platform.FencedError{Topic: t.topic}
 		}
 		newest[p.Key] = p.Value
 	}
-	delete(newest, keyEpoch)
+	delete(newest, epochKey)
 	records := make([]platform.Record, 0, len(newest))
 	for _, key := range slices.Sorted(maps.Keys(newest)) {
 		if len(newest[key]) > 0 {
@@ -239,13 +240,13 @@
 	return records, nil
 }
 
-// DamagedRecordError says that a record of the topic can't be read. Going on
-// without it could run a task twice, so the topic is not taken over.
+// DamagedRecordError reports that a record of the topic can't be read. Without it a task could
+// run twice, so the topic is not claimed.
 type DamagedRecordError struct{ Topic, Key string }
 
 func (e *DamagedRecordError) Error() string { return e.Topic + ": record " + e.Key + " is damaged" }
 
-func undamaged(topic string, records []platform.Record) error {
+func checkUndamaged(topic string, records []platform.Record) error {
 	for _, r := range records {
 		if r.Damaged {
 			return &DamagedRecordError{Topic: topic, Key: r.Key}
@@ -254,11 +255,11 @@
 	return nil
 }
 
-// NewestClaim returns the epoch of a topic's newest claim, 0 for none, and who made
-// it.
+// NewestClaim returns the epoch and the owner of a topic's newest claim; the epoch is 0 if
+// there is none.
 func NewestClaim(topic string, page []platform.Record) (epoch int64, owner string, err error) {
 	for _, p := range page {
-		if p.Key != keyEpoch {
+		if p.Key != epochKey {
 			continue
 		}
 		var r epochRecord
@@ -270,55 +271,54 @@
 	return 0, "", nil
 }
 
-// ProofAge is how long ago the store last confirmed that the epoch is the
-// newest, on a clock that counts suspension.
+// ProofAge returns the time since the store last confirmed that the epoch is the newest, on
+// a clock that includes suspension.
 func (t *Tenure) ProofAge() time.Duration {
-	return planlease.Boottime() - time.Duration(t.proof.Load())
+	return planlease.Boottime() - time.Duration(t.provenAt.Load())
 }
 
-// Number gives a batch its place among the others. A batch without records only
-// proves the epoch and takes no place.
+// Number assigns a batch its sequence number. A batch without records only proves the epoch
+// and does not use up a number.
 func (t *Tenure) Number(records []platform.Record) int64 {
-	number := t.next
+	number := t.nextSeq
 	if len(records) > 0 {
-		t.next++
+		t.nextSeq++
 	}
 	return number
 }
 
-// Append numbers records and adds them; see AppendNumbered.
+// Append numbers and appends a batch; see AppendNumbered.
 func (t *Tenure) Append(ctx context.Context, records []platform.Record) error {
 	return t.AppendNumbered(ctx, t.Number(records), records)
 }
 
-// AppendNumbered adds the records of a batch, repeating until the store has given a
-// final answer: the number makes the store recognise what it has carried out
-// already. No records at all only prove the epoch. An error means that the tenure
-// is over, or that ctx has ended.
+// AppendNumbered appends a batch, and retries until the store has given a final answer: the
+// number lets the store recognise a batch that it has already stored. An empty batch only
+// proves the epoch. An error means that the tenure has ended, or that ctx has ended.
 func (t *Tenure) AppendNumbered(ctx context.Context, number int64, records []platform.Record) error {
-	// The first attempt may be the one that was carried out, so that the epoch is
-	// proven for no later moment.
-	sent := planlease.Boottime()
-	tries, err := t.append(ctx, platform.AnyEnd, t.writer(number), records)
-	if tries > 1 {
-		t.log.Info("append repeated", "topic", t.topic, "tries", tries, "done", err == nil,
-			"duration_ms", (planlease.Boottime() - sent).Milliseconds())
+	// The first attempt may be the one that the store carried out, so the epoch is proved for
+	// that moment and no later one.
+	sentAt := planlease.Boottime()
+	attemptCount, err := t.append(ctx, platform.AnyEnd, t.writer(number), records)
+	if attemptCount > 1 {
+		t.log.Info("append repeated", "topic", t.topic, "tries", attemptCount, "done", err == nil,
+			"duration_ms", (planlease.Boottime() - sentAt).Milliseconds())
 	}
 	if err != nil {
 		return err
 	}
-	raise(&t.proof, int64(sent))
+	storeMax(&t.provenAt, int64(sentAt))
 	if len(records) > 0 {
-		raise(&t.done, number+1)
+		storeMax(&t.storedBelow, number+1)
 	}
 	return nil
 }
 
-// raise sets a value that several batches may raise at once.
-func raise(v *atomic.Int64, to int64) {
+// storeMax raises a value to at least value; several batches may raise it at once.
+func storeMax(v *atomic.Int64, value int64) {
 	for {
-		have := v.Load()
-		if have >= to || v.CompareAndSwap(have, to) {
+		current := v.Load()
+		if current >= value || v.CompareAndSwap(current, value) {
 			return
 		}
 	}
--- a/internal/tenure/tenure_test.go
+++ b/internal/tenure/tenure_test.go
@@ -17,22 +17,22 @@
 	"cyclamenwheel/platform"
 )
 
-// forgetfulStore carries out every write and loses the answers to a share of them.
-type forgetfulStore struct {
+// lossyStore carries out every write and loses the answers to a share of them.
+type lossyStore struct {
 	mu      sync.Mutex
 	rng     *rand.Rand
-	lost    float64
+	loss    float64
 	records []platform.Record
 	epoch   int64
-	// claims are the epochs announced, in order.
+	// claims are the announced epochs, in order.
 	claims []int64
 }
 
-// answerTime is what the store takes for an answer, in a deployment.
+// answerTime is the time that the store takes to answer in a deployment.
 const answerTime = 4 * time.Millisecond
 
-func (s *forgetfulStore) Append(ctx context.Context, topic string, at int64, w platform.Writer, records []platform.Record) (int64, error) {
-	offset, err, lost := s.carryOut(topic, at, w, records)
+func (s *lossyStore) Append(ctx context.Context, topic string, at int64, w platform.Writer, records []platform.Record) (int64, error) {
+	offset, err, lost := s.apply(topic, at, w, records)
 	if lost {
 		<-ctx.Done()
 		return 0, &platform.OutcomeUnknownError{Call: "append", Cause: ctx.Err()}
@@ -41,10 +41,10 @@
 	return offset, err
 }
 
-func (s *forgetfulStore) carryOut(topic string, at int64, w platform.Writer, records []platform.Record) (offset int64, err error, lost bool) {
+func (s *lossyStore) apply(topic string, at int64, w platform.Writer, records []platform.Record) (offset int64, err error, lost bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	lost = s.rng.Float64() < s.lost
+	lost = s.rng.Float64() < s.loss
 	end := int64(len(s.records))
 	switch {
 	case w.Name != "" && w.Epoch < s.epoch:
@@ -60,7 +60,7 @@
 	return end, nil, lost
 }
 
-func (s *forgetfulStore) Newest(context.Context, string) (platform.Page, error) {
+func (s *lossyStore) Newest(context.Context, string) (platform.Page, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	page := platform.Page{Next: int64(len(s.records))}
@@ -74,109 +74,110 @@
 	return page, nil
 }
 
-func (s *forgetfulStore) Read(_ context.Context, _ string, from int64, _ time.Duration) (platform.Page, error) {
+func (s *lossyStore) Read(_ context.Context, _ string, from int64, _ time.Duration) (platform.Page, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return platform.Page{Records: slices.Clone(s.records[from:]), Next: int64(len(s.records))}, nil
 }
 
-// knows is what a claimant knows of other claims, and whether it goes on once it
-// has learnt of a newer one.
-type knows struct {
-	epoch   int64
-	mine    bool
-	learned []string
+// fakeClaims are the claims that a claimant has seen, and whether the topic is assigned to it
+// after it has observed a newer one.
+type fakeClaims struct {
+	epoch    int64
+	assigned bool
+	observed []string
 }
 
-func (k *knows) Known() int64 { return k.epoch }
+func (k *fakeClaims) Known() int64 { return k.epoch }
 
-func (k *knows) Learn(owner string, epoch int64) bool {
-	k.learned = append(k.learned, owner)
+func (k *fakeClaims) Learn(owner string, epoch int64) bool {
+	k.observed = append(k.observed, owner)
 	k.epoch = epoch
-	return k.mine
+	return k.assigned
 }
 
-// A pool changes hands for as long as two nodes that both find it theirs are alive.
-// A claimant that did not know of the newest claim leaves the topic to its owner,
-// unless that one has gone; one that knew of it takes it over.
+// Guards against a pool that changes owners for as long as two nodes run that are both
+// assigned to it. A claimant that had not seen the newest claim leaves the topic to its
+// owner, unless that owner has gone; one that had seen it takes over.
 func TestAClaimantLearnsOfTheNewestClaim(t *testing.T) {
 	g := NewWithT(t)
-	store := Store{Journal: &forgetfulStore{rng: rand.New(rand.NewPCG(1, 1))}, Attempts: attempts.NewPolicy()}
+	store := Store{Journal: &lossyStore{rng: rand.New(rand.NewPCG(1, 1))}, Attempts: attempts.NewPolicy()}
 	claim := func(owner string, claims Claims) error {
-		_, _, err := Claim(context.Background(), store, "t", owner, claims, quiet)
+		_, _, err := Claim(context.Background(), store, "t", owner, claims, discardLog)
 		return err
 	}
-	g.Expect(claim("a", &knows{})).To(Succeed())
-	stranger := &knows{}
+	g.Expect(claim("a", &fakeClaims{})).To(Succeed())
+	claimant := &fakeClaims{}
 	var held *HeldError
-	g.Expect(errors.As(claim("b", stranger), &held)).To(BeTrue())
+	g.Expect(errors.As(claim("b", claimant), &held)).To(BeTrue())
 	g.Expect(*held).To(Equal(HeldError{Topic: "t", Owner: "a", Epoch: 1}))
-	g.Expect(claim("b", stranger)).To(Succeed(), "it knows of the claim now and takes over")
-	g.Expect(stranger.learned).To(Equal([]string{"a", "b"}))
-	g.Expect(claim("b", &knows{})).To(Succeed(), "its own claim is nobody else's")
-	g.Expect(claim("c", &knows{mine: true})).To(Succeed(), "the holder has gone")
+	g.Expect(claim("b", claimant)).To(Succeed(), "it has now seen the claim and takes over")
+	g.Expect(claimant.observed).To(Equal([]string{"a", "b"}))
+	g.Expect(claim("b", &fakeClaims{})).To(Succeed(), "the claim that it finds is its own")
+	g.Expect(claim("c", &fakeClaims{assigned: true})).To(Succeed(), "the holder has gone")
 }
 
-// A pool has no owner for ten seconds while every node lives. A claim is given up
-// between its record and its end, as the duty moves on; the others find the record and
-// leave the pool to the claimant, and that one leaves it to them. Whoever may have
-// left a record knows that it claimed.
+// Guards against a pool that has no owner for ten seconds while all nodes are alive. A claim
+// is abandoned between its record and its end, because the duty moves. The others find the
+// record and leave the pool to the claimant, which leaves it to them. A claimant that may
+// have left a record therefore records its own claim.
 func TestAClaimThatIsGivenUpIsKnownToTheClaimant(t *testing.T) {
 	g := NewWithT(t)
-	silent := &forgetfulStore{rng: rand.New(rand.NewPCG(1, 1)), lost: 1}
+	store := &lossyStore{rng: rand.New(rand.NewPCG(1, 1)), loss: 1}
 	ctx, cancel := context.WithTimeout(context.Background(), 200*time.Millisecond)
 	defer cancel()
-	claims := &knows{}
-	_, _, err := Claim(ctx, Store{Journal: silent, Attempts: attempts.NewPolicy()}, "t", "a", claims, quiet)
+	claims := &fakeClaims{}
+	_, _, err := Claim(ctx, Store{Journal: store, Attempts: attempts.NewPolicy()}, "t", "a", claims, discardLog)
 	g.Expect(err).To(HaveOccurred())
-	g.Expect(silent.records).NotTo(BeEmpty(), "the claim's record is there")
-	g.Expect(claims.learned).To(Equal([]string{"a"}))
+	g.Expect(store.records).NotTo(BeEmpty(), "the claim's record is stored")
+	g.Expect(claims.observed).To(Equal([]string{"a"}))
 	g.Expect(claims.Known()).To(Equal(int64(1)))
 }
 
-var quiet = slog.New(slog.NewTextHandler(io.Discard, nil))
+var discardLog = slog.New(slog.NewTextHandler(io.Discard, nil))
 
 // claimOnce claims a topic of its own and returns how long that took.
-func claimOnce(g *WithT, seed uint64, lost float64) time.Duration {
-	store := &forgetfulStore{rng: rand.New(rand.NewPCG(seed, 1)), lost: lost}
-	began := time.Now()
-	held, _, err := Claim(context.Background(), Store{Journal: store, Attempts: attempts.NewPolicy()}, "t", "me", &knows{}, quiet)
+func claimOnce(g *WithT, seed uint64, loss float64) time.Duration {
+	store := &lossyStore{rng: rand.New(rand.NewPCG(seed, 1)), loss: loss}
+	startedAt := time.Now()
+	held, _, err := Claim(context.Background(), Store{Journal: store, Attempts: attempts.NewPolicy()}, "t", "me", &fakeClaims{}, discardLog)
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(held.Epoch).To(Equal(int64(1)), "a claim recognises its own record")
 	g.Expect(store.claims).To(Equal([]int64{1}))
-	return time.Since(began)
+	return time.Since(startedAt)
 }
 
-// Nobody serves a pool for seconds while its owner changes. The store carries the
-// claim out and loses the answer; the claimant starts over, finds a record of a
-// newer epoch than it knows, its own, and needs two answers in a row for the next.
+// Guards against a pool that has no owner for seconds while its owner changes. The store
+// carries the claim out and loses the answer; if the claimant started over, it would find its
+// own record with a newer epoch than it has seen, and would need two answers in a row for the
+// next epoch.
 func TestAClaimGoesOnFromItsOwnRecord(t *testing.T) {
-	for _, lost := range []float64{0, 0.3, 0.5} {
+	for _, loss := range []float64{0, 0.3, 0.5} {
 		g := NewWithT(t)
 		const claims = 200
-		took := make([]time.Duration, claims)
+		durations := make([]time.Duration, claims)
 		var wg sync.WaitGroup
-		for i := range took {
-			wg.Go(func() { took[i] = claimOnce(g, uint64(i), lost) })
+		for i := range durations {
+			wg.Go(func() { durations[i] = claimOnce(g, uint64(i), loss) })
 		}
 		wg.Wait()
-		slices.Sort(took)
-		t.Logf("lost %.1f: median %v, 95th percentile %v, most %v", lost, took[claims/2], took[claims*95/100], took[claims-1])
+		slices.Sort(durations)
+		t.Logf("lost %.1f: median %v, 95th percentile %v, most %v", loss, durations[claims/2], durations[claims*95/100], durations[claims-1])
 	}
 }
 
-// Two nodes claim one topic at once while answers are lost. One of them wins each
-// epoch, and whoever is told that it has the topic has the newest epoch of its time.
+// Two nodes claim one topic at once while answers are lost. Each epoch has one winner, and a
+// claimant whose claim succeeds has the newest epoch at that time.
 func TestTwoClaimantsNeverShareAnEpoch(t *testing.T) {
 	g := NewWithT(t)
 	for seed := range uint64(20) {
-		store := &forgetfulStore{rng: rand.New(rand.NewPCG(seed, 2)), lost: 0.5}
+		store := &lossyStore{rng: rand.New(rand.NewPCG(seed, 2)), loss: 0.5}
 		var mu sync.Mutex
 		epochs := map[int64]int{}
 		var wg sync.WaitGroup
 		for _, owner := range []string{"a", "b"} {
 			wg.Go(func() {
-				held, _, err := Claim(context.Background(), Store{Journal: store, Attempts: attempts.NewPolicy()}, "t", owner, &knows{mine: true}, quiet)
+				held, _, err := Claim(context.Background(), Store{Journal: store, Attempts: attempts.NewPolicy()}, "t", owner, &fakeClaims{assigned: true}, discardLog)
 				if err == nil {
 					mu.Lock()
 					defer mu.Unlock()
