--- a/internal/membership/barrier_test.go
+++ b/internal/membership/barrier_test.go
@@ -15,18 +15,18 @@
 	})
 }
 
-// A move began at offset 10. The barrier opens only when every entry that was
-// a member then has acted on it and has nothing in flight to the instance.
+// A move began at offset 10. The barrier is empty only when every entry that was a member
+// then has acted on the record and has no request in flight to the instance.
 func TestBarrier(t *testing.T) {
 	for name, c := range map[string]struct {
 		ack  membership.Ack
 		want string
 	}{
-		"never heard":            {membership.Ack{}, membership.CauseNotHeard},
-		"heard before a restart": {membership.Ack{BootID: "b0", Offset: 99}, membership.CauseNotHeard},
-		"not there yet":          {membership.Ack{BootID: "b1", Offset: 9}, membership.CauseNotAcked},
-		"request in flight":      {membership.Ack{BootID: "b1", Offset: 10, Busy: []string{"w"}}, membership.CauseInFlight},
-		"busy elsewhere":         {membership.Ack{BootID: "b1", Offset: 10, Busy: []string{"x"}}, ""},
+		"no report":                    {membership.Ack{}, membership.CauseNotHeard},
+		"report from before a restart": {membership.Ack{BootID: "b0", Offset: 99}, membership.CauseNotHeard},
+		"record not yet acknowledged":  {membership.Ack{BootID: "b1", Offset: 9}, membership.CauseNotAcked},
+		"request in flight":            {membership.Ack{BootID: "b1", Offset: 10, Busy: []string{"w"}}, membership.CauseInFlight},
+		"request to another instance":  {membership.Ack{BootID: "b1", Offset: 10, Busy: []string{"x"}}, ""},
 	} {
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
@@ -42,8 +42,8 @@
 	}
 }
 
-// An entry joined after the move began: it folded the record before it was a
-// member, so it never held the instance and is not waited for.
+// An entry that joined after the move began applied the record before it was a member, so it
+// never used the instance and the barrier does not wait for it.
 func TestBarrierDoesNotWaitForLaterMembers(t *testing.T) {
 	g := NewWithT(t)
 	var s membership.State
@@ -51,8 +51,8 @@
 	g.Expect(s.Barrier(nil, "w", 10)).To(BeEmpty())
 }
 
-// A process can't take another off the members, unless it is the planner that
-// read so in the platform's list; and only the boot that it means.
+// A process can't remove another from the members, unless it is the planner that found it gone
+// in the platform's list; and only the boot that it names is removed.
 func TestLeave(t *testing.T) {
 	g := NewWithT(t)
 	var s membership.State
--- a/internal/membership/state.go
+++ b/internal/membership/state.go
@@ -1,8 +1,9 @@
-// Package membership keeps the list of the system's own live processes in the
-// fold. Whatever must be handed over (an instance's pool, a key range, a share
-// of slots) waits for the members listed here, so a member leaves the list
-// only by its own word, by a restart under the same id, or when the platform's
-// instance list says that it is gone.
+// Package membership decides which of the system's own processes are members, and which
+// entries a handover (of an instance's pool, a key range or a share of slots) still waits
+// for. The input is the join and leave records of the log, and the acknowledgements on
+// members' heartbeats; a member leaves the list only by its own record, by a restart under
+// the same id, or when the planner finds it gone in the platform's instance list. The package
+// fleetlog applies the records, and the planner asks for the barrier.
 package membership
 
 import (
@@ -12,7 +13,7 @@
 	"cyclamenwheel/internal/fold"
 )
 
-// Role is a process's duty.
+// Role is a process's kind.
 type Role string
 
 // Roles.
@@ -23,13 +24,11 @@
 
 // Reasons for rejecting membership records.
 const (
-	// ReasonAlreadyMember marks a join of a boot that is a member.
+	// ReasonAlreadyMember rejects a join of a boot that is already a member.
 	ReasonAlreadyMember fold.Reason = "already_member"
-	// ReasonNotMember marks a leave of a process that is not a member, or of
-	// an older boot.
+	// ReasonNotMember rejects a leave of a process that is not a member, or of an older boot.
 	ReasonNotMember fold.Reason = "not_member"
-	// ReasonNotAllowed marks a leave written for somebody else by a process
-	// that is not the planner.
+	// ReasonNotAllowed rejects a leave for another process by one that is not the planner.
 	ReasonNotAllowed fold.Reason = "not_allowed"
 )
 
@@ -39,9 +38,9 @@
 	Role   Role   `cbor:"2,keyasint" json:"role"`
 	BootID string `cbor:"3,keyasint" json:"boot_id"`
 	Zone   string `cbor:"4,keyasint" json:"zone"`
-	// Instance is the platform's id of the instance it runs on.
+	// Instance is the platform's id of the instance that it runs on.
 	Instance string `cbor:"5,keyasint" json:"instance"`
-	// PeerAddr, OperatorAddr and CallerAddr are host:port with IP numbers.
+	// PeerAddr, OperatorAddr and CallerAddr are host:port with IP addresses.
 	PeerAddr     string `cbor:"6,keyasint" json:"peer_addr"`
 	OperatorAddr string `cbor:"7,keyasint" json:"operator_addr"`
 	CallerAddr   string `cbor:"8,keyasint,omitempty" json:"caller_addr,omitempty"`
@@ -49,8 +48,8 @@
 	Joined uint64 `cbor:"9,keyasint" json:"joined_offset"`
 }
 
-// Join makes the author a member. A join under a known id with another boot id
-// is a restart: the older boot has ended.
+// Join makes the author a member. A join under a known id with another boot id is a restart:
+// the older boot has ended.
 type Join struct {
 	Member Member `cbor:"1,keyasint"`
 }
@@ -59,32 +58,32 @@
 type Leave struct {
 	ID     string `cbor:"1,keyasint"`
 	BootID string `cbor:"2,keyasint"`
-	// Graceful is set by the member itself once nothing is in flight.
+	// Graceful is set by the member itself once it has nothing in flight.
 	Graceful bool `cbor:"3,keyasint"`
-	// Why tells operators what the planner saw.
+	// Why tells operators why the planner removed the member.
 	Why string `cbor:"4,keyasint,omitempty"`
 }
 
-// State is the folded membership.
+// State is the membership after the records applied so far.
 type State struct {
 	// Version is the offset of the newest change.
 	Version uint64            `cbor:"1,keyasint" json:"version"`
 	Members map[string]Member `cbor:"2,keyasint" json:"members"`
 }
 
-// Lost tells of a member that went without a graceful leave.
+// Lost is a member that ended without a graceful leave.
 type Lost struct {
 	ID     string
 	BootID string
 }
 
-// ApplyJoin folds a join; lost names an earlier boot that it replaces.
-func (s *State) ApplyJoin(m fold.Meta, j Join) (v fold.Verdict, lost *Lost) {
-	if j.Member.ID == "" || j.Member.BootID == "" || j.Member.ID != m.Author {
-		return fold.Reject(fold.ReasonMalformed, "a process joins for itself"), nil
+// ApplyJoin applies a join; lost is the earlier boot that it replaces, if any.
+func (s *State) ApplyJoin(meta fold.Meta, join Join) (v fold.Verdict, lost *Lost) {
+	if join.Member.ID == "" || join.Member.BootID == "" || join.Member.ID != meta.Author {
+		return fold.Reject(fold.ReasonMalformed, "a process may only join for itself"), nil
 	}
-	if old, ok := s.Members[j.Member.ID]; ok {
-		if old.BootID == j.Member.BootID {
+	if old, ok := s.Members[join.Member.ID]; ok {
+		if old.BootID == join.Member.BootID {
 			return fold.Reject(ReasonAlreadyMember, ""), nil
 		}
 		lost = &Lost{ID: old.ID, BootID: old.BootID}
@@ -92,26 +91,26 @@
 	if s.Members == nil {
 		s.Members = make(map[string]Member)
 	}
-	j.Member.Joined = m.Offset
-	s.Members[j.Member.ID] = j.Member
-	s.Version = m.Offset
+	join.Member.Joined = meta.Offset
+	s.Members[join.Member.ID] = join.Member
+	s.Version = meta.Offset
 	return fold.Accept(), lost
 }
 
-// ApplyLeave folds a leave. byPlanner tells that the author holds the planner
-// lease at this offset.
-func (s *State) ApplyLeave(m fold.Meta, l Leave, byPlanner bool) (v fold.Verdict, lost *Lost) {
-	old, ok := s.Members[l.ID]
-	if !ok || old.BootID != l.BootID {
-		return fold.Reject(ReasonNotMember, l.ID), nil
+// ApplyLeave applies a leave. byPlanner reports that the author holds the planner lease at
+// this offset.
+func (s *State) ApplyLeave(meta fold.Meta, leave Leave, byPlanner bool) (v fold.Verdict, lost *Lost) {
+	old, ok := s.Members[leave.ID]
+	if !ok || old.BootID != leave.BootID {
+		return fold.Reject(ReasonNotMember, leave.ID), nil
 	}
-	if m.Author != l.ID && !byPlanner {
-		return fold.Reject(ReasonNotAllowed, "only the planner lists others as gone"), nil
+	if meta.Author != leave.ID && !byPlanner {
+		return fold.Reject(ReasonNotAllowed, "only the planner may remove other processes"), nil
 	}
-	delete(s.Members, l.ID)
-	s.Version = m.Offset
-	if !l.Graceful || m.Author != l.ID {
-		lost = &Lost{ID: l.ID, BootID: l.BootID}
+	delete(s.Members, leave.ID)
+	s.Version = meta.Offset
+	if !leave.Graceful || meta.Author != leave.ID {
+		lost = &Lost{ID: leave.ID, BootID: leave.BootID}
 	}
 	return fold.Accept(), lost
 }
@@ -127,7 +126,7 @@
 	return out
 }
 
-// Is reports whether the process is a member at that boot.
+// Is reports whether the process is a member under that boot id.
 func (s *State) Is(id, bootID string) bool {
 	m, ok := s.Members[id]
 	return ok && m.BootID == bootID
