--- a/internal/shards/accounts.go
+++ b/internal/shards/accounts.go
@@ -9,40 +9,40 @@
 	"cyclamenwheel/internal/executor"
 )
 
-// mostAccountLabels bounds the values of the label account: a deployment may have ten
-// thousand accounts. Those seen later share otherAccounts.
+// maxAccountLabels bounds the distinct values of the metric label "account": a deployment
+// may have ten thousand accounts. Accounts beyond the bound share otherAccountsLabel.
 const (
-	mostAccountLabels = 200
-	otherAccounts     = "other"
+	maxAccountLabels   = 200
+	otherAccountsLabel = "other"
 )
 
-// accountLabels are the accounts that have a value of their own.
+// accountLabels holds the accounts that have a label value of their own.
 type accountLabels struct {
-	mu    sync.Mutex
-	known map[string]bool
+	mu       sync.Mutex
+	assigned map[string]bool
 }
 
-// of returns the label of an account.
-func (l *accountLabels) of(account string) string {
+// labelFor returns the label value of an account.
+func (l *accountLabels) labelFor(account string) string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if !l.known[account] && len(l.known) >= mostAccountLabels {
-		return otherAccounts
+	if !l.assigned[account] && len(l.assigned) >= maxAccountLabels {
+		return otherAccountsLabel
 	}
-	if l.known == nil {
-		l.known = map[string]bool{}
+	if l.assigned == nil {
+		l.assigned = map[string]bool{}
 	}
-	l.known[account] = true
+	l.assigned[account] = true
 	return account
 }
 
-// labels are those of this process.
-var labels accountLabels
+// processLabels is shared by all pools of this process.
+var processLabels accountLabels
 
-// countAccount counts what concerns a client account.
-func countAccount(e executor.Event) {
+// countAccountEvent counts an event that concerns a client account.
+func countAccountEvent(e executor.Event) {
 	if e.Account == "" {
 		return
 	}
-	metrics.GetOrCreateCounter(fmt.Sprintf("cyclamen_account_events_total{event=%q,account=%q,reason=%q}", e.Kind, labels.of(e.Account), e.Reason)).Inc()
+	metrics.GetOrCreateCounter(fmt.Sprintf("cyclamen_account_events_total{event=%q,account=%q,reason=%q}", e.Kind, processLabels.labelFor(e.Account), e.Reason)).Inc()
 }
--- a/internal/shards/accounts_test.go
+++ b/internal/shards/accounts_test.go
@@ -7,14 +7,15 @@
 	. "github.com/onsi/gomega"
 )
 
-// A deployment with thousands of accounts makes as many series in each process.
+// Without a bound, a deployment with thousands of accounts creates as many time series in
+// each process.
 func TestAccountLabelsAreBounded(t *testing.T) {
 	g := NewWithT(t)
 	var l accountLabels
-	for n := range mostAccountLabels {
+	for n := range maxAccountLabels {
 		name := strconv.Itoa(n)
-		g.Expect(l.of(name)).To(Equal(name))
+		g.Expect(l.labelFor(name)).To(Equal(name))
 	}
-	g.Expect(l.of("one more")).To(Equal(otherAccounts))
-	g.Expect(l.of("7")).To(Equal("7"))
+	g.Expect(l.labelFor("one more")).To(Equal(otherAccountsLabel))
+	g.Expect(l.labelFor("7")).To(Equal("7"))
 }
--- a/internal/shards/append.go
+++ b/internal/shards/append.go
@@ -8,131 +8,131 @@
 	"cyclamenwheel/internal/fleetops"
 )
 
-// Batches on their way. Load: the store is slow for some seconds.
-// With one batch on its way at a time, what is decided meanwhile waits for that one
-// and then for its own, at each step of a job, which takes most of the time that a job
-// has beside its work. Sent side by side while the store
-// is slow, each batch waits for its own answer only. A store that loses answers gets
-// one at a time: each of several would have to be repeated in its turn.
+// Pipelined appends. Load: the store is slow for some seconds.
+// With a single batch in flight, decisions made meanwhile wait for that batch and then for
+// their own, at each step of a job; that is most of a job's overhead. With several batches
+// in flight while the store is slow, each waits for its own answer only. When the store
+// loses answers, only one batch is in flight: each of several would have to be repeated in
+// turn.
 const (
-	// sideBySide bounds the batches on their way; the store recognises a repetition
-	// of the last five.
-	sideBySide = 4
-	// slowAfter is how long a batch has been on its way before the next one follows
-	// without waiting for it, where the store's answers take longer than that: one
-	// that is well answers in a tenth of it.
-	slowAfter = 50 * time.Millisecond
+	// maxInFlightBatches bounds the batches in flight; the store recognises a repetition of
+	// the last five.
+	maxInFlightBatches = 4
+	// slowStoreAfter is how long a batch has been in flight before the next one is sent
+	// without waiting for it, provided that the store's answers take longer than that. A
+	// healthy store answers in a tenth of it.
+	slowStoreAfter = 50 * time.Millisecond
 )
 
-// batch is records on their way to the store.
+// batch is a set of records that is being appended to the store.
 type batch struct {
-	ready executor.Ready
-	sent  time.Duration
-	// proofs wait for it.
-	proofs []func()
-	stored bool
+	ready  executor.Ready
+	sentAt time.Duration
+	// onProven are called once the batch is stored.
+	onProven []func()
+	stored   bool
 }
 
-// appendOutcome is what became of a batch.
+// appendOutcome is the result of appending a batch.
 type appendOutcome struct {
 	batch *batch
 	err   error
 }
 
-// mayFlush reports whether another batch may be sent now.
-func (r *Runner) mayFlush(now time.Duration) bool {
+// canFlush reports whether another batch may be sent now.
+func (r *Runner) canFlush(now time.Duration) bool {
 	if len(r.batches) == 0 {
-		return now-r.flushed >= appendGap
+		return now-r.lastFlush >= appendInterval
 	}
-	return len(r.batches) < sideBySide && now-r.flushed >= slowAfter && r.store.Attempts.Slow(slowAfter)
+	return len(r.batches) < maxInFlightBatches && now-r.lastFlush >= slowStoreAfter && r.store.Attempts.Slow(slowStoreAfter)
 }
 
-// flush appends what has changed, or proves the epoch where nothing has for a
-// while.
+// flush appends the changed records. Without changes it appends an empty batch once the
+// last proof of the epoch is older than proofInterval.
 func (r *Runner) flush(now time.Duration) {
-	if !r.mayFlush(now) {
+	if !r.canFlush(now) {
 		return
 	}
-	proven := r.tenure.ProofAge() < proofEvery && len(r.proofs) == 0
-	if !r.core.Dirty() && len(r.batches) > 0 && len(r.proofs) == 0 {
-		return // a batch on its way proves the epoch as well
+	proven := r.tenure.ProofAge() < proofInterval && len(r.onProven) == 0
+	if !r.core.Dirty() && len(r.batches) > 0 && len(r.onProven) == 0 {
+		return // a batch in flight proves the epoch as well
 	}
 	ready := r.core.Ready(now)
 	if ready.Empty() && proven {
 		return
 	}
 	if len(ready.Records) == 0 && proven && len(r.batches) == 0 {
-		r.release(ready)
+		r.applyDurable(ready)
 		return
 	}
-	b := &batch{ready: ready, sent: now, proofs: r.proofs}
-	r.proofs, r.flushed = nil, now
+	b := &batch{ready: ready, sentAt: now, onProven: r.onProven}
+	r.onProven, r.lastFlush = nil, now
 	r.batches = append(r.batches, b)
 	records := fleetops.StoreRecords(ready.Records)
 	number := r.tenure.Number(records)
-	go func() { r.appended <- appendOutcome{b, r.tenure.AppendNumbered(r.appendCtx, number, records)} }()
+	go func() { r.appendOutcomes <- appendOutcome{b, r.tenure.AppendNumbered(r.appendCtx, number, records)} }()
 }
 
-// takeAppend takes in that a batch was stored, and carries out what is stored up to
-// the first that is not: the store takes batches in order, but answers may overtake
-// each other.
-func (r *Runner) takeAppend(outcome appendOutcome) {
+// handleAppend marks a batch as stored and applies all batches up to the first one that is
+// not stored: the store takes batches in order, but their answers may arrive out of order.
+func (r *Runner) handleAppend(outcome appendOutcome) {
 	if outcome.err != nil {
 		r.log.Warn("pool lost", "epoch", r.epoch, "error", outcome.err.Error())
-		r.over = true
+		r.lost = true
 		return
 	}
 	outcome.batch.stored = true
 	for len(r.batches) > 0 && r.batches[0].stored {
 		b := r.batches[0]
 		r.batches = r.batches[1:]
-		for _, proof := range b.proofs {
-			proof()
+		for _, callback := range b.onProven {
+			callback()
 		}
-		r.release(b.ready)
+		r.applyDurable(b.ready)
 	}
 }
 
-// handOver appends the last record of an owner that gives its pool up in order,
-// once the batches on their way are through. No order leaves after that: the
-// successor counts on it. Without the record it waits for longer, and that is all.
-func (r *Runner) handOver() {
-	ctx, cancel := context.WithTimeout(r.appendCtx, handOverLimit)
+// appendHandover appends the last record of an owner that gives its pool up in an orderly
+// way, once the batches in flight are stored. No order is sent after that; the successor
+// relies on it. Without this record the successor only waits for longer.
+func (r *Runner) appendHandover() {
+	ctx, cancel := context.WithTimeout(r.appendCtx, handoverTimeout)
 	defer cancel()
-	for len(r.batches) > 0 && !r.over {
+	for len(r.batches) > 0 && !r.lost {
 		select {
-		case outcome := <-r.appended:
-			r.takeAppend(outcome)
+		case outcome := <-r.appendOutcomes:
+			r.handleAppend(outcome)
 		case <-ctx.Done():
 			return
 		}
 	}
-	if r.over || !r.proven() {
+	if r.lost || !r.hasFreshProof() {
 		return
 	}
 	last := r.core.HandOver(r.now())
 	err := r.tenure.Append(ctx, fleetops.StoreRecords([]executor.Record{last}))
 	if err != nil {
-		r.log.Warn("pool not handed over", "epoch", r.epoch, "error", err.Error())
+		r.log.Warn("handing over the pool failed", "epoch", r.epoch, "error", err.Error())
 		return
 	}
 	r.log.Info("pool handed over", "epoch", r.epoch, "bytes", len(last.Value))
 }
 
-// release carries out what a durable batch allows.
-func (r *Runner) release(ready executor.Ready) {
+// applyDurable carries out the effects of a stored batch.
+func (r *Runner) applyDurable(ready executor.Ready) {
 	r.core.Advance(r.now(), ready)
 	for _, reply := range ready.Replies {
 		r.reply(reply.Token, Result{Outcome: OutcomeDone})
 	}
-	if r.proven() && r.ctx.Err() == nil {
+	if r.hasFreshProof() && r.ctx.Err() == nil {
 		r.sendStarts(r.now())
 	}
 }
 
-// sendStarts sends the starts that may leave. A process that was suspended between an
-// append and its answer finds its proof too old to send any; dropped there, their tasks
-// would be placed and never begin, since an order that has not left is never repeated.
+// sendStarts sends the starts that may be sent now. Starts stay queued while the proof of
+// the epoch is too old, as after the process was suspended between an append and its answer:
+// if they were dropped, their tasks would be placed but never start, because an order that
+// was never sent is never repeated.
 func (r *Runner) sendStarts(now time.Duration) {
 	for {
 		o, lease, ok := r.core.NextStart(now)
--- a/internal/shards/call_attempts.go
+++ b/internal/shards/call_attempts.go
@@ -2,38 +2,38 @@
 
 import "time"
 
-// tries is what became of the attempts at one call so far.
-type tries struct {
+// callAttempts is the outcome of the attempts at one call so far.
+type callAttempts struct {
 	last Result
 	// unknown reports that an attempt may have had an effect, or may still have one.
 	unknown bool
 }
 
-// take takes in the result of an attempt.
-func (t *tries) take(r Result) {
-	t.last = r
-	t.unknown = t.unknown || r.Outcome == OutcomeUnknown
+// record adds the result of an attempt.
+func (a *callAttempts) record(r Result) {
+	a.last = r
+	a.unknown = a.unknown || r.Outcome == OutcomeUnknown
 }
 
-// again reports whether another attempt is worth its while, after the time that
-// the call has taken. What is known to be away, as a store that doesn't answer, is
-// not waited for.
-func (t *tries) again(taken time.Duration) bool {
-	switch t.last.Outcome {
+// shouldRetry reports whether another attempt is worthwhile, given the time that the call has
+// taken. A call does not wait for something known to be unavailable, such as a store that
+// does not answer.
+func (a *callAttempts) shouldRetry(elapsed time.Duration) bool {
+	switch a.last.Outcome {
 	case OutcomeUnknown:
 		return true
 	case OutcomeUnavailable:
-		return t.last.Changing && (t.unknown || taken < handOverWait)
+		return a.last.Changing && (a.unknown || elapsed < ownerChangeWait)
 	}
 	return false
 }
 
-// outcome is the answer to the caller. After an attempt with an unknown outcome a
-// later refusal proves nothing: a job that the first owner was sent may be taken in
-// yet, and the caller must not be told that it never runs.
-func (t *tries) outcome() Result {
-	if t.unknown && (t.last.Outcome == OutcomeRefused || t.last.Outcome == OutcomeUnavailable) {
-		return Result{Outcome: OutcomeUnknown, Reason: "an earlier attempt was not answered; then: " + t.last.Reason}
+// outcome returns the answer to the caller. After an attempt with an unknown outcome, a later
+// refusal proves nothing: the first owner may still accept the job, and the caller must not
+// be told that it never runs.
+func (a *callAttempts) outcome() Result {
+	if a.unknown && (a.last.Outcome == OutcomeRefused || a.last.Outcome == OutcomeUnavailable) {
+		return Result{Outcome: OutcomeUnknown, Reason: "an earlier attempt was not answered; then: " + a.last.Reason}
 	}
-	return t.last
+	return a.last
 }
--- a/internal/shards/call_attempts_test.go
+++ b/internal/shards/call_attempts_test.go
@@ -7,39 +7,39 @@
 	. "github.com/onsi/gomega"
 )
 
-func afterAll(results ...Result) Result {
-	var t tries
+func outcomeAfter(results ...Result) Result {
+	var history callAttempts
 	for _, r := range results {
-		t.take(r)
+		history.record(r)
 	}
-	return t.outcome()
+	return history.outcome()
 }
 
-// A caller is told that its job was not accepted, and the job runs. Its first
-// owner was sent the job and did not answer; the second refused it, while it was
-// still on its way to the first.
-func TestARefusalAfterAnUnansweredAttemptIsNoRefusal(t *testing.T) {
+// Guards against a caller that is told that its job was not accepted while the job runs. Its
+// first owner was sent the job and did not answer; the second refused it while it was still
+// in flight to the first.
+func TestARefusalAfterAnUnansweredAttemptIsUnknown(t *testing.T) {
 	g := NewWithT(t)
 	unknown, refused := Result{Outcome: OutcomeUnknown}, Result{Outcome: OutcomeRefused, RetryAfterMs: 1000}
-	away := Result{Outcome: OutcomeUnavailable}
-	g.Expect(afterAll(refused).Outcome).To(Equal(OutcomeRefused))
-	g.Expect(afterAll(away, refused).Outcome).To(Equal(OutcomeRefused))
-	g.Expect(afterAll(unknown, refused).Outcome).To(Equal(OutcomeUnknown))
-	g.Expect(afterAll(unknown, away, refused).Outcome).To(Equal(OutcomeUnknown))
-	g.Expect(afterAll(unknown, away).Outcome).To(Equal(OutcomeUnknown))
-	g.Expect(afterAll(unknown, Result{Outcome: OutcomeDone}).Outcome).To(Equal(OutcomeDone))
+	unavailable := Result{Outcome: OutcomeUnavailable}
+	g.Expect(outcomeAfter(refused).Outcome).To(Equal(OutcomeRefused))
+	g.Expect(outcomeAfter(unavailable, refused).Outcome).To(Equal(OutcomeRefused))
+	g.Expect(outcomeAfter(unknown, refused).Outcome).To(Equal(OutcomeUnknown))
+	g.Expect(outcomeAfter(unknown, unavailable, refused).Outcome).To(Equal(OutcomeUnknown))
+	g.Expect(outcomeAfter(unknown, unavailable).Outcome).To(Equal(OutcomeUnknown))
+	g.Expect(outcomeAfter(unknown, Result{Outcome: OutcomeDone}).Outcome).To(Equal(OutcomeDone))
 }
 
-// A pool changes hands in order, within some 50 ms: its callers wait for that. A
-// store that does not answer is away for seconds: its callers are told at once.
-func TestOnlyAChangeOfOwnerIsWaitedFor(t *testing.T) {
+// An orderly change of owner takes some 50 ms, and callers wait for it. A store that does not
+// answer is unavailable for seconds, and callers are told at once.
+func TestOnlyAChangeOfOwnerIsRetried(t *testing.T) {
 	g := NewWithT(t)
-	changing, stuck := tries{last: notOwner}, tries{last: Result{Outcome: OutcomeUnavailable}}
-	g.Expect(changing.again(0)).To(BeTrue())
-	g.Expect(changing.again(handOverWait + time.Millisecond)).To(BeFalse())
-	g.Expect(stuck.again(0)).To(BeFalse())
+	changing, unavailable := callAttempts{last: resultNotOwner}, callAttempts{last: Result{Outcome: OutcomeUnavailable}}
+	g.Expect(changing.shouldRetry(0)).To(BeTrue())
+	g.Expect(changing.shouldRetry(ownerChangeWait + time.Millisecond)).To(BeFalse())
+	g.Expect(unavailable.shouldRetry(0)).To(BeFalse())
 	for _, final := range []Outcome{OutcomeDone, OutcomeRefused, OutcomeAbsent} {
-		done := tries{last: Result{Outcome: final}}
-		g.Expect(done.again(0)).To(BeFalse(), final.String())
+		done := callAttempts{last: Result{Outcome: final}}
+		g.Expect(done.shouldRetry(0)).To(BeFalse(), final.String())
 	}
 }
--- a/internal/shards/calls.go
+++ b/internal/shards/calls.go
@@ -15,7 +15,7 @@
 	"cyclamenwheel/internal/quota"
 )
 
-// Kinds of calls between processes.
+// Kinds of calls between peers.
 const (
 	kindSubmit  = "job.submit"
 	kindCancel  = "job.cancel"
@@ -27,96 +27,97 @@
 )
 
 const (
-	// attemptLimit bounds one attempt at a call. An owner that is silent for longer,
-	// also while the store is slow, is gone or cut off.
-	attemptLimit = 700 * time.Millisecond
-	// callLimit bounds all attempts at a call: a member is taken for gone after
-	// memberTTL, and its successor answers a moment later.
-	callLimit = 1800 * time.Millisecond
-	// handOverWait is how long a pool without an owner is waited for. In order, it
-	// has the next one well before, also while the store loses answers; longer than
-	// that it may stay away for any time.
-	handOverWait = 500 * time.Millisecond
-	// callPause spaces attempts.
-	callPause = 30 * time.Millisecond
+	// attemptTimeout bounds one attempt at a call. An owner that does not answer for longer
+	// has ended or is unreachable, even while the store is slow.
+	attemptTimeout = 700 * time.Millisecond
+	// callTimeout bounds all attempts at a call: a member counts as gone after memberTTL, and
+	// its successor answers shortly after.
+	callTimeout = 1800 * time.Millisecond
+	// ownerChangeWait is how long a call waits for a pool that has no owner. An orderly change
+	// of owner takes far less, also while the store loses answers; a pool without an owner for
+	// longer may stay so for any time.
+	ownerChangeWait = 500 * time.Millisecond
+	// attemptDelay is the delay between attempts.
+	attemptDelay = 30 * time.Millisecond
 )
 
-// SubmitCall hands a job to its pool's owner.
+// SubmitCall submits a job to its pool's owner.
 type SubmitCall struct {
 	Pool  string             `cbor:"1,keyasint"`
 	Job   jobs.Job           `cbor:"2,keyasint"`
 	Under executor.Accepting `cbor:"3,keyasint"`
 }
 
-// JobCall names a job of a pool.
+// JobCall identifies a job of a pool.
 type JobCall struct {
 	Pool string `cbor:"1,keyasint"`
 	ID   string `cbor:"2,keyasint"`
-	// By is who asks.
+	// By is the caller that asks.
 	By executor.Caller `cbor:"3,keyasint,omitempty"`
 }
 
-// QueueCall names a queue of a pool.
+// QueueCall identifies a queue of a pool.
 type QueueCall struct {
 	Pool  string `cbor:"1,keyasint"`
 	Queue string `cbor:"2,keyasint"`
 }
 
-// VacateItem asks for one endpoint to be cleared.
+// VacateItem requests that one endpoint be drained.
 type VacateItem struct {
 	Endpoint string `cbor:"1,keyasint"`
 	Hurry    bool   `cbor:"2,keyasint,omitempty"`
-	// Ended says that the incarnation is known to have ended.
+	// Ended reports that the incarnation is known to have ended.
 	Ended bool `cbor:"3,keyasint,omitempty"`
-	// StartedMs tells that incarnation, 0 where not known.
+	// StartedMs identifies that incarnation; 0 if unknown.
 	StartedMs int64 `cbor:"4,keyasint,omitempty"`
 }
 
-// VacateCall asks a pool's owner to clear endpoints, and how the pool is.
+// VacateCall requests that a pool's owner drain endpoints and report the pool's state.
 type VacateCall struct {
 	Pool  string       `cbor:"1,keyasint"`
 	Items []VacateItem `cbor:"2,keyasint,omitempty"`
-	// Loans is the processor room that comes to the pool, or can.
+	// Loans is the CPU capacity that the pool is getting, or can get.
 	Loans []executor.Loan `cbor:"3,keyasint,omitempty"`
-	// Due are endpoints that will have to be cleared soon.
+	// Due are endpoints that will have to be drained soon.
 	Due []string `cbor:"4,keyasint,omitempty"`
-	// Shares are the pool's of client accounts' limits.
+	// Shares are the pool's shares of client accounts' limits.
 	Shares quota.Ask `cbor:"5,keyasint,omitempty"`
 }
 
-// VacateResult says how many tasks are left on each endpoint asked about;
-// endpoints that the owner does not know are absent.
+// VacateResult reports how many tasks are left on each requested endpoint; endpoints that
+// the owner does not know are absent.
 type VacateResult struct {
 	Owned   bool             `cbor:"1,keyasint"`
 	Left    map[string]int   `cbor:"2,keyasint,omitempty"`
 	Summary executor.Summary `cbor:"3,keyasint"`
-	// ProofAgeMs is how long before the answer the owner was proven to be the
-	// newest: less than the call took, where an endpoint is said to be clear.
+	// ProofAgeMs is the age, at the time of the answer, of the last proof that the owner's
+	// epoch is the newest. Where an endpoint is reported empty, it is less than the duration of
+	// the call.
 	ProofAgeMs int64 `cbor:"4,keyasint"`
-	// Started tells the incarnations that Left is about, in ms since 1970.
+	// Started identifies the incarnations that Left refers to, in ms since 1970.
 	Started map[string]int64 `cbor:"5,keyasint,omitempty"`
-	// Accounts are what client accounts use and want here.
+	// Accounts are the usage and the demand of client accounts in this pool.
 	Accounts []quota.Report `cbor:"6,keyasint,omitempty"`
 }
 
 // MembersCall asks a peer for the group's members.
 type MembersCall struct{}
 
-// MembersResult is what a peer read of the group last: the member of each
+// MembersResult is the peer's last reading of the group: the member that holds each
 // partition.
 type MembersResult struct {
 	Rows  map[int]string `cbor:"1,keyasint,omitempty"`
 	AgeMs int64          `cbor:"2,keyasint"`
-	// Holders are who claimed each duty last.
+	// Holders are the members that claimed each duty last.
 	Holders map[string]holder `cbor:"3,keyasint,omitempty"`
 }
 
-// AskMembers asks a peer for the members that it read last.
+// AskMembers asks a peer for its last reading of the members.
 func AskMembers(ctx context.Context, peers *peer.Node, node string) (MembersResult, error) {
 	return peer.Call[MembersCall, MembersResult](ctx, peers, node, kindMembers, MembersCall{})
 }
 
-// LeftCall tells a peer that the caller leaves the group.
+// LeftCall notifies a peer that the caller leaves the group.
 type LeftCall struct {
 	// Member is the caller's name in the group.
 	Member string `cbor:"1,keyasint"`
@@ -125,13 +126,13 @@
 // LeftResult acknowledges a LeftCall.
 type LeftResult struct{}
 
-// SayLeft tells a peer that a member leaves the group.
+// SayLeft notifies a peer that a member leaves the group.
 func SayLeft(ctx context.Context, peers *peer.Node, node, member string) {
-	// A peer that does not hear it sees it at its next join.
+	// A peer that misses the notification finds out at its next join.
 	_, _ = peer.Call[LeftCall, LeftResult](ctx, peers, node, kindLeft, LeftCall{Member: member})
 }
 
-// Register makes this process answer its peers' calls.
+// Register registers the handlers of peers' calls.
 func (m *Manager) Register(n *peer.Node) {
 	peer.Handle(n, kindSubmit, func(ctx context.Context, _ peer.Identity, in SubmitCall) (Result, error) {
 		return m.localSubmit(ctx, in), nil
@@ -146,32 +147,34 @@
 		return m.localPending(ctx, in), nil
 	})
 	peer.Handle(n, kindLeft, func(_ context.Context, _ peer.Identity, in LeftCall) (LeftResult, error) {
-		m.left(in.Member)
+		m.markDeparted(in.Member)
 		return LeftResult{}, nil
 	})
 	peer.Handle(n, kindMembers, func(context.Context, peer.Identity, MembersCall) (MembersResult, error) {
-		return m.lastRows(), nil
+		return m.membersResult(), nil
 	})
 	peer.Handle(n, kindVacate, func(ctx context.Context, _ peer.Identity, in VacateCall) (VacateResult, error) {
 		return m.localVacate(ctx, in), nil
 	})
 }
 
-var notOwner = Result{Outcome: OutcomeUnavailable, Reason: "the pool has no owner here", RetryAfterMs: retryOwnerMs, Changing: true}
+// resultNotOwner answers a call on a pool that this process does not own.
+var resultNotOwner = Result{Outcome: OutcomeUnavailable, Reason: "the pool has no owner here", RetryAfterMs: ownerRetryAfterMs, Changing: true}
 
-// ownerChanges answers a call that a runner drops as it gives its pool up.
-var ownerChanges = Result{Outcome: OutcomeUnavailable, Reason: "the pool's owner changes", RetryAfterMs: retryOwnerMs, Changing: true}
+// resultOwnerChanging answers a call that a runner drops because it gives its pool up.
+var resultOwnerChanging = Result{Outcome: OutcomeUnavailable, Reason: "the pool's owner changes", RetryAfterMs: ownerRetryAfterMs, Changing: true}
 
-// ownerChangesUnknown answers one that was on its way to the store by then.
-var ownerChangesUnknown = Result{Outcome: OutcomeUnknown, Reason: ownerChanges.Reason}
+// resultOwnerChangingUnknown answers a call whose records were in flight to the store at
+// that time.
+var resultOwnerChangingUnknown = Result{Outcome: OutcomeUnknown, Reason: resultOwnerChanging.Reason}
 
-// retryOwnerMs is when to come back while a pool changes its owner.
-const retryOwnerMs = 1000
+// ownerRetryAfterMs is the retry delay given to callers while a pool changes owners.
+const ownerRetryAfterMs = 1000
 
 func (m *Manager) localCall(pool string, f func(*Runner) Result) Result {
-	r := m.local(pool)
+	r := m.localRunner(pool)
 	if r == nil {
-		return notOwner
+		return resultNotOwner
 	}
 	return f(r)
 }
@@ -193,70 +196,69 @@
 }
 
 func (m *Manager) localVacate(ctx context.Context, in VacateCall) VacateResult {
-	r := m.local(in.Pool)
+	r := m.localRunner(in.Pool)
 	if r == nil {
 		return VacateResult{}
 	}
 	return r.vacate(ctx, in)
 }
 
-// Calls makes calls on pools wherever their owners are.
+// Calls makes calls on pools, at whichever process owns them.
 type Calls struct {
 	Manager *Manager
 	Peers   *peer.Node
 }
 
-// call runs a call here or at the owner, and again at the next owner while a pool
-// changes hands. What is asked for is idempotent: a job has one id, under which a
-// second owner finds it or takes it in.
+// call makes a call on this process or on the pool's owner, and retries it at the next
+// owner while the pool changes owners. Calls are idempotent: a second owner finds a job
+// under its id or accepts it under that id.
 //
-// Load: nodes are restarted in turn, and with each the pools that it owned change
-// hands within a moment. A caller that is sent away then comes back a second
-// later, when its job can no longer end in time; one that is told that nobody knows
-// asks again in vain.
-func (c *Calls) call(ctx context.Context, pool, kind string, here func(context.Context) Result, there any) Result {
-	ctx, cancel := context.WithTimeout(ctx, callLimit)
+// Load: nodes are restarted in turn, and the pools of each get another owner within a
+// moment. A caller that is rejected meanwhile retries a second later, when its job can no
+// longer end in time; one whose outcome is unknown asks again in vain.
+func (c *Calls) call(ctx context.Context, pool, kind string, local func(context.Context) Result, request any) Result {
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	began := planlease.Boottime()
-	var t tries
+	startedAt := planlease.Boottime()
+	var history callAttempts
 	for {
-		t.take(c.attempt(ctx, pool, kind, here, there))
-		if !t.again(planlease.Boottime()-began) || ctx.Err() != nil {
-			return t.outcome()
+		history.record(c.attempt(ctx, pool, kind, local, request))
+		if !history.shouldRetry(planlease.Boottime()-startedAt) || ctx.Err() != nil {
+			return history.outcome()
 		}
-		pause.For(ctx, callPause)
-		c.Manager.doubtHolders()
-		c.Manager.refreshMembers(ctx, membersMin)
+		pause.For(ctx, attemptDelay)
+		c.Manager.invalidateHolders()
+		c.Manager.refreshMembers(ctx, minMembersInterval)
 	}
 }
 
 // attempt makes a call once, at the owner by the last reading of the members.
-func (c *Calls) attempt(ctx context.Context, pool, kind string, here func(context.Context) Result, there any) Result {
-	ctx, cancel := context.WithTimeout(ctx, attemptLimit)
+func (c *Calls) attempt(ctx context.Context, pool, kind string, local func(context.Context) Result, request any) Result {
+	ctx, cancel := context.WithTimeout(ctx, attemptTimeout)
 	defer cancel()
-	if c.Manager.local(pool) != nil {
-		return here(ctx)
+	if c.Manager.localRunner(pool) != nil {
+		return local(ctx)
 	}
-	return c.remote(ctx, pool, kind, there)
+	return c.remote(ctx, pool, kind, request)
 }
 
-func (c *Calls) remote(ctx context.Context, pool, kind string, in any) Result {
+func (c *Calls) remote(ctx context.Context, pool, kind string, request any) Result {
 	owner, ok := c.Manager.OwnerOf(pool)
 	if !ok || owner.Node == c.Manager.opts.Node {
-		return notOwner
+		return resultNotOwner
 	}
-	result, err := peer.Call[any, Result](ctx, c.Peers, owner.Node, kind, in)
+	result, err := peer.Call[any, Result](ctx, c.Peers, owner.Node, kind, request)
 	if err == nil {
 		return result
 	}
 	var unreachable *peer.UnreachableError
 	if errors.As(err, &unreachable) {
-		return Result{Outcome: OutcomeUnavailable, Reason: "the pool's owner is unreachable: " + err.Error(), RetryAfterMs: retryOwnerMs, Changing: true}
+		return Result{Outcome: OutcomeUnavailable, Reason: "the pool's owner is unreachable: " + err.Error(), RetryAfterMs: ownerRetryAfterMs, Changing: true}
 	}
 	return Result{Outcome: OutcomeUnknown, Reason: err.Error()}
 }
 
-// Submit hands in a job.
+// Submit submits a job.
 func (c *Calls) Submit(ctx context.Context, in SubmitCall) Result {
 	return c.call(ctx, in.Pool, kindSubmit, func(ctx context.Context) Result { return c.Manager.localSubmit(ctx, in) }, in)
 }
@@ -271,17 +273,17 @@
 	return c.call(ctx, in.Pool, kindState, func(ctx context.Context) Result { return c.Manager.localState(ctx, in) }, in)
 }
 
-// Pending returns how many jobs of a queue have not begun.
+// Pending returns how many jobs of a queue have not started.
 func (c *Calls) Pending(ctx context.Context, in QueueCall) Result {
 	return c.call(ctx, in.Pool, kindPending, func(ctx context.Context) Result { return c.Manager.localPending(ctx, in) }, in)
 }
 
-// Vacate asks a pool's owner to clear endpoints. Owned is false where no owner
+// Vacate requests that a pool's owner drain endpoints. Owned is false if no owner
 // answered.
 func (c *Calls) Vacate(ctx context.Context, in VacateCall) VacateResult {
-	ctx, cancel := context.WithTimeout(ctx, attemptLimit)
+	ctx, cancel := context.WithTimeout(ctx, attemptTimeout)
 	defer cancel()
-	if c.Manager.local(in.Pool) != nil {
+	if c.Manager.localRunner(in.Pool) != nil {
 		return c.Manager.localVacate(ctx, in)
 	}
 	owner, ok := c.Manager.OwnerOf(in.Pool)
@@ -295,10 +297,10 @@
 	return out
 }
 
-// Clear asks a pool's owner to clear endpoints, for the duty over instances.
-func (c *Calls) Clear(ctx context.Context, pool string, ask fleetops.ClearCall) fleetops.ClearAnswer {
-	in := VacateCall{Pool: pool, Loans: ask.Loans, Due: ask.Due, Shares: ask.Shares}
-	for _, item := range ask.Clears {
+// Clear requests that a pool's owner drain endpoints, for the duty that manages instances.
+func (c *Calls) Clear(ctx context.Context, pool string, request fleetops.ClearCall) fleetops.ClearAnswer {
+	in := VacateCall{Pool: pool, Loans: request.Loans, Due: request.Due, Shares: request.Shares}
+	for _, item := range request.Clears {
 		in.Items = append(in.Items, VacateItem{Endpoint: item.Endpoint, Hurry: item.Hurry, Ended: item.Ended, StartedMs: item.StartedMs})
 	}
 	out := c.Vacate(ctx, in)
--- a/internal/shards/group.go
+++ b/internal/shards/group.go
@@ -9,43 +9,42 @@
 	"cyclamenwheel/platform"
 )
 
-// lookFirst reads the members before this process joins them. Load: all nodes
-// start together, after all have lost power. Where nobody is a member yet, weak
-// nodes wait a little longer than strong ones and find these there: joined all at
-// once they would hide one another, and each duty change hands twice within a
-// second.
-func (m *Manager) lookFirst(ctx context.Context) {
+// readMembersBeforeJoin reads the members before this process joins the group. Load: all
+// nodes start together after a power failure. If the group is empty, weak nodes wait a
+// little longer than strong ones and then find those: if all joined at once, the group would
+// show only some of them, and each duty would change owners twice within a second.
+func (m *Manager) readMembersBeforeJoin(ctx context.Context) {
 	m.refreshMembers(ctx, 0)
 	self, ok := parseMember(m.opts.Member)
 	m.mu.Lock()
-	alone := len(m.members) == 0
+	empty := len(m.members) == 0
 	m.mu.Unlock()
-	if ok && alone {
-		pause.For(ctx, time.Duration((1-min(1, self.processor))*float64(firstJoinSpread)))
+	if ok && empty {
+		pause.For(ctx, time.Duration((1-min(1, self.processor))*float64(maxFirstJoinDelay)))
 		m.refreshMembers(ctx, 0)
 	}
 }
 
-// stay is how this process stands with the group.
-type stay struct {
+// groupState is this process's state in the group.
+type groupState struct {
 	generation int64
-	// joined: the group counts this process, or may.
+	// joined: the group counts this process as a member, or may do so.
 	joined bool
-	// created: the group's topic is known to exist; failing: the newest call on
-	// the group went wrong.
+	// created: the group's topic is known to exist; failing: the last call on the group
+	// failed.
 	created, failing bool
 }
 
-// stayOrGo joins the group or leaves it, as it needs this process or not. It
-// returns how old the reading of the members may be.
-func (m *Manager) stayOrGo(ctx context.Context, s *stay) time.Duration {
-	if !m.needed(s.joined) {
+// joinOrLeave joins the group if it needs this process, or leaves it otherwise. It returns
+// the maximum age of the next reading of the members.
+func (m *Manager) joinOrLeave(ctx context.Context, s *groupState) time.Duration {
+	if !m.isNeeded(s.joined) {
 		if s.joined {
-			s.joined = !m.leaveGroup(ctx, "others are better fit for the duties")
+			s.joined = !m.leaveGroup(ctx, "other members are better suited for the duties")
 		}
-		return outsiderEvery
+		return nonMemberInterval
 	}
-	err := m.createTopic(ctx, &s.created)
+	err := m.createGroupTopic(ctx, &s.created)
 	var got platform.Assignment
 	if err == nil {
 		s.joined = true
@@ -53,20 +52,20 @@
 	}
 	if s.failing != (err != nil) {
 		s.failing = err != nil
-		m.logMembership(err)
+		m.logMembershipChange(err)
 	}
 	if err == nil && got.Generation != s.generation {
 		s.generation = got.Generation
 		return 0
 	}
-	return membersEvery
+	return membersInterval
 }
 
-// join joins the group or stays in it. An answer that is lost is asked for again
-// within a fraction of memberTTL: waited for to the end of a long timeout it left
-// the member silent for longer than that, and the group took it for gone.
+// join joins the group or renews the membership. A lost answer is requested again within a
+// fraction of memberTTL: a single attempt with a long timeout would keep the member silent
+// for longer than memberTTL, and the group would drop it.
 func (m *Manager) join(ctx context.Context, generation int64) (platform.Assignment, error) {
-	ctx, cancel := context.WithTimeout(ctx, joinLimit)
+	ctx, cancel := context.WithTimeout(ctx, joinTimeout)
 	defer cancel()
 	got, _, err := attempts.Repeat(ctx, m.opts.Store.Attempts, attempts.OfStore, func(ctx context.Context) (platform.Assignment, error) {
 		return m.opts.Membership.Join(ctx, group, m.opts.Member, groupTopic, memberTTL, generation)
@@ -74,51 +73,52 @@
 	return got, err
 }
 
-// leaveGroup leaves the group and reports whether that is certain. It is bounded as
-// a join is: a process that wants to leave while the store is away still follows its
+// leaveGroup leaves the group and reports whether that is certain. It is bounded like a
+// join: a process that wants to leave while the store is unavailable still follows the
 // members.
 func (m *Manager) leaveGroup(ctx context.Context, reason string) bool {
-	ctx, cancel := context.WithTimeout(ctx, joinLimit)
+	ctx, cancel := context.WithTimeout(ctx, joinTimeout)
 	defer cancel()
 	_, _, err := attempts.Repeat(ctx, m.opts.Store.Attempts, attempts.OfStore, func(ctx context.Context) (struct{}, error) {
 		return struct{}{}, m.opts.Membership.Leave(ctx, group, m.opts.Member)
 	})
 	if err != nil {
-		m.opts.Logger.Warn("group not left", "error", err.Error())
+		m.opts.Logger.Warn("leaving the group failed", "error", err.Error())
 		return false
 	}
 	m.opts.Logger.Info("group left", "reason", reason)
 	return true
 }
 
-// awaitJoin waits until the next join is due. It reports whether a member that
-// left said so, and the members should be read at once.
-func (m *Manager) awaitJoin(ctx context.Context) (kicked bool) {
-	t := time.NewTimer(joinEvery)
+// awaitJoin waits until the next join is due. It returns true if it was woken because the
+// duties should be distributed at once.
+func (m *Manager) awaitJoin(ctx context.Context) (woken bool) {
+	t := time.NewTimer(joinInterval)
 	defer t.Stop()
 	select {
 	case <-ctx.Done():
 	case <-t.C:
-	case <-m.kick:
+	case <-m.wakeup:
 		return true
 	}
 	return false
 }
 
-// createTopic makes the group's topic: a topic has partitions to deal out once
-// something was appended to it, if only nothing.
-func (m *Manager) createTopic(ctx context.Context, created *bool) error {
+// createGroupTopic creates the group's topic: a topic has partitions to assign only after an
+// append, which may be empty.
+func (m *Manager) createGroupTopic(ctx context.Context, created *bool) error {
 	if *created {
 		return nil
 	}
-	ctx, cancel := context.WithTimeout(ctx, joinLimit)
+	ctx, cancel := context.WithTimeout(ctx, joinTimeout)
 	defer cancel()
 	err := m.opts.Store.Put(ctx, groupTopic, platform.Writer{Name: group, Epoch: 1}, nil)
 	*created = err == nil
 	return err
 }
 
-func (m *Manager) logMembership(err error) {
+// logMembershipChange logs that calls on the group have begun to fail or succeed again.
+func (m *Manager) logMembershipChange(err error) {
 	if err != nil {
 		m.opts.Logger.Warn("dependency lost", "dependency", "store", "use", "membership", "error", err.Error())
 		return
@@ -126,10 +126,11 @@
 	m.opts.Logger.Info("dependency regained", "dependency", "store", "use", "membership")
 }
 
-// leaveTimeout bounds what a stopping process spends on giving back.
+// leaveTimeout bounds the time that a stopping process spends on leaving the group.
 const leaveTimeout = time.Second
 
-func (m *Manager) leave() {
+// stop ends all duties, notifies the peers and leaves the group.
+func (m *Manager) stop() {
 	m.mu.Lock()
 	m.leaving = true
 	for name, h := range m.running {
@@ -140,16 +141,16 @@
 	m.wg.Wait()
 	ctx, cancel := context.WithTimeout(context.Background(), leaveTimeout)
 	defer cancel()
-	m.sayLeft(ctx)
+	m.notifyLeaving(ctx)
 	m.leaveGroup(ctx, "stopping")
 }
 
-// spreadAgain works with the last reading of the members, less those that have
-// said that they leave: a slow store would hold up each of their duties by the
-// time of a reading.
-func (m *Manager) spreadAgain() {
+// redistributeDuties distributes the duties by the last reading of the members, without the
+// departed ones. Waiting for a new reading would delay each of their duties while the store
+// is slow.
+func (m *Manager) redistributeDuties() {
 	m.mu.Lock()
-	pools, rows := m.pools, m.rows
+	pools, partitionMembers := m.pools, m.partitionMembers
 	m.mu.Unlock()
-	m.spreadDuties(pools, rows)
+	m.distributeDuties(pools, partitionMembers)
 }
--- a/internal/shards/holders.go
+++ b/internal/shards/holders.go
@@ -10,13 +10,13 @@
 	"cyclamenwheel/platform"
 )
 
-// topicHolders has a record for each duty: who claimed it last. It only lets
-// duties stay where they are. Whoever finds no record, an old one or one that can't
-// be read places the duty by rank, and the duty's epoch decides who owns it.
-const topicHolders = "keyed.holders"
+// holdersTopic has a record for each duty: the member that claimed it last. It only serves
+// to keep duties where they are. If the record is missing, out of date or unreadable, the
+// duty is placed by rank, and the duty's epoch decides who owns it.
+const holdersTopic = "keyed.holders"
 
-// keyDuty begins the keys of topicHolders.
-const keyDuty = "d"
+// dutyKeyPrefix is the prefix of the keys in holdersTopic.
+const dutyKeyPrefix = "d"
 
 // holder is the record of a duty's newest claim.
 type holder struct {
@@ -38,25 +38,25 @@
 	return d.m.holders[d.name].Epoch
 }
 
-// Learn implements tenure.Claims: the duties are spread anew with the claim that
-// this process did not know of.
+// Learn implements tenure.Claims: it distributes the duties again with the claim that this
+// process has not seen before.
 //
-// A claim that was given up half-way is published by nobody. Whoever finds its record
-// tells the others: a node that does not try to claim the duty would go on taking an
-// earlier holder for its owner, and that one leaves it to the node.
+// A claim that was abandoned half-way is not published by its claimant, so a process that
+// finds its record publishes it: a node that does not claim the duty itself would keep an
+// earlier holder as the owner, while that holder leaves the duty to the claimant.
 func (d Duty) Learn(owner string, epoch int64) bool {
 	claim := holder{Member: owner, Epoch: epoch}
 	d.m.mergeHolders(map[string]holder{d.name: claim})
 	if owner != d.m.opts.Member {
 		go d.m.publishClaim(context.Background(), d.name, claim)
 	}
-	d.m.spreadAgain()
-	d.m.wake() // Run may have another duty to begin or to end by that
+	d.m.redistributeDuties()
+	d.m.wake() // Run may have to start or end other duties
 	next, ok := d.m.OwnerOf(d.name)
 	return ok && next.Node == d.m.opts.Node
 }
 
-// Claimed takes in that this process has claimed the duty, and tells the others.
+// Claimed records that this process has claimed the duty, and publishes the claim.
 func (d Duty) Claimed(ctx context.Context, epoch int64) {
 	claim := holder{Member: d.m.opts.Member, Epoch: epoch}
 	d.m.mergeHolders(map[string]holder{d.name: claim})
@@ -68,66 +68,65 @@
 	go d.m.publishClaim(ctx, d.name, claim)
 }
 
-// publishLimit bounds the writing of a claim: one that was not published is learnt of
-// from its duty's own topic.
-const publishLimit = 2 * time.Second
+// publishTimeout bounds the publishing of a claim: others also find an unpublished claim in
+// the duty's own topic.
+const publishTimeout = 2 * time.Second
 
-// publishClaim records who has claimed a duty last, as far as this process knows.
+// publishClaim records the newest claim of a duty that this process has seen.
 func (m *Manager) publishClaim(ctx context.Context, duty string, claim holder) {
-	ctx, cancel := context.WithTimeout(ctx, publishLimit)
+	ctx, cancel := context.WithTimeout(ctx, publishTimeout)
 	defer cancel()
 	value, err := cbor.Marshal(claim)
 	if err == nil {
-		err = m.opts.Store.Put(ctx, topicHolders, platform.Writer{}, []platform.Record{{Key: keyDuty + duty, Value: value}})
+		err = m.opts.Store.Put(ctx, holdersTopic, platform.Writer{}, []platform.Record{{Key: dutyKeyPrefix + duty, Value: value}})
 	}
 	if err != nil {
-		m.opts.Logger.Warn("claim not published", "duty", duty, "epoch", claim.Epoch, "error", err.Error())
+		m.opts.Logger.Warn("publishing the claim failed", "duty", duty, "epoch", claim.Epoch, "error", err.Error())
 	}
 }
 
-// doubtHolders lets the next reading of the members read the holders as well: a node
-// that was taken for a duty's owner has answered that it is not. Two nodes that each
-// take the other for the owner would otherwise do so for as long as no member comes
-// or goes.
-func (m *Manager) doubtHolders() {
+// invalidateHolders makes the next reading of the members read the holders as well. It is
+// called when a node that was taken for a duty's owner has answered that it is not. Two
+// nodes that each take the other for the owner would otherwise do so until a member joins
+// or leaves.
+func (m *Manager) invalidateHolders() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.settled = false
+	m.holdersCurrent = false
 }
 
-// refreshHolders reads who claimed the duties last, where the members have changed
-// or some duty's holder was not among them. Without an answer the last reading
-// holds.
-func (m *Manager) refreshHolders(ctx context.Context, rows map[int]string) {
+// refreshHolders reads the duties' holders if the members have changed or if some duty's
+// holder was not among them. If the store does not answer, the last reading stays.
+func (m *Manager) refreshHolders(ctx context.Context, partitionMembers map[int]string) {
 	m.mu.Lock()
-	known := m.settled && maps.Equal(rows, m.rows)
+	current := m.holdersCurrent && maps.Equal(partitionMembers, m.partitionMembers)
 	m.mu.Unlock()
-	if known {
+	if current {
 		return
 	}
-	page, err := m.opts.Store.Journal.Newest(ctx, topicHolders)
+	page, err := m.opts.Store.Journal.Newest(ctx, holdersTopic)
 	if err != nil {
-		m.opts.Logger.Warn("holders of duties not read", "error", err.Error())
+		m.opts.Logger.Warn("reading the holders of duties failed", "error", err.Error())
 		return
 	}
-	m.mergeHolders(holdersOf(page.Records))
+	m.mergeHolders(parseHolders(page.Records))
 }
 
-// holdersOf leaves out what can't be read.
-func holdersOf(records []platform.Record) map[string]holder {
+// parseHolders skips unreadable records.
+func parseHolders(records []platform.Record) map[string]holder {
 	out := map[string]holder{}
 	for _, r := range records {
 		var h holder
-		if r.Damaged || len(r.Key) < len(keyDuty) || r.Key[:len(keyDuty)] != keyDuty || cbor.Unmarshal(r.Value, &h) != nil {
+		if r.Damaged || len(r.Key) < len(dutyKeyPrefix) || r.Key[:len(dutyKeyPrefix)] != dutyKeyPrefix || cbor.Unmarshal(r.Value, &h) != nil {
 			continue
 		}
-		out[r.Key[len(keyDuty):]] = h
+		out[r.Key[len(dutyKeyPrefix):]] = h
 	}
 	return out
 }
 
-// mergeHolders takes in claims that are newer than those known. A claim that was
-// published late must not hide its successor's.
+// mergeHolders adds the claims that are newer than the known ones: a claim that was
+// published late must not replace its successor's.
 func (m *Manager) mergeHolders(claims map[string]holder) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -138,26 +137,27 @@
 	}
 }
 
-// heldElsewhereLocked reports whether another living member claimed a duty last, as
-// far as is known.
+// heldElsewhereLocked reports whether another current member is known to have claimed a duty
+// last.
 func (m *Manager) heldElsewhereLocked(duty string) bool {
-	by := m.holders[duty].Member
-	if by == m.opts.Member {
+	holderName := m.holders[duty].Member
+	if holderName == m.opts.Member {
 		return false
 	}
-	for _, b := range m.members {
-		if b.name == by {
+	for _, other := range m.members {
+		if other.name == holderName {
 			return true
 		}
 	}
 	return false
 }
 
-// settled reports whether each duty is with the member that claimed it last.
-func settled(owners map[string]Owner, members []member, holders map[string]holder) bool {
+// ownersMatchHolders reports whether each duty is assigned to the member that claimed it
+// last.
+func ownersMatchHolders(owners map[string]Owner, members []member, holders map[string]holder) bool {
 	byName := map[string]Owner{}
-	for _, b := range members {
-		byName[b.name] = b.Owner
+	for _, candidate := range members {
+		byName[candidate.name] = candidate.Owner
 	}
 	for duty, owner := range owners {
 		if byName[holders[duty].Member] != owner {
--- a/internal/shards/members.go
+++ b/internal/shards/members.go
@@ -13,21 +13,21 @@
 	"cyclamenwheel/internal/planlease"
 )
 
-// MemberName is a process's name in the group: started is when it began, by its
-// own time of day, and processor its share of a core.
+// MemberName returns a process's name in the group. boot identifies the process, started is
+// its start by its own wall clock, and processor is its CPU share in cores.
 func MemberName(node, addr, boot string, started time.Time, processor float64) string {
 	return strings.Join([]string{node, addr, boot, strconv.FormatInt(started.UnixMilli(), 10),
 		strconv.FormatFloat(processor, 'g', -1, 64)}, memberSeparator)
 }
 
-// Owner is where a pool's owner is reached.
+// Owner is the node of a pool's owner and its address for peers.
 type Owner struct{ Node, Addr string }
 
-// member is a process in the group, by its whole name there.
+// member is a process in the group; name is its full name there.
 type member struct {
 	Owner
 	name string
-	// startedMs is when the process began, in ms since 1970 by its own clock.
+	// startedMs is the process's start in ms since 1970 by its own clock.
 	startedMs int64
 	processor float64
 }
@@ -45,30 +45,30 @@
 	return member{Owner: Owner{Node: parts[0], Addr: parts[1]}, name: name, startedMs: started, processor: processor}, err == nil
 }
 
-// left takes in that a member leaves the group. The store need not have heard yet.
-func (m *Manager) left(name string) {
+// markDeparted records that a member leaves the group, possibly before the store does.
+func (m *Manager) markDeparted(name string) {
 	m.mu.Lock()
 	m.departed[name] = true
 	m.mu.Unlock()
 	m.wake()
 }
 
-// wake lets Run spread and assign the duties at once.
+// wake makes Run distribute the duties at once.
 func (m *Manager) wake() {
 	select {
-	case m.kick <- struct{}{}:
-	default: // one is enough
+	case m.wakeup <- struct{}{}:
+	default: // a wake-up is already pending
 	}
 }
 
-// sayLeft tells the peers that this member leaves, so that its duties don't wait
-// for their next joins, nor for a store that is slow to count it out.
-func (m *Manager) sayLeft(ctx context.Context) {
+// notifyLeaving notifies the peers that this member leaves, so that its duties move without
+// waiting for the peers' next joins or for a slow store.
+func (m *Manager) notifyLeaving(ctx context.Context) {
 	m.mu.Lock()
-	_, known := membersOf(m.rows)
+	_, peers := parseMembers(m.partitionMembers)
 	m.mu.Unlock()
 	var wg sync.WaitGroup
-	for node := range known {
+	for node := range peers {
 		if node != m.opts.Node {
 			wg.Go(func() { m.opts.SayLeft(ctx, node) })
 		}
@@ -76,77 +76,76 @@
 	wg.Wait()
 }
 
-// refreshMembers reads the members where the last reading is older than age.
-func (m *Manager) refreshMembers(ctx context.Context, age time.Duration) {
+// refreshMembers reads the members if the last reading is older than maxAge.
+func (m *Manager) refreshMembers(ctx context.Context, maxAge time.Duration) {
 	now := planlease.Boottime()
 	m.mu.Lock()
-	due := m.membersAt == 0 || now-m.membersAt >= age
+	due := m.membersReadAt == 0 || now-m.membersReadAt >= maxAge
 	if due {
-		m.membersAt = now
+		m.membersReadAt = now
 	}
 	pools := m.pools
 	m.mu.Unlock()
 	if !due {
 		return
 	}
-	rows, err := m.opts.Membership.Owners(ctx, group)
+	partitionMembers, err := m.opts.Membership.Owners(ctx, group)
 	if err == nil {
-		m.refreshHolders(ctx, rows)
-		m.keepRows(rows)
-	} else if rows, err = m.askPeers(ctx, err); err != nil {
-		m.opts.Logger.Debug("members not read", "error", err.Error())
+		m.refreshHolders(ctx, partitionMembers)
+		m.storePartitionMembers(partitionMembers)
+	} else if partitionMembers, err = m.membersFromPeers(ctx, err); err != nil {
+		m.opts.Logger.Debug("reading the members failed", "error", err.Error())
 		return
 	}
-	m.spreadDuties(pools, rows)
+	m.distributeDuties(pools, partitionMembers)
 }
 
-// keepRows remembers a reading of the store for peers that can't read it. Departed
-// members that the store no longer counts need not be remembered beside it.
-func (m *Manager) keepRows(rows map[int]string) {
+// storePartitionMembers keeps a reading of the store, also for peers that can't read it, and
+// forgets departed members that the store no longer lists.
+func (m *Manager) storePartitionMembers(partitionMembers map[int]string) {
 	present := map[string]bool{}
-	for _, name := range rows {
+	for _, name := range partitionMembers {
 		present[name] = true
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	maps.DeleteFunc(m.departed, func(name string, _ bool) bool { return !present[name] })
-	m.rows, m.rowsAt = rows, planlease.Boottime()
+	m.partitionMembers, m.partitionMembersReadAt = partitionMembers, planlease.Boottime()
 }
 
 const (
-	// rowsFresh is how old a peer's reading may be to be believed.
-	rowsFresh = 3 * time.Second
-	// askLimit and askTimeout bound what a node spends on asking peers.
-	askLimit   = 3
-	askTimeout = 250 * time.Millisecond
+	// maxPeerReadingAge is the maximum age of a peer's reading that is used.
+	maxPeerReadingAge = 3 * time.Second
+	// maxPeersAsked and askPeerTimeout bound the time that a node spends on asking peers.
+	maxPeersAsked  = 3
+	askPeerTimeout = 250 * time.Millisecond
 )
 
-// askPeers learns the members from peers. A store that turns some nodes away
-// while it serves the others leaves these nodes' callers without answers
-// otherwise: they go on asking owners that have changed.
-// Without any it returns the failure to read the store.
-func (m *Manager) askPeers(ctx context.Context, failure error) (map[int]string, error) {
+// membersFromPeers reads the members from peers, or returns failure if no peer answers. A
+// store may reject some nodes while it serves the others; without the peers' reading, the
+// rejected nodes would keep sending calls to former owners.
+func (m *Manager) membersFromPeers(ctx context.Context, failure error) (map[int]string, error) {
 	m.mu.Lock()
-	_, known := membersOf(m.rows)
+	_, peers := parseMembers(m.partitionMembers)
 	m.mu.Unlock()
 	asked := 0
-	for node := range known { // in random order
-		if node == m.opts.Node || asked == askLimit {
+	for node := range peers { // in random order
+		if node == m.opts.Node || asked == maxPeersAsked {
 			continue
 		}
 		asked++
-		if rows, ok := m.askPeer(ctx, node); ok {
-			return rows, nil
+		if partitionMembers, ok := m.membersFromPeer(ctx, node); ok {
+			return partitionMembers, nil
 		}
 	}
 	return nil, failure
 }
 
-func (m *Manager) askPeer(ctx context.Context, node string) (map[int]string, bool) {
-	ctx, cancel := context.WithTimeout(ctx, askTimeout)
+func (m *Manager) membersFromPeer(ctx context.Context, node string) (map[int]string, bool) {
+	ctx, cancel := context.WithTimeout(ctx, askPeerTimeout)
 	defer cancel()
 	got, err := m.opts.AskMembers(ctx, node)
-	if err != nil || time.Duration(got.AgeMs)*time.Millisecond > rowsFresh || len(got.Rows) == 0 {
+	if err != nil || time.Duration(got.AgeMs)*time.Millisecond > maxPeerReadingAge || len(got.Rows) == 0 {
 		return nil, false
 	}
 	m.opts.Logger.Info("members learnt from a peer", "peer", node, "age_ms", got.AgeMs, "members", len(got.Rows))
@@ -154,22 +153,22 @@
 	return got.Rows, true
 }
 
-// lastRows answers a peer that can't read the store.
-func (m *Manager) lastRows() MembersResult {
+// membersResult answers a peer that can't read the store.
+func (m *Manager) membersResult() MembersResult {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.rowsAt == 0 {
+	if m.partitionMembersReadAt == 0 {
 		return MembersResult{AgeMs: math.MaxInt32}
 	}
-	return MembersResult{Rows: m.rows, Holders: maps.Clone(m.holders), AgeMs: (planlease.Boottime() - m.rowsAt).Milliseconds()}
+	return MembersResult{Rows: m.partitionMembers, Holders: maps.Clone(m.holders), AgeMs: (planlease.Boottime() - m.partitionMembersReadAt).Milliseconds()}
 }
 
-func membersOf(rows map[int]string) (members []member, peers map[string]string) {
+func parseMembers(partitionMembers map[int]string) (members []member, peers map[string]string) {
 	peers = map[string]string{}
-	for _, name := range slices.Compact(slices.Sorted(maps.Values(rows))) {
-		if b, ok := parseMember(name); ok {
-			members = append(members, b)
-			peers[b.Node] = b.Addr
+	for _, name := range slices.Compact(slices.Sorted(maps.Values(partitionMembers))) {
+		if parsed, ok := parseMember(name); ok {
+			members = append(members, parsed)
+			peers[parsed.Node] = parsed.Addr
 		}
 	}
 	return members, peers
--- a/internal/shards/members_test.go
+++ b/internal/shards/members_test.go
@@ -21,28 +21,27 @@
 
 var pools = []string{"a", "b", "c", "d", "e"}
 
-// A pool at its peak keeps a small node busy with its renewals alone; its
-// callers wait in vain. Only nodes near the strongest get duties.
+// Renewals alone keep a small node busy when a pool is at its peak, so that its callers wait
+// in vain. Only nodes near the strongest get duties.
 func TestWeakNodesGetNoDuties(t *testing.T) {
 	g := NewWithT(t)
 	members := membersWith(0.8, 0.19, 0.19, 0.7, 0.3, 0.6)
-	for name, owner := range spread(pools, members, nil) {
+	for name, owner := range distribute(pools, members, nil) {
 		g.Expect(owner.Node).To(BeElementOf("n-00", "n-03", "n-05"), name)
 	}
 }
 
-// Members come and go one after the other while nodes are replaced. Each time
-// only few duties beside the one's own may change hands: each change costs its
-// pool a pause.
+// Members join and leave one after the other while nodes are replaced. Each time, few duties
+// of other members may change owners: each change pauses its pool.
 func TestOneMemberMovesFewDuties(t *testing.T) {
 	g := NewWithT(t)
 	members := membersWith(0.4, 0.4, 0.4, 0.4, 0.4, 0.4, 0.4)
-	whole := spread(pools, members, nil)
+	whole := distribute(pools, members, nil)
 	g.Expect(whole).To(HaveLen(len(pools) + 1))
 	for i := range members {
 		rest := append(append([]member(nil), members[:i]...), members[i+1:]...)
 		moved := 0
-		for name, owner := range spread(pools, rest, nil) {
+		for name, owner := range distribute(pools, rest, nil) {
 			if whole[name] != owner && whole[name].Node != members[i].Node {
 				moved++
 			}
@@ -52,7 +51,7 @@
 }
 
 func TestNoMembersNoDuties(t *testing.T) {
-	NewWithT(t).Expect(spread(pools, nil, nil)).To(BeEmpty())
+	NewWithT(t).Expect(distribute(pools, nil, nil)).To(BeEmpty())
 }
 
 func TestMemberNames(t *testing.T) {
@@ -67,46 +66,46 @@
 	}
 }
 
-// Nodes restart one after the other. Those that will never get a duty would have
-// the group dealt anew each time, and duties would move among the others.
+// Nodes restart one after the other. If those that never get a duty joined the group, its
+// partitions would be reassigned each time, and duties would move among the others.
 func TestWeakNodesStayOutOfTheGroup(t *testing.T) {
 	g := NewWithT(t)
 	members := membersWith(0.8, 0.8, 0.19)
 	weak := member{Owner: Owner{Node: "weak"}, name: "weak", processor: 0.19}
-	g.Expect(wanted(weak, false, members)).To(BeFalse())
-	g.Expect(wanted(members[2], true, members)).To(BeFalse())
-	g.Expect(wanted(members[0], true, members)).To(BeTrue())
+	g.Expect(belongsInGroup(weak, false, members)).To(BeFalse())
+	g.Expect(belongsInGroup(members[2], true, members)).To(BeFalse())
+	g.Expect(belongsInGroup(members[0], true, members)).To(BeTrue())
 }
 
-// All strong nodes lose power. The weak ones see no members once these have
-// lapsed, and have to step in.
-func TestWeakNodesJoinWhenAllMembersHaveGone(t *testing.T) {
+// All strong nodes lose power. The weak ones see no members once the memberships have
+// expired, and have to take over.
+func TestWeakNodesJoinAnEmptyGroup(t *testing.T) {
 	g := NewWithT(t)
 	weak := membersWith(0.19, 0.19)
-	g.Expect(wanted(weak[0], false, nil)).To(BeTrue())
-	g.Expect(wanted(weak[0], true, weak)).To(BeTrue())
-	g.Expect(wanted(weak[0], false, weak[1:])).To(BeTrue())
+	g.Expect(belongsInGroup(weak[0], false, nil)).To(BeTrue())
+	g.Expect(belongsInGroup(weak[0], true, weak)).To(BeTrue())
+	g.Expect(belongsInGroup(weak[0], false, weak[1:])).To(BeTrue())
 }
 
-// Hundreds of equal nodes start at once and all join. Those that hold no
-// partition are seen by nobody and go; those that are seen stay.
+// Hundreds of equal nodes start at once and all join. Members without a partition are
+// visible to nobody and leave; visible members stay.
 func TestEnoughMembersStay(t *testing.T) {
 	g := NewWithT(t)
-	processors := make([]float64, mostMembers+4)
+	processors := make([]float64, enoughMembers+4)
 	for i := range processors {
 		processors[i] = 0.4
 	}
 	members := membersWith(processors...)
 	unseen := member{Owner: Owner{Node: "unseen"}, name: "unseen", processor: 0.4}
-	g.Expect(wanted(unseen, true, members)).To(BeFalse())
-	g.Expect(wanted(members[len(members)-1], true, members)).To(BeTrue())
-	g.Expect(wanted(unseen, false, members[:mostMembers-1])).To(BeTrue())
+	g.Expect(belongsInGroup(unseen, true, members)).To(BeFalse())
+	g.Expect(belongsInGroup(members[len(members)-1], true, members)).To(BeTrue())
+	g.Expect(belongsInGroup(unseen, false, members[:enoughMembers-1])).To(BeTrue())
 }
 
-// Callers of three pools wait for a new owner again and again while all nodes are
-// restarted in turn: a node that comes back takes duties from nodes that live. A
-// duty moves only when its own holder goes.
-func TestDutiesStayWithWhoClaimedThemWhileOthersComeAndGo(t *testing.T) {
+// Guards against a restarted node that takes duties from live nodes, so that callers wait for
+// a new owner again and again while all nodes are restarted in turn. A duty moves only when
+// its own holder leaves.
+func TestDutiesStayWithTheirHoldersWhileOthersRestart(t *testing.T) {
 	g := NewWithT(t)
 	all := membersWith(0.8, 0.8, 0.8, 0.8, 0.8, 0.8, 0.8, 0.8, 0.8, 0.8, 0.8, 0.8, 0.8, 0.8, 0.8, 0.8)
 	holders := map[string]holder{}
@@ -119,23 +118,23 @@
 		}
 		return moved
 	}
-	g.Expect(claim(spread(pools, all, holders))).To(Equal(len(pools) + 1))
+	g.Expect(claim(distribute(pools, all, holders))).To(Equal(len(pools) + 1))
 	for i := range all {
-		its := 0
+		held := 0
 		for _, h := range holders {
 			if h.Member == all[i].name {
-				its++
+				held++
 			}
 		}
 		rest := append(append([]member(nil), all[:i]...), all[i+1:]...)
-		g.Expect(claim(spread(pools, rest, holders))).To(Equal(its), "%s goes", all[i].name)
-		g.Expect(claim(spread(pools, all, holders))).To(BeZero(), "%s comes back", all[i].name)
+		g.Expect(claim(distribute(pools, rest, holders))).To(Equal(held), "%s leaves", all[i].name)
+		g.Expect(claim(distribute(pools, all, holders))).To(BeZero(), "%s returns", all[i].name)
 	}
 }
 
-// One node was alone for a while and has all duties. With the others back it keeps
-// no more than a little beyond its part.
-func TestANodeThatWasAloneGivesDutiesBack(t *testing.T) {
+// One node was the only member for a while and has all duties. Once the others are back it
+// keeps only a few more than its share.
+func TestASoleMemberReleasesDutiesWhenOthersReturn(t *testing.T) {
 	g := NewWithT(t)
 	all := membersWith(0.4, 0.4, 0.4, 0.4, 0.4, 0.4, 0.4)
 	holders := map[string]holder{fleetDuty: {Member: "n-00", Epoch: 1}}
@@ -143,7 +142,7 @@
 		holders[p] = holder{Member: "n-00", Epoch: 1}
 	}
 	kept := 0
-	for _, owner := range spread(pools, all, holders) {
+	for _, owner := range distribute(pools, all, holders) {
 		if owner.Node == "n-00" {
 			kept++
 		}
@@ -151,8 +150,8 @@
 	g.Expect(kept).To(BeNumerically("<=", 3))
 }
 
-// changesOfOwner restarts nodes in turn and returns how often a duty changes hands.
-func changesOfOwner(set int, remembersAge bool) int {
+// countOwnerChanges restarts nodes in turn and returns how often a duty changes owners.
+func countOwnerChanges(set int, withStartTimes bool) int {
 	var all []member
 	for i := range 7 {
 		name := fmt.Sprintf("set-%d-n-%d", set, i)
@@ -161,7 +160,7 @@
 	holders := map[string]holder{}
 	changes := -len(pools) - 1 // the first claims
 	claim := func(members []member) {
-		for duty, owner := range spread(pools, members, holders) {
+		for duty, owner := range distribute(pools, members, holders) {
 			for _, b := range members {
 				if b.Owner == owner && holders[duty].Member != b.name {
 					changes++
@@ -174,7 +173,7 @@
 	for i := range all {
 		claim(append(append([]member(nil), all[:i]...), all[i+1:]...))
 		all[i].name += "-again"
-		if remembersAge {
+		if withStartTimes {
 			all[i].startedMs = int64(10000 + 2000*i)
 		}
 		claim(all)
@@ -182,36 +181,36 @@
 	return changes
 }
 
-// Callers of a pool wait for a new owner three times while the nodes are restarted
-// in turn: each time it goes to a node whose own turn comes next.
+// Guards against duties that move to a node which is about to be restarted, so that a pool's
+// callers wait for a new owner three times while the nodes are restarted in turn.
 func TestDutiesGoToNodesThatHaveBeenRestarted(t *testing.T) {
 	g := NewWithT(t)
 	const sets = 200
-	blind, aged := 0, 0
+	byRank, byAge := 0, 0
 	for set := range sets {
-		blind += changesOfOwner(set, false)
-		aged += changesOfOwner(set, true)
+		byRank += countOwnerChanges(set, false)
+		byAge += countOwnerChanges(set, true)
 	}
 	duties := float64(sets * (len(pools) + 1))
-	t.Logf("changes of owner a duty: %.2f by rank alone, %.2f", float64(blind)/duties, float64(aged)/duties)
-	g.Expect(aged).To(BeNumerically("<", blind))
+	t.Logf("changes of owner a duty: %.2f by rank alone, %.2f", float64(byRank)/duties, float64(byAge)/duties)
+	g.Expect(byAge).To(BeNumerically("<", byRank))
 }
 
-// A store that takes 300 ms for an answer still lists a member that has said that
-// it leaves; its pools would have no owner for as long.
-func TestAMemberThatSaysItLeavesIsCountedOutAtOnce(t *testing.T) {
+// A store that takes 300 ms to answer still lists a member that has announced that it leaves;
+// its pools would have no owner for as long.
+func TestADepartedMemberLosesItsDutiesAtOnce(t *testing.T) {
 	g := NewWithT(t)
 	m := NewManager(Options{Node: "n-1", Logger: slog.New(slog.NewTextHandler(io.Discard, nil)), OnPeers: func(map[string]string) {}})
 	stays, leaves := MemberName("n-1", "127.0.0.1:1", "b", time.UnixMilli(1), 0.4), MemberName("n-2", "127.0.0.1:2", "b", time.UnixMilli(1), 0.4)
 	m.SetPools(pools)
-	m.rows = map[int]string{0: stays, 1: leaves}
-	m.spreadAgain()
-	g.Expect(countOf(m.owners, "n-2")).To(BeNumerically(">", 0))
-	m.left(leaves)
-	m.spreadAgain()
-	g.Expect(countOf(m.owners, "n-1")).To(Equal(len(pools) + 1))
-	m.keepRows(m.rows)
+	m.partitionMembers = map[int]string{0: stays, 1: leaves}
+	m.redistributeDuties()
+	g.Expect(countDuties(m.owners, "n-2")).To(BeNumerically(">", 0))
+	m.markDeparted(leaves)
+	m.redistributeDuties()
+	g.Expect(countDuties(m.owners, "n-1")).To(Equal(len(pools) + 1))
+	m.storePartitionMembers(m.partitionMembers)
 	g.Expect(m.departed).To(HaveLen(1), "the store still lists it")
-	m.keepRows(map[int]string{0: stays})
+	m.storePartitionMembers(map[int]string{0: stays})
 	g.Expect(m.departed).To(BeEmpty())
 }
--- a/internal/shards/orders.go
+++ b/internal/shards/orders.go
@@ -9,21 +9,21 @@
 	"cyclamenwheel/platform"
 )
 
-// send carries out an order in the background and reports how it went.
+// send sends an order to its endpoint in the background and reports the result to the core.
 func (r *Runner) send(o executor.Order, lease time.Duration) {
 	to := platform.EndpointRef{ID: o.Endpoint, Addr: o.Addr}
 	go func() {
-		answer, err := r.carryOut(to, o, lease)
-		result := resultOf(err)
+		answer, err := r.execute(to, o, lease)
+		result := orderResultOf(err)
 		if err != nil {
-			r.log.Info("order not done", "epoch", r.epoch, "task", o.Task, "run", o.Run, "instance", o.Endpoint,
+			r.log.Info("order failed", "epoch", r.epoch, "task", o.Task, "run", o.Run, "instance", o.Endpoint,
 				"order", int(o.Kind), "result", result.String(), "error", err.Error())
 		}
-		r.post(func(now time.Duration) { r.core.OrderDone(now, o, result, answerOf(err, answer)) })
+		r.post(func(now time.Duration) { r.core.OrderDone(now, o, result, toAnswer(err, answer)) })
 	}()
 }
 
-func (r *Runner) carryOut(to platform.EndpointRef, o executor.Order, lease time.Duration) (platform.EndpointAnswer, error) {
+func (r *Runner) execute(to platform.EndpointRef, o executor.Order, lease time.Duration) (platform.EndpointAnswer, error) {
 	if o.Kind == executor.OrderStop {
 		return r.endpoints.Stop(r.ctx, to, o.Task, o.Run, o.Fence)
 	}
@@ -31,8 +31,8 @@
 		LeaseUntil: lease, Checkpoint: o.Checkpoint, Ticket: o.Ticket})
 }
 
-// answerOf returns what an endpoint told of itself as it did an order or turned it away.
-func answerOf(err error, in platform.EndpointAnswer) executor.Answer {
+// toAnswer converts the state that an endpoint reports when it accepts or rejects an order.
+func toAnswer(err error, in platform.EndpointAnswer) executor.Answer {
 	var refused *platform.RefusedError
 	if errors.As(err, &refused) {
 		in = refused.Answer
@@ -40,8 +40,8 @@
 	return executor.Answer{Clock: in.Clock, StartedMs: in.StartedMs}
 }
 
-// resultOf says what an error of the endpoints' client means for an order.
-func resultOf(err error) executor.OrderResult {
+// orderResultOf maps an error of the endpoints' client to the result of an order.
+func orderResultOf(err error) executor.OrderResult {
 	if err == nil {
 		return executor.OrderDone
 	}
@@ -68,25 +68,26 @@
 	return executor.OrderInvalid
 }
 
-// look sends a renewal in the background and reports what was listed.
-func (r *Runner) look(l executor.Look) {
+// renew sends a lease renewal to an endpoint in the background and reports the runs that the
+// endpoint listed to the core.
+func (r *Runner) renew(l executor.Look) {
 	to := platform.EndpointRef{ID: l.Endpoint, Addr: l.Addr}
 	go func() {
 		look, err := r.endpoints.Renew(r.ctx, to, platform.Renewal{Fence: l.Fence, Acknowledged: l.Acknowledged,
 			LeaseUntil: l.LeaseUntil, Wait: l.Wait})
-		result := lookResultOf(err)
+		result := renewalResultOf(err)
 		if err != nil && r.ctx.Err() == nil {
-			r.log.Info("renewal not done", "epoch", r.epoch, "instance", l.Endpoint, "error", err.Error())
+			r.log.Info("renewal failed", "epoch", r.epoch, "instance", l.Endpoint, "error", err.Error())
 		}
-		r.post(func(now time.Duration) { r.core.LookDone(now, l, result, listedOf(look)) })
+		r.post(func(now time.Duration) { r.core.LookDone(now, l, result, toListed(look)) })
 	}()
 }
 
-func lookResultOf(err error) executor.LookResult {
+func renewalResultOf(err error) executor.LookResult {
 	if err == nil {
 		return executor.LookAnswered
 	}
-	switch resultOf(err) {
+	switch orderResultOf(err) {
 	case executor.OrderFenced:
 		return executor.LookFenced
 	case executor.OrderGone:
@@ -95,20 +96,20 @@
 	return executor.LookUnanswered
 }
 
-var endedHow = map[platform.EndReason]executor.HowEnded{
+var endReasons = map[platform.EndReason]executor.HowEnded{
 	platform.EndDone: executor.EndedDone, platform.EndFailed: executor.EndedFailed,
 	platform.EndStopped: executor.EndedStopped, platform.EndLapsed: executor.EndedLapsed,
 	platform.EndBroken: executor.EndedBroken, platform.EndAlone: executor.EndedAlone,
 }
 
-func listedOf(in platform.Look) executor.Listed {
+func toListed(in platform.Look) executor.Listed {
 	out := executor.Listed{Clock: in.Clock, StartedMs: in.StartedMs}
 	for _, run := range in.Running {
 		out.Running = append(out.Running, executor.ListedRun{Task: run.Task, Run: run.Run, Checkpoint: run.Checkpoint,
 			Percent: run.Percent})
 	}
 	for _, end := range in.Ended {
-		how, known := endedHow[end.How]
+		how, known := endReasons[end.How]
 		if !known {
 			how = executor.EndedStopped
 		}
@@ -118,12 +119,12 @@
 	return out
 }
 
-// advise asks for advice in the background.
-func (r *Runner) advise(call executor.AdviceCall) {
+// requestAdvice requests placement advice in the background and reports it to the core.
+func (r *Runner) requestAdvice(call executor.AdviceCall) {
 	go func() {
 		got, err := r.endpoints.Advise(r.ctx, call.Step, call.Endpoints, call.Timeout)
 		if err != nil {
-			r.log.Info("no advice", "epoch", r.epoch, "task", call.Step, "error", err.Error())
+			r.log.Info("advice request failed", "epoch", r.epoch, "task", call.Step, "error", err.Error())
 		}
 		r.post(func(now time.Duration) { r.core.AdviceDone(now, call, got.Tickets, got.Valid, err == nil) })
 	}()
--- a/internal/shards/owner_recovery_test.go
+++ b/internal/shards/owner_recovery_test.go
@@ -20,11 +20,11 @@
 	"cyclamenwheel/platform"
 )
 
-// cluster is some managers on one store that reach each other directly.
+// cluster is a set of managers on one store that reach each other directly.
 type cluster struct {
-	client *platform.Client
-	mu     sync.Mutex
-	here   map[string]*process
+	client    *platform.Client
+	mu        sync.Mutex
+	processes map[string]*process
 }
 
 type process struct {
@@ -33,19 +33,19 @@
 	done chan struct{}
 }
 
-func (c *cluster) of(node string) *Manager {
+func (c *cluster) manager(node string) *Manager {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if r := c.here[node]; r != nil {
+	if r := c.processes[node]; r != nil {
 		return r.m
 	}
 	return nil
 }
 
-// absentError says that a node is not there.
-type absentError struct{}
+// unreachableError reports that a node is not running.
+type unreachableError struct{}
 
-func (absentError) Error() string { return "not there" }
+func (unreachableError) Error() string { return "node is not running" }
 
 func (c *cluster) start(node string, pools []string) {
 	member := MemberName(node, "127.0.0.1:1", uuid.NewString(), time.Now(), 0.4)
@@ -55,14 +55,14 @@
 		Limits: executor.Limits{Lease: time.Second, ProofAge: 3 * time.Second, KeepEnded: time.Minute},
 		Fleet:  func(ctx context.Context, _ Duty) { <-ctx.Done() },
 		AskMembers: func(_ context.Context, peer string) (MembersResult, error) {
-			if m := c.of(peer); m != nil {
-				return m.lastRows(), nil
+			if m := c.manager(peer); m != nil {
+				return m.membersResult(), nil
 			}
-			return MembersResult{}, absentError{}
+			return MembersResult{}, unreachableError{}
 		},
 		SayLeft: func(_ context.Context, peer string) {
-			if m := c.of(peer); m != nil {
-				m.left(member)
+			if m := c.manager(peer); m != nil {
+				m.markDeparted(member)
 			}
 		},
 	})
@@ -70,7 +70,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	r := &process{m: m, stop: cancel, done: make(chan struct{})}
 	c.mu.Lock()
-	c.here[node] = r
+	c.processes[node] = r
 	c.mu.Unlock()
 	go func() {
 		defer close(r.done)
@@ -80,8 +80,8 @@
 
 func (c *cluster) stop(node string) {
 	c.mu.Lock()
-	r := c.here[node]
-	delete(c.here, node)
+	r := c.processes[node]
+	delete(c.processes, node)
 	c.mu.Unlock()
 	if r != nil {
 		r.stop()
@@ -89,61 +89,61 @@
 	}
 }
 
-// ask is a caller's call at each node, for each pool: it returns how many of them find
-// an owner, and lets nodes that don't look again as Calls does.
-func (c *cluster) ask(pools []string) (served, asked int) {
+// countServed calls each pool at each node. It returns how many of the calls find an owner,
+// and makes nodes that find none read the members again, as Calls does.
+func (c *cluster) countServed(pools []string) (served, total int) {
 	c.mu.Lock()
-	managers := make([]*Manager, 0, len(c.here))
-	for _, r := range c.here {
+	managers := make([]*Manager, 0, len(c.processes))
+	for _, r := range c.processes {
 		managers = append(managers, r.m)
 	}
 	c.mu.Unlock()
 	for _, m := range managers {
 		for _, pool := range pools {
-			asked++
+			total++
 			owner, ok := m.OwnerOf(pool)
-			at := c.of(owner.Node)
-			if ok && at != nil && at.local(pool) != nil {
+			ownerManager := c.manager(owner.Node)
+			if ok && ownerManager != nil && ownerManager.localRunner(pool) != nil {
 				served++
 				continue
 			}
-			m.doubtHolders()
-			m.refreshMembers(context.Background(), membersMin)
+			m.invalidateHolders()
+			m.refreshMembers(context.Background(), minMembersInterval)
 		}
 	}
-	return served, asked
+	return served, total
 }
 
-// Callers of some pools are sent away for ten seconds while every node lives. Nodes are
-// restarted in turn while the store is slow or loses answers; claims are overtaken,
-// given up and found by others, and each node leaves a pool to another. Once the store
-// answers again, each node finds an owner for each pool.
-func TestEachPoolFindsAnOwnerAfterTrouble(t *testing.T) {
+// Guards against callers of some pools that are rejected for ten seconds while all nodes are
+// alive. Nodes are restarted in turn while the store is slow or loses answers; claims are
+// overtaken, abandoned and found by others, and each node leaves a pool to another. Once the
+// store answers again, each node must find an owner for each pool.
+func TestEachPoolHasAnOwnerAfterRestartsAndLostAnswers(t *testing.T) {
 	pools := []string{"a", "b", "c", "d"}
 	for seed := range uint64(4) {
 		t.Run(fmt.Sprintf("seed %d", seed), func(t *testing.T) {
 			t.Parallel()
 			g := NewWithT(t)
 			rng := rand.New(rand.NewPCG(seed, 5))
-			stand, err := wire.New(map[string]int{}, seed)
+			server, err := wire.New(map[string]int{}, seed)
 			g.Expect(err).NotTo(HaveOccurred())
-			defer stand.Close()
-			managers := &cluster{client: platform.NewClient(stand.Addr(), stand.Addr(), ""), here: map[string]*process{}}
+			defer server.Close()
+			managers := &cluster{client: platform.NewClient(server.Addr(), server.Addr(), ""), processes: map[string]*process{}}
 			nodes := []string{"n-1", "n-2", "n-3", "n-4", "n-5"}
 			for _, node := range nodes {
 				managers.start(node, pools)
 			}
-			stand.SetFaults(wire.Faults{LostAnswers: 0.5 * rng.Float64(), StoreDelay: time.Duration(rng.IntN(300)) * time.Millisecond})
+			server.SetFaults(wire.Faults{LostAnswers: 0.5 * rng.Float64(), StoreDelay: time.Duration(rng.IntN(300)) * time.Millisecond})
 			for _, node := range nodes {
 				managers.stop(node)
 				time.Sleep(time.Duration(rng.IntN(400)) * time.Millisecond)
 				managers.start(node, pools)
 				time.Sleep(time.Duration(rng.IntN(600)) * time.Millisecond)
-				managers.ask(pools)
+				managers.countServed(pools)
 			}
-			stand.SetFaults(wire.Faults{})
+			server.SetFaults(wire.Faults{})
 			g.Eventually(func() string {
-				served, asked := managers.ask(pools)
+				served, asked := managers.countServed(pools)
 				return fmt.Sprintf("%d of %d", served, asked)
 			}, 30*time.Second, 100*time.Millisecond).Should(Equal("20 of 20"))
 			for _, node := range nodes {
--- a/internal/shards/runner.go
+++ b/internal/shards/runner.go
@@ -1,7 +1,8 @@
-// Package shards runs the pools that this process owns: it claims them, makes
-// their records durable, and carries out what their executors decide. Which
-// process owns which pool comes from the store's group membership; that it is
-// still the owner is proved by the epoch of its appends alone.
+// Package shards decides which pools this process owns, claims them, stores their records,
+// and carries out what their executors decide. Which process should own a pool follows from
+// the members of a group in the store and from the duties' last claims; that a process still
+// owns a pool is proved only by appends under its epoch. The host runs the Manager, the
+// ingress calls pools through Calls, and fleetops has endpoints drained through it.
 package shards
 
 import (
@@ -20,33 +21,33 @@
 )
 
 const (
-	// roundGap lets messages gather before a round of decisions; it is a
-	// fraction of what an append takes.
-	roundGap = 4 * time.Millisecond
-	// tickBusy and tickIdle bound the time between rounds.
-	tickBusy = 50 * time.Millisecond
-	tickIdle = 300 * time.Millisecond
-	// proofEvery is how often an idle owner asks the store whether its epoch
-	// is still the newest.
-	proofEvery = 1500 * time.Millisecond
-	// appendGap is the least time between two appends: each call has its price,
-	// and a batch takes no longer than a single record.
-	appendGap = 15 * time.Millisecond
-	// stuckAfter is how long an append may be unanswered before new jobs are
-	// refused, where the store answers nothing else either: they could not be
-	// accepted in time. forgetfulAfter is the same where it does: a lost answer is
-	// asked for again much sooner than a caller that is sent away comes back.
-	stuckAfter     = 500 * time.Millisecond
-	forgetfulAfter = 1200 * time.Millisecond
-	// handOverLimit bounds what a runner that gives its pool up spends on its last
-	// records: some calls of a slow store.
-	handOverLimit = 900 * time.Millisecond
-	// inboxSize bounds messages that wait for the control goroutine.
+	// gatherInterval is the least time between rounds that messages trigger, so that one
+	// round handles several; it is a fraction of the duration of an append.
+	gatherInterval = 4 * time.Millisecond
+	// busyTick and idleTick bound the time between rounds.
+	busyTick = 50 * time.Millisecond
+	idleTick = 300 * time.Millisecond
+	// proofInterval is how often an idle owner asks the store whether its epoch is still the
+	// newest.
+	proofInterval = 1500 * time.Millisecond
+	// appendInterval is the least time between two appends: each call has a cost, and a
+	// batch takes no longer than a single record.
+	appendInterval = 15 * time.Millisecond
+	// storeStalledAfter is how long an append may be unanswered before new jobs are refused,
+	// if the store answers no other call either: they could not be accepted in time.
+	// appendStalledAfter is the same bound if the store answers other calls: a lost answer
+	// is requested again much sooner than a rejected caller retries.
+	storeStalledAfter  = 500 * time.Millisecond
+	appendStalledAfter = 1200 * time.Millisecond
+	// handoverTimeout bounds the time that a runner spends on its last records when it gives
+	// its pool up: some calls of a slow store.
+	handoverTimeout = 900 * time.Millisecond
+	// inboxSize bounds the messages queued for the control goroutine.
 	inboxSize = 4096
 )
 
-// Endpoints is the part of the platform's client that orders endpoints
-// and asks which of them may be ordered.
+// Endpoints is the part of the platform's client that sends orders to endpoints and requests
+// placement advice.
 type Endpoints interface {
 	Start(ctx context.Context, to platform.EndpointRef, o platform.StartOrder) (platform.EndpointAnswer, error)
 	Stop(ctx context.Context, to platform.EndpointRef, task string, run int, fence int64) (platform.EndpointAnswer, error)
@@ -64,7 +65,7 @@
 	log       *slog.Logger
 	limits    executor.Limits
 	now       func() time.Duration
-	wall      func() time.Time
+	wallClock func() time.Time
 
 	core   *executor.Core
 	tenure *tenure.Tenure
@@ -72,40 +73,41 @@
 	inbox  chan func(now time.Duration)
 	ctx    context.Context
 
-	waiting   map[uint64]chan Result
-	nextToken uint64
-	// batches are on their way to the store, the oldest first; flushed is when the
-	// newest was sent.
-	batches []*batch
-	flushed time.Duration
-	// appended is where a batch's outcome comes; appendCtx outlasts ctx by what
-	// handing over takes.
-	appended  chan appendOutcome
-	appendCtx context.Context
-	// proofs wait for an append that is sent after them.
-	proofs []func()
-	// done is closed once the runner has ended and answered whom it could.
+	waitingCalls map[uint64]chan Result
+	nextToken    uint64
+	// batches are in flight to the store, the oldest first; lastFlush is when the newest
+	// was sent.
+	batches   []*batch
+	lastFlush time.Duration
+	// appendOutcomes receives the outcomes of batches; appendCtx outlasts ctx by the time
+	// that the handover takes.
+	appendOutcomes chan appendOutcome
+	appendCtx      context.Context
+	// onProven are called after an append that is sent from now on has succeeded.
+	onProven []func()
+	// done is closed once the runner has ended and answered the waiting calls.
 	done chan struct{}
-	over bool
+	// lost is set when the pool is fenced or an append has failed for good.
+	lost bool
 }
 
 func newRunner(m *Manager, pool string) *Runner {
 	return &Runner{
 		pool: pool, topic: TopicOf(pool), owner: m.opts.Member, store: m.opts.Store, endpoints: m.opts.Endpoints,
-		log: m.opts.Logger.With("pool", pool), limits: m.opts.Limits, now: planlease.Boottime, wall: time.Now,
-		inbox: make(chan func(time.Duration), inboxSize), appended: make(chan appendOutcome, sideBySide), done: make(chan struct{}), waiting: map[uint64]chan Result{},
+		log: m.opts.Logger.With("pool", pool), limits: m.opts.Limits, now: planlease.Boottime, wallClock: time.Now,
+		inbox: make(chan func(time.Duration), inboxSize), appendOutcomes: make(chan appendOutcome, maxInFlightBatches), done: make(chan struct{}), waitingCalls: map[uint64]chan Result{},
 	}
 }
 
-// topicPrefix begins the topics of pools; the store keeps the newest record of
-// each key in topics of this form.
+// topicPrefix is the prefix of pools' topics; in topics of this form the store keeps the
+// newest record of each key.
 const topicPrefix = "keyed.pool."
 
-// TopicOf is the topic of a pool's records.
+// TopicOf returns the topic of a pool's records.
 func TopicOf(pool string) string { return topicPrefix + pool }
 
-// claim takes the pool over and restores its jobs, unless another member keeps it. The
-// runner lives as long as ctx.
+// claim claims the pool and restores its jobs, unless another member holds it. The runner
+// ends with ctx.
 func (r *Runner) claim(ctx context.Context, claims tenure.Claims) error {
 	r.ctx = ctx
 	held, records, err := tenure.Claim(ctx, r.store, r.topic, r.owner, claims, r.log)
@@ -114,18 +116,18 @@
 	}
 	r.tenure, r.epoch = held, held.Epoch
 	r.core = executor.New(r.pool, r.epoch, r.limits, r.now())
-	r.core.SetWall(r.wall().UnixMilli())
+	r.core.SetWall(r.wallClock().UnixMilli())
 	return r.core.Restore(fleetops.RecordsOf(records), r.now())
 }
 
-// honour keeps endpoints clear that are about to leave the pool.
-func (r *Runner) honour(endpoints []string) {
+// vacateLeaving keeps new tasks off endpoints that are about to leave the pool.
+func (r *Runner) vacateLeaving(endpoints []string) {
 	for _, id := range endpoints {
 		r.core.Vacate(r.now(), id, false)
 	}
 }
 
-// run owns the pool until ctx ends or a newer epoch shows.
+// run owns the pool until ctx ends or a newer epoch exists.
 func (r *Runner) run(ctx context.Context) {
 	var stopAppends context.CancelFunc
 	r.appendCtx, stopAppends = context.WithCancel(context.WithoutCancel(ctx))
@@ -133,29 +135,29 @@
 	defer close(r.done)
 	tick := time.NewTimer(0)
 	defer tick.Stop()
-	last := r.now() - roundGap
-	for !r.over && ctx.Err() == nil {
+	last := r.now() - gatherInterval
+	for !r.lost && ctx.Err() == nil {
 		select {
 		case <-ctx.Done():
 		case <-tick.C:
-		case outcome := <-r.appended:
-			r.takeAppend(outcome)
-			r.gather(last)
+		case outcome := <-r.appendOutcomes:
+			r.handleAppend(outcome)
+			r.gatherMessages(last)
 		case msg := <-r.inbox:
 			msg(r.now())
-			r.gather(last)
+			r.gatherMessages(last)
 		}
 		last = r.now()
-		r.round(last)
-		tick.Reset(r.tick())
+		r.runRound(last)
+		tick.Reset(r.nextTick())
 	}
-	r.handOver()
-	r.abandon()
+	r.appendHandover()
+	r.answerWaitingCalls()
 }
 
-// gather lets more messages come in, so that one round answers all of them.
-func (r *Runner) gather(last time.Duration) {
-	if gap := roundGap - (r.now() - last); gap > 0 {
+// gatherMessages waits for more messages, so that one round handles all of them.
+func (r *Runner) gatherMessages(last time.Duration) {
+	if gap := gatherInterval - (r.now() - last); gap > 0 {
 		time.Sleep(gap)
 	}
 	r.drainInbox()
@@ -172,30 +174,30 @@
 	}
 }
 
-func (r *Runner) tick() time.Duration {
-	if (r.core.Dirty() || len(r.proofs) > 0) && len(r.batches) < sideBySide {
-		return appendGap
+func (r *Runner) nextTick() time.Duration {
+	if (r.core.Dirty() || len(r.onProven) > 0) && len(r.batches) < maxInFlightBatches {
+		return appendInterval
 	}
 	if r.core.Busy() {
-		return tickBusy
+		return busyTick
 	}
-	return tickIdle
+	return idleTick
 }
 
-// round decides and sends. Nothing is sent while the last proof of the epoch
-// is older than allowed: a successor counts on that silence.
-func (r *Runner) round(now time.Duration) {
-	r.core.SetWall(r.wall().UnixMilli())
+// runRound makes decisions and sends what they require. No order or renewal is sent while
+// the last proof of the epoch is too old: a successor relies on that.
+func (r *Runner) runRound(now time.Duration) {
+	r.core.SetWall(r.wallClock().UnixMilli())
 	r.core.Tick(now)
 	r.core.Decide(now)
 	r.logEvents()
 	if r.core.Fenced() {
-		r.over = true
+		r.lost = true
 		return
 	}
-	if r.proven() {
+	if r.hasFreshProof() {
 		for _, l := range r.core.DueLooks(now) {
-			r.look(l)
+			r.renew(l)
 		}
 		for _, o := range r.core.TakeStops() {
 			r.send(o, 0)
@@ -203,28 +205,30 @@
 		r.sendStarts(now)
 	}
 	if call, due := r.core.DueAdvice(now); due {
-		r.advise(call)
+		r.requestAdvice(call)
 	}
 	r.flush(now)
 }
 
-func (r *Runner) proven() bool { return r.tenure.ProofAge() < r.limits.ProofAge }
+// hasFreshProof reports whether the epoch was proved recently enough to send orders.
+func (r *Runner) hasFreshProof() bool { return r.tenure.ProofAge() < r.limits.ProofAge }
 
-// abandon answers everybody who waits. What was on its way to the store may
-// have arrived; the rest has not happened.
-func (r *Runner) abandon() {
+// answerWaitingCalls answers all waiting calls when the runner ends. Batches in flight may
+// have been stored; other calls have had no effect.
+func (r *Runner) answerWaitingCalls() {
 	for _, b := range r.batches {
 		for _, reply := range b.ready.Replies {
-			r.reply(reply.Token, ownerChangesUnknown)
+			r.reply(reply.Token, resultOwnerChangingUnknown)
 		}
 	}
-	for token := range r.waiting {
-		r.reply(token, ownerChanges)
+	for token := range r.waitingCalls {
+		r.reply(token, resultOwnerChanging)
 	}
 	r.log.Info("pool given up", "epoch", r.epoch, "fenced", r.core.Fenced())
 }
 
-// post hands a message to the control goroutine.
+// post sends a message to the control goroutine. It returns false once the runner's context
+// has ended.
 func (r *Runner) post(msg func(now time.Duration)) bool {
 	select {
 	case r.inbox <- msg:
@@ -237,7 +241,7 @@
 func (r *Runner) logEvents() {
 	for _, e := range r.core.TakeEvents() {
 		metrics.GetOrCreateCounter(fmt.Sprintf("cyclamen_pool_events_total{event=%q}", e.Kind)).Inc()
-		countAccount(e)
+		countAccountEvent(e)
 		attrs := []any{"epoch", r.epoch, "job", e.Job, "task", e.Task, "run", e.Run,
 			"instance", e.Endpoint, "started_ms", e.StartedMs, "reason", e.Reason, "age_ms", e.AgeMs}
 		if e.Account != "" {
--- a/internal/shards/runner_calls.go
+++ b/internal/shards/runner_calls.go
@@ -8,18 +8,18 @@
 	"cyclamenwheel/internal/jobs"
 )
 
-// Outcome is what a call on a pool came to.
+// Outcome is the result class of a call on a pool.
 type Outcome uint8
 
 // Outcomes.
 const (
-	// OutcomeDone: accepted, cancelled or found.
+	// OutcomeDone: the job was accepted, cancelled or found.
 	OutcomeDone Outcome = iota
-	// OutcomeRefused: not accepted; it never runs unless handed in again.
+	// OutcomeRefused: the job was not accepted; it never runs unless it is submitted again.
 	OutcomeRefused
-	// OutcomeUnavailable: nobody could take it now; nothing has happened.
+	// OutcomeUnavailable: no owner could handle the call now; it had no effect.
 	OutcomeUnavailable
-	// OutcomeUnknown: it may have been done.
+	// OutcomeUnknown: the call may have had an effect.
 	OutcomeUnknown
 	// OutcomeAbsent: there is no such job.
 	OutcomeAbsent
@@ -36,51 +36,53 @@
 	Pending      int               `cbor:"3,keyasint,omitempty"`
 	RetryAfterMs int64             `cbor:"4,keyasint,omitempty"`
 	Reason       string            `cbor:"5,keyasint,omitempty"`
-	// Changing reports that the pool is about to have another owner, who can answer.
+	// Changing reports that the pool is about to get another owner, which can answer.
 	Changing bool `cbor:"6,keyasint,omitempty"`
 }
 
+// reply answers a waiting call. It does nothing if the call was answered before.
 func (r *Runner) reply(token uint64, result Result) {
-	if ch, ok := r.waiting[token]; ok {
+	if ch, ok := r.waitingCalls[token]; ok {
 		ch <- result
-		delete(r.waiting, token)
+		delete(r.waitingCalls, token)
 	}
 }
 
-// ask runs f on the control goroutine and returns its answer, now or later.
-func (r *Runner) ask(ctx context.Context, f func(now time.Duration, token uint64) (Result, bool)) Result {
+// request runs f on the control goroutine. If f reports that its result is final, request
+// returns it; otherwise it waits for reply to be called with the token.
+func (r *Runner) request(ctx context.Context, f func(now time.Duration, token uint64) (Result, bool)) Result {
 	ch := make(chan Result, 1)
 	ok := r.post(func(now time.Duration) {
 		r.nextToken++
 		token := r.nextToken
-		r.waiting[token] = ch
+		r.waitingCalls[token] = ch
 		if result, done := f(now, token); done {
 			r.reply(token, result)
 		}
 	})
 	if !ok {
-		return ownerChanges
+		return resultOwnerChanging
 	}
 	select {
 	case result := <-ch:
 		return result
 	case <-r.done:
-		return ownerChangesUnknown
+		return resultOwnerChangingUnknown
 	case <-ctx.Done():
 		return Result{Outcome: OutcomeUnknown, Reason: "no answer in time"}
 	}
 }
 
-// submit hands a job to the pool.
-func (r *Runner) submit(ctx context.Context, job jobs.Job, under executor.Accepting) Result {
-	return r.ask(ctx, func(now time.Duration, token uint64) (Result, bool) {
-		if r.stuck(now) {
-			return Result{Outcome: OutcomeUnavailable, Reason: "the store does not answer", RetryAfterMs: retryStoreMs}, true
+// submit submits a job to the pool and waits until its acceptance is stored.
+func (r *Runner) submit(ctx context.Context, job jobs.Job, acceptance executor.Accepting) Result {
+	return r.request(ctx, func(now time.Duration, token uint64) (Result, bool) {
+		if r.storeStalled(now) {
+			return Result{Outcome: OutcomeUnavailable, Reason: "the store does not answer", RetryAfterMs: storeRetryAfterMs}, true
 		}
 		if ctx.Err() != nil {
 			return Result{Outcome: OutcomeUnavailable, Reason: "came too late"}, true
 		}
-		verdict, refusal := r.core.Submit(now, job, under, token)
+		verdict, refusal := r.core.Submit(now, job, acceptance, token)
 		switch verdict {
 		case executor.VerdictKnown:
 			return Result{Outcome: OutcomeDone}, true
@@ -91,42 +93,42 @@
 	})
 }
 
-// retryStoreMs is when to come back while the store does not answer: its
-// outages last some seconds.
-const retryStoreMs = 1000
+// storeRetryAfterMs is the retry delay given to callers while the store does not answer:
+// its outages last some seconds.
+const storeRetryAfterMs = 1000
 
-// stuck reports whether a job that is handed in now could not be stored in time.
-func (r *Runner) stuck(now time.Duration) bool {
-	if !r.proven() {
+// storeStalled reports whether a job that is submitted now could not be stored in time.
+func (r *Runner) storeStalled(now time.Duration) bool {
+	if !r.hasFreshProof() {
 		return true
 	}
 	if len(r.batches) == 0 {
 		return false
 	}
-	unanswered := now - r.batches[0].sent
-	return unanswered > forgetfulAfter || unanswered > stuckAfter && r.store.Attempts.Silent(now) > stuckAfter
+	waited := now - r.batches[0].sentAt
+	return waited > appendStalledAfter || waited > storeStalledAfter && r.store.Attempts.Silent(now) > storeStalledAfter
 }
 
-func (r *Runner) cancelJob(ctx context.Context, id string, by executor.Caller) Result {
-	return r.ask(ctx, func(now time.Duration, token uint64) (Result, bool) {
-		if !r.core.Shows(id, by) {
+func (r *Runner) cancelJob(ctx context.Context, id string, caller executor.Caller) Result {
+	return r.request(ctx, func(now time.Duration, token uint64) (Result, bool) {
+		if !r.core.Shows(id, caller) {
 			return Result{Outcome: OutcomeAbsent}, true
 		}
-		known, durable := r.core.Cancel(now, id, token)
-		if !known {
+		found, durable := r.core.Cancel(now, id, token)
+		if !found {
 			return Result{Outcome: OutcomeAbsent}, true
 		}
 		return Result{Outcome: OutcomeDone}, durable
 	})
 }
 
-func (r *Runner) state(ctx context.Context, id string, by executor.Caller) Result {
-	return r.ask(ctx, func(now time.Duration, _ uint64) (Result, bool) {
-		if !r.proven() {
-			return Result{Outcome: OutcomeUnavailable, Reason: "the store does not answer", RetryAfterMs: retryStoreMs}, true
+func (r *Runner) state(ctx context.Context, id string, caller executor.Caller) Result {
+	return r.request(ctx, func(now time.Duration, _ uint64) (Result, bool) {
+		if !r.hasFreshProof() {
+			return Result{Outcome: OutcomeUnavailable, Reason: "the store does not answer", RetryAfterMs: storeRetryAfterMs}, true
 		}
-		state, known := r.core.State(id)
-		if !known || !r.core.Shows(id, by) {
+		state, found := r.core.State(id)
+		if !found || !r.core.Shows(id, caller) {
 			return Result{Outcome: OutcomeAbsent}, true
 		}
 		return Result{Outcome: OutcomeDone, State: state}, true
@@ -134,23 +136,24 @@
 }
 
 func (r *Runner) pending(ctx context.Context, queue string) Result {
-	return r.ask(ctx, func(time.Duration, uint64) (Result, bool) {
+	return r.request(ctx, func(time.Duration, uint64) (Result, bool) {
 		return Result{Outcome: OutcomeDone, Pending: r.core.Pending(queue)}, true
 	})
 }
 
-// vacate clears endpoints. That one is clear, or that the pool keeps to a lowered share
-// of an account's limit, is said only once an append sent afterwards has succeeded: an
-// owner that was displaced unawares would otherwise speak for what its successor runs.
+// vacate drains endpoints. It reports an endpoint as empty, or a lowered share of an
+// account's limit as observed, only after an append that was sent later has succeeded: an
+// owner that was displaced without noticing would otherwise report on tasks that its
+// successor runs.
 func (r *Runner) vacate(ctx context.Context, in VacateCall) VacateResult {
 	done := make(chan VacateResult, 1)
 	ok := r.post(func(now time.Duration) {
-		result, prove := r.vacateNow(now, in)
-		if !prove {
+		result, needsProof := r.startVacate(now, in)
+		if !needsProof {
 			done <- result
 			return
 		}
-		r.proofs = append(r.proofs, func() {
+		r.onProven = append(r.onProven, func() {
 			result.ProofAgeMs = r.tenure.ProofAge().Milliseconds()
 			done <- result
 		})
@@ -167,23 +170,25 @@
 	return VacateResult{}
 }
 
-func (r *Runner) vacateNow(now time.Duration, in VacateCall) (result VacateResult, prove bool) {
+// startVacate applies the call to the pool. needsProof reports whether the result may only
+// be returned after an append has proved the epoch.
+func (r *Runner) startVacate(now time.Duration, in VacateCall) (result VacateResult, needsProof bool) {
 	result = VacateResult{Owned: true, Left: map[string]int{}, Started: map[string]int64{}}
 	r.core.TakeShares(now, in.Shares.Grants)
-	result.Accounts, prove = r.core.AccountReports(in.Shares.Grants), in.Shares.Prove
+	result.Accounts, needsProof = r.core.AccountReports(in.Shares.Grants), in.Shares.Prove
 	for _, item := range in.Items {
 		if item.Ended {
 			r.core.Gone(executor.Incarnation{ID: item.Endpoint, StartedMs: item.StartedMs})
 			continue
 		}
-		if v, known := r.core.Vacate(now, item.Endpoint, item.Hurry); known {
+		if v, found := r.core.Vacate(now, item.Endpoint, item.Hurry); found {
 			result.Left[item.Endpoint], result.Started[item.Endpoint] = v.Left, v.StartedMs
-			prove = prove || v.Left == 0
+			needsProof = needsProof || v.Left == 0
 		}
 	}
 	r.core.LeavesSoon(now, in.Due)
 	r.core.Lent(now, in.Loans)
 	result.Summary = r.core.Summary(now)
 	result.ProofAgeMs = r.tenure.ProofAge().Milliseconds()
-	return result, prove
+	return result, needsProof
 }
--- a/internal/shards/runner_test.go
+++ b/internal/shards/runner_test.go
@@ -18,8 +18,8 @@
 	"cyclamenwheel/platform"
 )
 
-// memoryJournal is a store with one topic that answers after delay.
-// As the platform's, it recognises a writer's repeated append.
+// memoryJournal is a store with one topic that answers after a delay. Like the platform's, it
+// recognises a writer's repeated append.
 type memoryJournal struct {
 	mu      sync.Mutex
 	records []platform.Record
@@ -33,7 +33,7 @@
 	j.delay = d
 }
 
-// count is how often a key was written.
+// count returns how often a key was written.
 func (j *memoryJournal) count(key string) int {
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -49,10 +49,10 @@
 func (j *memoryJournal) Append(_ context.Context, _ string, _ int64, w platform.Writer, records []platform.Record) (int64, error) {
 	j.mu.Lock()
 	offset, delay := int64(len(j.records)), j.delay
-	had, again := j.offsets[w]
+	storedAt, repeated := j.offsets[w]
 	switch {
-	case again && len(records) > 0:
-		offset = had
+	case repeated && len(records) > 0:
+		offset = storedAt
 	case w.Name != "" && len(records) > 0:
 		if j.offsets == nil {
 			j.offsets = map[platform.Writer]int64{}
@@ -77,21 +77,21 @@
 	return platform.Page{Records: append([]platform.Record(nil), j.records[from:]...), Next: int64(len(j.records))}, nil
 }
 
-// obedientEndpoint starts what it is told to and lists it as running.
-type obedientEndpoint struct {
+// fakeEndpoint starts every task that it is ordered to start and lists it as running.
+type fakeEndpoint struct {
 	Endpoints
 	mu      sync.Mutex
 	started map[string]int
 }
 
-func (e *obedientEndpoint) Start(_ context.Context, _ platform.EndpointRef, o platform.StartOrder) (platform.EndpointAnswer, error) {
+func (e *fakeEndpoint) Start(_ context.Context, _ platform.EndpointRef, o platform.StartOrder) (platform.EndpointAnswer, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.started[o.Task] = o.Run
 	return platform.EndpointAnswer{Clock: time.Second}, nil
 }
 
-func (e *obedientEndpoint) Renew(context.Context, platform.EndpointRef, platform.Renewal) (platform.Look, error) {
+func (e *fakeEndpoint) Renew(context.Context, platform.EndpointRef, platform.Renewal) (platform.Look, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	look := platform.Look{EndpointAnswer: platform.EndpointAnswer{Clock: time.Second}}
@@ -101,20 +101,20 @@
 	return look, nil
 }
 
-func (e *obedientEndpoint) count() int {
+func (e *fakeEndpoint) count() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return len(e.started)
 }
 
-// startRunner lets a runner own a pool with one endpoint, until ctx ends.
+// startRunner runs a pool with one endpoint until ctx ends.
 func startRunner(ctx context.Context, g *WithT, journal *memoryJournal, endpoints Endpoints, limits executor.Limits) (r *Runner, ended chan struct{}) {
-	return startOn(ctx, g, journal, endpoints, limits,
+	return startRunnerWith(ctx, g, journal, endpoints, limits,
 		executor.EndpointInfo{ID: "i-1", Addr: "i-1", Capacity: executor.Room{CPUMilli: 4000, MemoryMB: 4000}})
 }
 
-// startOn lets a runner own a pool with the endpoints that are listed.
-func startOn(ctx context.Context, g *WithT, journal tenure.Journal, endpoints Endpoints, limits executor.Limits, listed ...executor.EndpointInfo) (r *Runner, ended chan struct{}) {
+// startRunnerWith runs a pool with the given endpoints until ctx ends.
+func startRunnerWith(ctx context.Context, g *WithT, journal tenure.Journal, endpoints Endpoints, limits executor.Limits, listed ...executor.EndpointInfo) (r *Runner, ended chan struct{}) {
 	m := NewManager(Options{Node: "n-1", Member: "n-1", Store: tenure.Store{Journal: journal, Attempts: attempts.NewPolicy()}, Endpoints: endpoints, Limits: limits,
 		Logger: slog.New(slog.NewTextHandler(io.Discard, nil)), OnPeers: func(map[string]string) {}})
 	r = newRunner(m, "pool")
@@ -128,14 +128,14 @@
 	return r, ended
 }
 
-// A caller's job is accepted and none of its tasks ever begins. The owner is
-// suspended just as the store confirms the tasks' starts: on waking, its proof
-// of the epoch is too old to send them, and by the time that it has a new one
-// the starts are forgotten, as an order that never left is not repeated either.
-func TestStartsOfAnOldProofAreSentOnceItIsRenewed(t *testing.T) {
+// Guards against an accepted job whose tasks never start. The owner is suspended just as the
+// store confirms the tasks' starts. When it resumes, its proof of the epoch is too old to
+// send them. If it dropped them, they would never be sent, because an order that was never
+// sent is not repeated either.
+func TestStartsWithAnOldProofAreSentOnceItIsRenewed(t *testing.T) {
 	g := NewWithT(t)
 	journal := &memoryJournal{}
-	endpoint := &obedientEndpoint{started: map[string]int{}}
+	endpoint := &fakeEndpoint{started: map[string]int{}}
 	limits := executor.Limits{Lease: 3 * time.Second, ProofAge: 200 * time.Millisecond, KeepEnded: time.Minute, StopTimeout: time.Second}
 	ctx, cancel := context.WithCancel(context.Background())
 	r, ended := startRunner(ctx, g, journal, endpoint, limits)
@@ -148,20 +148,20 @@
 	job := jobs.Job{ID: "00000000000000aa", Steps: []jobs.Step{{Count: 2, CPUMilli: 500, MemoryMB: 10, EstimateMs: 100}}}
 	under := executor.Accepting{Queue: "q", Terms: routing.Terms{Attempts: 3, Stretch: 2, Slack: 5 * time.Second}}
 	g.Eventually(func() Outcome { return r.submit(ctx, job, under).Outcome }, 10*time.Second).Should(Equal(OutcomeDone))
-	// Until the starts are durable under an old proof.
+	// Wait until the starts are durable under an old proof.
 	g.Eventually(func() int { return journal.count("p" + job.ID) }, 10*time.Second).Should(BeNumerically(">", 0))
 	time.Sleep(2 * limits.ProofAge) // the answer to that append
 	journal.setDelay(0)
 	g.Eventually(endpoint.count, 10*time.Second).Should(Equal(2))
 }
 
-// A node is restarted in order while a batch of its pool is on its way to the
-// store. The caller of that batch is answered, and the successor finds how long
-// the leases may last, so that it need not wait for longer.
-func TestAPoolIsHandedOverBehindTheBatchOnItsWay(t *testing.T) {
+// A node is restarted in an orderly way while a batch of its pool is in flight to the store.
+// The caller of that batch is answered, and the successor finds how long the leases may
+// last, so that it need not wait for longer.
+func TestAPoolIsHandedOverAfterTheBatchInFlight(t *testing.T) {
 	g := NewWithT(t)
 	journal := &memoryJournal{}
-	endpoint := &obedientEndpoint{started: map[string]int{}}
+	endpoint := &fakeEndpoint{started: map[string]int{}}
 	limits := executor.Limits{Lease: 3 * time.Second, ProofAge: 4 * time.Second, KeepEnded: time.Minute, StopTimeout: time.Second}
 	ctx, cancel := context.WithCancel(context.Background())
 	r, ended := startRunner(ctx, g, journal, endpoint, limits)
@@ -180,57 +180,57 @@
 	g.Expect(endpoint.count()).To(Equal(started))
 }
 
-// heldJournal keeps each append until it is let through.
-type heldJournal struct {
+// blockingJournal blocks each append until the test lets it continue.
+type blockingJournal struct {
 	memoryJournal
-	held chan chan struct{}
+	blocked chan chan struct{}
 }
 
-func (j *heldJournal) Append(ctx context.Context, topic string, at int64, w platform.Writer, records []platform.Record) (int64, error) {
+func (j *blockingJournal) Append(ctx context.Context, topic string, at int64, w platform.Writer, records []platform.Record) (int64, error) {
 	if len(records) > 0 && w.Name != "" {
-		through := make(chan struct{})
-		j.held <- through
-		<-through
+		proceed := make(chan struct{})
+		j.blocked <- proceed
+		<-proceed
 	}
 	return j.memoryJournal.Append(ctx, topic, at, w, records)
 }
 
-// A job of two steps is late by a second while the store takes 300 ms for an
-// answer: each batch waits for the one before to be answered, and then for its own
-// answer. The next one goes out meanwhile; what it allows still waits for both.
-func TestBatchesGoSideBySideWhileTheStoreIsSlow(t *testing.T) {
+// Guards against a job of two steps that is late by a second while the store takes 300 ms to
+// answer, because each batch waits for the answer of the one before and then for its own.
+// The next batch is sent meanwhile; its effects still wait for both answers.
+func TestSeveralBatchesAreInFlightWhileTheStoreIsSlow(t *testing.T) {
 	g := NewWithT(t)
-	journal := &heldJournal{held: make(chan chan struct{}, 16)}
+	journal := &blockingJournal{blocked: make(chan chan struct{}, 16)}
 	limits := executor.Limits{Lease: 3 * time.Second, ProofAge: 20 * time.Second, KeepEnded: time.Minute, StopTimeout: time.Second}
 	ctx, cancel := context.WithCancel(context.Background())
-	r, ended := startOn(ctx, g, journal, &obedientEndpoint{started: map[string]int{}}, limits)
+	r, ended := startRunnerWith(ctx, g, journal, &fakeEndpoint{started: map[string]int{}}, limits)
 	answers := make(chan string, 2)
-	handIn := func(id string) chan struct{} {
+	submit := func(id string) chan struct{} {
 		go func() {
 			job := jobs.Job{ID: id, Steps: []jobs.Step{{Count: 1, CPUMilli: 500, EstimateMs: 100}}}
 			r.submit(context.Background(), job, executor.Accepting{Queue: "q", Terms: routing.Terms{Attempts: 3, Stretch: 2, Slack: 5 * time.Second}})
 			answers <- id
 		}()
-		var through chan struct{}
-		g.Eventually(journal.held, 10*time.Second).Should(Receive(&through))
-		return through
+		var proceed chan struct{}
+		g.Eventually(journal.blocked, 10*time.Second).Should(Receive(&proceed))
+		return proceed
 	}
-	for range 8 { // as the store has answered lately
+	for range 8 { // recent answers of a slow store
 		r.store.Attempts.Answered(0, 300*time.Millisecond, true)
 	}
-	first := handIn("00000000000000b1")
-	second := handIn("00000000000000b2")
+	first := submit("00000000000000b1")
+	second := submit("00000000000000b2")
 	close(second)
 	g.Consistently(answers, 200*time.Millisecond).ShouldNot(Receive())
 	close(first)
 	g.Eventually(answers, 10*time.Second).Should(Receive())
 	g.Eventually(answers, 10*time.Second).Should(Receive())
 	cancel()
-	go func() { // the record of the hand-over
-		for through := range journal.held {
-			close(through)
+	go func() { // lets the handover record through
+		for proceed := range journal.blocked {
+			close(proceed)
 		}
 	}()
 	<-ended
-	close(journal.held)
+	close(journal.blocked)
 }
--- a/internal/shards/status.go
+++ b/internal/shards/status.go
@@ -20,28 +20,28 @@
 	Epoch int64  `json:"epoch,omitempty"`
 }
 
-// Status is what this node knows of all duties.
+// Status is what this node knows about all duties.
 type Status struct {
 	Duties []DutyStatus `json:"duties"`
-	// MembersAgeMs is how old the reading of the members is.
+	// MembersAgeMs is the age of the last reading of the members.
 	MembersAgeMs int64 `json:"members_age_ms"`
 }
 
-// fleetName stands for the duty over instances where people read.
-const fleetName = "instances"
+// fleetDisplayName is the name shown to operators for the duty that manages instances.
+const fleetDisplayName = "instances"
 
-// Status returns who has which duty.
+// Status returns the owner of each duty.
 func (m *Manager) Status() Status {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	s := Status{MembersAgeMs: (planlease.Boottime() - m.membersAt).Milliseconds()}
+	s := Status{MembersAgeMs: (planlease.Boottime() - m.membersReadAt).Milliseconds()}
 	for name, owner := range m.owners {
 		d := DutyStatus{Duty: name, Owner: owner.Node, Addr: owner.Addr}
 		if name == fleetDuty {
-			d.Duty = fleetName
+			d.Duty = fleetDisplayName
 		}
-		if h := m.running[name]; h != nil {
-			d.Here, d.Ready, d.Epoch = true, h.ready || name == fleetDuty && h.epoch > 0, h.epoch
+		if running := m.running[name]; running != nil {
+			d.Here, d.Ready, d.Epoch = true, running.ready || name == fleetDuty && running.epoch > 0, running.epoch
 		}
 		s.Duties = append(s.Duties, d)
 	}
@@ -55,18 +55,18 @@
 // Dump returns the state of the pools that this node owns.
 func (m *Manager) Dump() []executor.PoolDump {
 	m.mu.Lock()
-	runners := m.readyLocked()
+	runners := m.readyRunnersLocked()
 	m.mu.Unlock()
 	ctx, cancel := context.WithTimeout(context.Background(), dumpTimeout)
 	defer cancel()
 	var out []executor.PoolDump
 	for _, r := range runners {
-		got := make(chan executor.PoolDump, 1)
-		if !r.post(func(now time.Duration) { got <- r.core.Dump(now) }) {
+		dumps := make(chan executor.PoolDump, 1)
+		if !r.post(func(now time.Duration) { dumps <- r.core.Dump(now) }) {
 			continue
 		}
 		select {
-		case d := <-got:
+		case d := <-dumps:
 			out = append(out, d)
 		case <-ctx.Done():
 			return out
