--- a/internal/shards/holders.go
+++ b/internal/shards/holders.go
@@ -31,8 +31,8 @@
 	name string
 }
 
-// Known implements tenure.Claims.
-func (d Duty) Known() int64 {
+// NewestSeenEpoch implements tenure.Claims.
+func (d Duty) NewestSeenEpoch() int64 {
 	d.m.mu.Lock()
 	defer d.m.mu.Unlock()
 	return d.m.holders[d.name].Epoch
--- a/internal/tenure/tenure.go
+++ b/internal/tenure/tenure.go
@@ -94,8 +94,8 @@
 
 // Claims are the claims of a topic that the claimant has seen.
 type Claims interface {
-	// Known returns the epoch of the newest claim seen, 0 for none.
-	Known() int64
+	// NewestSeenEpoch returns the epoch of the newest claim seen, 0 for none.
+	NewestSeenEpoch() int64
 	// Learn records a newer claim, which may be the claimant's own, and reports whether the
 	// topic is assigned to the claimant, given that claim.
 	Learn(owner string, epoch int64) bool
@@ -140,7 +140,7 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	if lastEpoch > claims.Known() && holder != claimant && !claims.Learn(holder, lastEpoch) {
+	if lastEpoch > claims.NewestSeenEpoch() && holder != claimant && !claims.Learn(holder, lastEpoch) {
 		return nil, nil, &HeldError{Topic: topic, Owner: holder, Epoch: lastEpoch}
 	}
 	t := &Tenure{store: store, topic: topic, log: log, Epoch: lastEpoch + 1}
--- a/internal/tenure/tenure_test.go
+++ b/internal/tenure/tenure_test.go
@@ -88,7 +88,7 @@
 	observed []string
 }
 
-func (k *fakeClaims) Known() int64 { return k.epoch }
+func (k *fakeClaims) NewestSeenEpoch() int64 { return k.epoch }
 
 func (k *fakeClaims) Learn(owner string, epoch int64) bool {
 	k.observed = append(k.observed, owner)
@@ -131,7 +131,7 @@
 	g.Expect(err).To(HaveOccurred())
 	g.Expect(store.records).NotTo(BeEmpty(), "the claim's record is stored")
 	g.Expect(claims.observed).To(Equal([]string{"a"}))
-	g.Expect(claims.Known()).To(Equal(int64(1)))
+	g.Expect(claims.NewestSeenEpoch()).To(Equal(int64(1)))
 }
 
 var discardLog = slog.New(slog.NewTextHandler(io.Discard, nil))
