--- a/internal/shards/holders.go
+++ b/internal/shards/holders.go
@@ -38,13 +38,13 @@
 	return d.m.holders[d.name].Epoch
 }
 
-// Learn implements tenure.Claims: it distributes the duties again with the claim that this
+// ObserveClaim implements tenure.Claims: it distributes the duties again with the claim that this
 // process has not seen before.
 //
 // A claim that was abandoned half-way is not published by its claimant, so a process that
 // finds its record publishes it: a node that does not claim the duty itself would keep an
 // earlier holder as the owner, while that holder leaves the duty to the claimant.
-func (d Duty) Learn(owner string, epoch int64) bool {
+func (d Duty) ObserveClaim(owner string, epoch int64) bool {
 	claim := holder{Member: owner, Epoch: epoch}
 	d.m.mergeHolders(map[string]holder{d.name: claim})
 	if owner != d.m.opts.Member {
--- a/internal/tenure/tenure.go
+++ b/internal/tenure/tenure.go
@@ -96,9 +96,9 @@
 type Claims interface {
 	// NewestSeenEpoch returns the epoch of the newest claim seen, 0 for none.
 	NewestSeenEpoch() int64
-	// Learn records a newer claim, which may be the claimant's own, and reports whether the
+	// ObserveClaim records a newer claim, which may be the claimant's own, and reports whether the
 	// topic is assigned to the claimant, given that claim.
-	Learn(owner string, epoch int64) bool
+	ObserveClaim(owner string, epoch int64) bool
 }
 
 // HeldError reports that a topic was left to another owner, whose claim is newer than those
@@ -140,7 +140,7 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	if lastEpoch > claims.NewestSeenEpoch() && holder != claimant && !claims.Learn(holder, lastEpoch) {
+	if lastEpoch > claims.NewestSeenEpoch() && holder != claimant && !claims.ObserveClaim(holder, lastEpoch) {
 		return nil, nil, &HeldError{Topic: topic, Owner: holder, Epoch: lastEpoch}
 	}
 	t := &Tenure{store: store, topic: topic, log: log, Epoch: lastEpoch + 1}
@@ -149,7 +149,7 @@
 		// The record is stored, or may still be, even if this claim is abandoned. Others that
 		// find it leave the topic to the claimant, so the claimant has to record it too;
 		// otherwise all of them leave the topic to each other.
-		claims.Learn(claimant, t.Epoch)
+		claims.ObserveClaim(claimant, t.Epoch)
 	}
 	if err != nil {
 		return nil, nil, err
--- a/internal/tenure/tenure_test.go
+++ b/internal/tenure/tenure_test.go
@@ -90,7 +90,7 @@
 
 func (k *fakeClaims) NewestSeenEpoch() int64 { return k.epoch }
 
-func (k *fakeClaims) Learn(owner string, epoch int64) bool {
+func (k *fakeClaims) ObserveClaim(owner string, epoch int64) bool {
 	k.observed = append(k.observed, owner)
 	k.epoch = epoch
 	return k.assigned
