--- a/internal/shards/holders.go
+++ b/internal/shards/holders.go
@@ -56,8 +56,8 @@
 	return ok && next.Node == d.m.opts.Node
 }
 
-// Claimed records that this process has claimed the duty, and publishes the claim.
-func (d Duty) Claimed(ctx context.Context, epoch int64) {
+// RecordClaim records that this process has claimed the duty, and publishes the claim.
+func (d Duty) RecordClaim(ctx context.Context, epoch int64) {
 	claim := holder{Member: d.m.opts.Member, Epoch: epoch}
 	d.m.mergeHolders(map[string]holder{d.name: claim})
 	d.m.mu.Lock()
--- a/internal/shards/manager.go
+++ b/internal/shards/manager.go
@@ -255,7 +255,7 @@
 	if ctx.Err() != nil {
 		return
 	}
-	Duty{m, name}.Claimed(ctx, r.epoch)
+	Duty{m, name}.RecordClaim(ctx, r.epoch)
 	fleet := m.fleetRecords(ctx, r.pool)
 	leaving, ended := fleetops.OperationsOf(fleet, r.pool)
 	grants, err := fleetops.SharesOf(fleet, r.pool)
