--- a/internal/host/host.go
+++ b/internal/host/host.go
@@ -269,7 +269,7 @@
 		AskMembers: func(ctx context.Context, node string) (shards.MembersResult, error) {
 			return shards.AskMembers(ctx, n.peers, node)
 		},
-		SayLeft: func(ctx context.Context, node string) { shards.SayLeft(ctx, n.peers, node, member) },
+		SayLeft: func(ctx context.Context, node string) { shards.NotifyLeaving(ctx, n.peers, node, member) },
 		OnPeers: n.takePeers,
 	})
 	calls.Manager, calls.Peers = n.manager, n.peers
--- a/internal/shards/calls.go
+++ b/internal/shards/calls.go
@@ -126,8 +126,8 @@
 // LeftResult acknowledges a LeftCall.
 type LeftResult struct{}
 
-// SayLeft notifies a peer that a member leaves the group.
-func SayLeft(ctx context.Context, peers *peer.Node, node, member string) {
+// NotifyLeaving notifies a peer that a member leaves the group.
+func NotifyLeaving(ctx context.Context, peers *peer.Node, node, member string) {
 	// A peer that misses the notification finds out at its next join.
 	_, _ = peer.Call[LeftCall, LeftResult](ctx, peers, node, kindLeft, LeftCall{Member: member})
 }
