--- a/internal/host/host.go
+++ b/internal/host/host.go
@@ -269,8 +269,8 @@
 		AskMembers: func(ctx context.Context, node string) (shards.MembersResult, error) {
 			return shards.AskMembers(ctx, n.peers, node)
 		},
-		SayLeft: func(ctx context.Context, node string) { shards.NotifyLeaving(ctx, n.peers, node, member) },
-		OnPeers: n.takePeers,
+		NotifyLeaving: func(ctx context.Context, node string) { shards.NotifyLeaving(ctx, n.peers, node, member) },
+		OnPeers:       n.takePeers,
 	})
 	calls.Manager, calls.Peers = n.manager, n.peers
 	n.manager.Register(n.peers)
--- a/internal/shards/manager.go
+++ b/internal/shards/manager.go
@@ -73,8 +73,8 @@
 	Fleet func(ctx context.Context, duty Duty)
 	// AskMembers asks a peer for its last reading of the members.
 	AskMembers func(ctx context.Context, node string) (MembersResult, error)
-	// SayLeft notifies a peer that this member leaves; the notification may get lost.
-	SayLeft func(ctx context.Context, node string)
+	// NotifyLeaving notifies a peer that this member leaves; the notification may get lost.
+	NotifyLeaving func(ctx context.Context, node string)
 	// OnPeers receives the addresses of all members by node.
 	OnPeers func(map[string]string)
 }
--- a/internal/shards/members.go
+++ b/internal/shards/members.go
@@ -70,7 +70,7 @@
 	var wg sync.WaitGroup
 	for node := range peers {
 		if node != m.opts.Node {
-			wg.Go(func() { m.opts.SayLeft(ctx, node) })
+			wg.Go(func() { m.opts.NotifyLeaving(ctx, node) })
 		}
 	}
 	wg.Wait()
--- a/internal/shards/owner_recovery_test.go
+++ b/internal/shards/owner_recovery_test.go
@@ -60,7 +60,7 @@
 			}
 			return MembersResult{}, unreachableError{}
 		},
-		SayLeft: func(_ context.Context, peer string) {
+		NotifyLeaving: func(_ context.Context, peer string) {
 			if m := c.manager(peer); m != nil {
 				m.markDeparted(member)
 			}
