--- a/internal/ingress/ingress.go
+++ b/internal/ingress/ingress.go
@@ -76,7 +76,7 @@
 		return platform.Answer{Status: http.StatusOK}
 	case shards.OutcomeRefused:
 		return platform.Answer{Status: http.StatusTooManyRequests, RetryAfter: retry, Problem: "not-accepted", Detail: r.Reason}
-	case shards.OutcomeAbsent:
+	case shards.OutcomeNotFound:
 		return platform.Answer{Status: http.StatusGone, Problem: "no-such-job"}
 	case shards.OutcomeUnavailable:
 		return platform.Answer{Status: http.StatusServiceUnavailable, RetryAfter: max(retry, time.Second), Problem: "unavailable", Detail: r.Reason}
--- a/internal/shards/call_attempts_test.go
+++ b/internal/shards/call_attempts_test.go
@@ -38,7 +38,7 @@
 	g.Expect(changing.shouldRetry(0)).To(BeTrue())
 	g.Expect(changing.shouldRetry(ownerChangeWait + time.Millisecond)).To(BeFalse())
 	g.Expect(unavailable.shouldRetry(0)).To(BeFalse())
-	for _, final := range []Outcome{OutcomeDone, OutcomeRefused, OutcomeAbsent} {
+	for _, final := range []Outcome{OutcomeDone, OutcomeRefused, OutcomeNotFound} {
 		done := callAttempts{last: Result{Outcome: final}}
 		g.Expect(done.shouldRetry(0)).To(BeFalse(), final.String())
 	}
--- a/internal/shards/runner_calls.go
+++ b/internal/shards/runner_calls.go
@@ -21,8 +21,8 @@
 	OutcomeUnavailable
 	// OutcomeUnknown: the call may have had an effect.
 	OutcomeUnknown
-	// OutcomeAbsent: there is no such job.
-	OutcomeAbsent
+	// OutcomeNotFound: there is no such job.
+	OutcomeNotFound
 )
 
 var outcomeNames = [...]string{"done", "refused", "unavailable", "unknown", "absent"}
@@ -112,11 +112,11 @@
 func (r *Runner) cancelJob(ctx context.Context, id string, caller executor.Caller) Result {
 	return r.request(ctx, func(now time.Duration, token uint64) (Result, bool) {
 		if !r.core.Shows(id, caller) {
-			return Result{Outcome: OutcomeAbsent}, true
+			return Result{Outcome: OutcomeNotFound}, true
 		}
 		found, durable := r.core.Cancel(now, id, token)
 		if !found {
-			return Result{Outcome: OutcomeAbsent}, true
+			return Result{Outcome: OutcomeNotFound}, true
 		}
 		return Result{Outcome: OutcomeDone}, durable
 	})
@@ -129,7 +129,7 @@
 		}
 		state, found := r.core.State(id)
 		if !found || !r.core.Shows(id, caller) {
-			return Result{Outcome: OutcomeAbsent}, true
+			return Result{Outcome: OutcomeNotFound}, true
 		}
 		return Result{Outcome: OutcomeDone, State: state}, true
 	})
