--- a/internal/ingress/ingress.go
+++ b/internal/ingress/ingress.go
@@ -34,7 +34,7 @@
 // Submit hands a job in.
 func (i *Ingress) Submit(ctx context.Context, q *routing.Queue, account string, job jobs.Job) platform.Answer {
 	result := i.calls.Submit(ctx, shards.SubmitCall{Pool: q.Service, Job: job,
-		Under: executor.Accepting{Queue: q.Name, Terms: q.Terms, Account: account}})
+		Acceptance: executor.Accepting{Queue: q.Name, Terms: q.Terms, Account: account}})
 	return answerOf(result)
 }
 
--- a/internal/shards/calls.go
+++ b/internal/shards/calls.go
@@ -43,9 +43,9 @@
 
 // SubmitCall submits a job to its pool's owner.
 type SubmitCall struct {
-	Pool  string             `cbor:"1,keyasint"`
-	Job   jobs.Job           `cbor:"2,keyasint"`
-	Under executor.Accepting `cbor:"3,keyasint"`
+	Pool       string             `cbor:"1,keyasint"`
+	Job        jobs.Job           `cbor:"2,keyasint"`
+	Acceptance executor.Accepting `cbor:"3,keyasint"`
 }
 
 // JobCall identifies a job of a pool.
@@ -180,7 +180,7 @@
 }
 
 func (m *Manager) localSubmit(ctx context.Context, in SubmitCall) Result {
-	return m.localCall(in.Pool, func(r *Runner) Result { return r.submit(ctx, in.Job, in.Under) })
+	return m.localCall(in.Pool, func(r *Runner) Result { return r.submit(ctx, in.Job, in.Acceptance) })
 }
 
 func (m *Manager) localCancel(ctx context.Context, in JobCall) Result {
