--- a/internal/shards/calls.go
+++ b/internal/shards/calls.go
@@ -106,8 +106,8 @@
 // MembersResult is the peer's last reading of the group: the member that holds each
 // partition.
 type MembersResult struct {
-	Rows  map[int]string `cbor:"1,keyasint,omitempty"`
-	AgeMs int64          `cbor:"2,keyasint"`
+	PartitionMembers map[int]string `cbor:"1,keyasint,omitempty"`
+	AgeMs            int64          `cbor:"2,keyasint"`
 	// Holders are the members that claimed each duty last.
 	Holders map[string]holder `cbor:"3,keyasint,omitempty"`
 }
--- a/internal/shards/members.go
+++ b/internal/shards/members.go
@@ -145,12 +145,12 @@
 	ctx, cancel := context.WithTimeout(ctx, askPeerTimeout)
 	defer cancel()
 	got, err := m.opts.AskMembers(ctx, node)
-	if err != nil || time.Duration(got.AgeMs)*time.Millisecond > maxPeerReadingAge || len(got.Rows) == 0 {
+	if err != nil || time.Duration(got.AgeMs)*time.Millisecond > maxPeerReadingAge || len(got.PartitionMembers) == 0 {
 		return nil, false
 	}
-	m.opts.Logger.Info("members learnt from a peer", "peer", node, "age_ms", got.AgeMs, "members", len(got.Rows))
+	m.opts.Logger.Info("members learnt from a peer", "peer", node, "age_ms", got.AgeMs, "members", len(got.PartitionMembers))
 	m.mergeHolders(got.Holders)
-	return got.Rows, true
+	return got.PartitionMembers, true
 }
 
 // membersResult answers a peer that can't read the store.
@@ -160,7 +160,7 @@
 	if m.partitionMembersReadAt == 0 {
 		return MembersResult{AgeMs: math.MaxInt32}
 	}
-	return MembersResult{Rows: m.partitionMembers, Holders: maps.Clone(m.holders), AgeMs: (planlease.Boottime() - m.partitionMembersReadAt).Milliseconds()}
+	return MembersResult{PartitionMembers: m.partitionMembers, Holders: maps.Clone(m.holders), AgeMs: (planlease.Boottime() - m.partitionMembersReadAt).Milliseconds()}
 }
 
 func parseMembers(partitionMembers map[int]string) (members []member, peers map[string]string) {
