--- a/internal/membership/state.go
+++ b/internal/membership/state.go
@@ -126,8 +126,8 @@
 	return out
 }
 
-// Is reports whether the process is a member under that boot id.
-func (s *State) Is(id, bootID string) bool {
+// IsMember reports whether the process is a member under that boot id.
+func (s *State) IsMember(id, bootID string) bool {
 	m, ok := s.Members[id]
 	return ok && m.BootID == bootID
 }
--- a/internal/node/status.go
+++ b/internal/node/status.go
@@ -90,7 +90,7 @@
 
 // Joined reports whether the fold has this boot as a member; loop-only.
 func (n *Node) Joined() bool {
-	return n.State().Members.Is(n.opts.Self.ID, n.opts.Self.BootID)
+	return n.State().Members.IsMember(n.opts.Self.ID, n.opts.Self.BootID)
 }
 
 // CutOff reports whether neither log nor any peer has been heard lately;
