--- a/internal/shards/append.go
+++ b/internal/shards/append.go
@@ -8,7 +8,7 @@
 	"cyclamenwheel/internal/fleetops"
 )
 
-// Pipelined appends. Load: the store is slow for some seconds.
+// Several batches may be in flight. Load: the store is slow for some seconds.
 // With a single batch in flight, decisions made meanwhile wait for that batch and then for
 // their own, at each step of a job; that is most of a job's overhead. With several batches
 // in flight while the store is slow, each waits for its own answer only. When the store
--- a/internal/shards/contested_claims_test.go
+++ b/internal/shards/contested_claims_test.go
@@ -31,10 +31,10 @@
 
 // newTestStore returns a stand-in's store that is closed when the test ends.
 func newTestStore(t *testing.T, g *WithT) (*platform.Client, tenure.Store) {
-	stand, err := wire.New(map[string]int{"tabs": 1}, 1)
+	server, err := wire.New(map[string]int{"tabs": 1}, 1)
 	g.Expect(err).NotTo(HaveOccurred())
-	t.Cleanup(stand.Close)
-	client := platform.NewClient(stand.Addr(), stand.Addr(), "")
+	t.Cleanup(server.Close)
+	client := platform.NewClient(server.Addr(), server.Addr(), "")
 	return client, tenure.Store{Journal: client, Attempts: attempts.NewPolicy()}
 }
 
--- a/internal/shards/holders.go
+++ b/internal/shards/holders.go
@@ -25,7 +25,8 @@
 	Epoch  int64  `cbor:"2,keyasint"`
 }
 
-// Duty is a duty that this process is about to claim. It implements tenure.Claims.
+// Duty is a duty that this process is about to claim: the ownership of one pool, or the
+// management of instances. It implements tenure.Claims.
 type Duty struct {
 	m    *Manager
 	name string
@@ -38,8 +39,8 @@
 	return d.m.holders[d.name].Epoch
 }
 
-// ObserveClaim implements tenure.Claims: it distributes the duties again with the claim that this
-// process has not seen before.
+// ObserveClaim implements tenure.Claims: it distributes the duties again with a claim that
+// this process has not seen before.
 //
 // A claim that was abandoned half-way is not published by its claimant, so a process that
 // finds its record publishes it: a node that does not claim the duty itself would keep an
--- a/internal/shards/members_test.go
+++ b/internal/shards/members_test.go
@@ -192,7 +192,7 @@
 		byAge += countOwnerChanges(set, true)
 	}
 	duties := float64(sets * (len(pools) + 1))
-	t.Logf("changes of owner a duty: %.2f by rank alone, %.2f", float64(byRank)/duties, float64(byAge)/duties)
+	t.Logf("owner changes per duty: %.2f by rank alone, %.2f with start times", float64(byRank)/duties, float64(byAge)/duties)
 	g.Expect(byAge).To(BeNumerically("<", byRank))
 }
 
--- a/internal/shards/status.go
+++ b/internal/shards/status.go
@@ -61,12 +61,12 @@
 	defer cancel()
 	var out []executor.PoolDump
 	for _, r := range runners {
-		dumps := make(chan executor.PoolDump, 1)
-		if !r.post(func(now time.Duration) { dumps <- r.core.Dump(now) }) {
+		reply := make(chan executor.PoolDump, 1)
+		if !r.post(func(now time.Duration) { reply <- r.core.Dump(now) }) {
 			continue
 		}
 		select {
-		case d := <-dumps:
+		case d := <-reply:
 			out = append(out, d)
 		case <-ctx.Done():
 			return out
--- a/internal/tenure/tenure_test.go
+++ b/internal/tenure/tenure_test.go
@@ -99,7 +99,7 @@
 // Guards against a pool that changes owners for as long as two nodes run that are both
 // assigned to it. A claimant that had not seen the newest claim leaves the topic to its
 // owner, unless that owner has gone; one that had seen it takes over.
-func TestAClaimantLearnsOfTheNewestClaim(t *testing.T) {
+func TestAClaimantObservesTheNewestClaim(t *testing.T) {
 	g := NewWithT(t)
 	store := Store{Journal: &lossyStore{rng: rand.New(rand.NewPCG(1, 1))}, Attempts: attempts.NewPolicy()}
 	claim := func(owner string, claims Claims) error {
@@ -121,7 +121,7 @@
 // is abandoned between its record and its end, because the duty moves. The others find the
 // record and leave the pool to the claimant, which leaves it to them. A claimant that may
 // have left a record therefore records its own claim.
-func TestAClaimThatIsGivenUpIsKnownToTheClaimant(t *testing.T) {
+func TestAnAbandonedClaimIsObservedByItsClaimant(t *testing.T) {
 	g := NewWithT(t)
 	store := &lossyStore{rng: rand.New(rand.NewPCG(1, 1)), loss: 1}
 	ctx, cancel := context.WithTimeout(context.Background(), 200*time.Millisecond)
@@ -151,7 +151,7 @@
 // carries the claim out and loses the answer; if the claimant started over, it would find its
 // own record with a newer epoch than it has seen, and would need two answers in a row for the
 // next epoch.
-func TestAClaimGoesOnFromItsOwnRecord(t *testing.T) {
+func TestAClaimContinuesFromItsOwnRecord(t *testing.T) {
 	for _, loss := range []float64{0, 0.3, 0.5} {
 		g := NewWithT(t)
 		const claims = 200
@@ -162,7 +162,7 @@
 		}
 		wg.Wait()
 		slices.Sort(durations)
-		t.Logf("lost %.1f: median %v, 95th percentile %v, most %v", loss, durations[claims/2], durations[claims*95/100], durations[claims-1])
+		t.Logf("loss %.1f: median %v, 95th percentile %v, max %v", loss, durations[claims/2], durations[claims*95/100], durations[claims-1])
 	}
 }
 
