--- a/internal/ingress/ingress.go
+++ b/internal/ingress/ingress.go
@@ -34,7 +34,7 @@
 // Submit hands a job in.
 func (i *Ingress) Submit(ctx context.Context, q *routing.Queue, account string, job jobs.Job) platform.Answer {
 	result := i.calls.Submit(ctx, shards.SubmitCall{Pool: q.Service, Job: job,
-		Under: executor.Accepting{Queue: q.Name, Terms: q.Terms, Account: account}})
+		Acceptance: executor.Accepting{Queue: q.Name, Terms: q.Terms, Account: account}})
 	return answerOf(result)
 }
 
@@ -76,7 +76,7 @@
 		return platform.Answer{Status: http.StatusOK}
 	case shards.OutcomeRefused:
 		return platform.Answer{Status: http.StatusTooManyRequests, RetryAfter: retry, Problem: "not-accepted", Detail: r.Reason}
-	case shards.OutcomeAbsent:
+	case shards.OutcomeNotFound:
 		return platform.Answer{Status: http.StatusGone, Problem: "no-such-job"}
 	case shards.OutcomeUnavailable:
 		return platform.Answer{Status: http.StatusServiceUnavailable, RetryAfter: max(retry, time.Second), Problem: "unavailable", Detail: r.Reason}
