--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -1,83 +1,84 @@
-// Package admission decides which requests wait, which one runs next and which
-// are refused, once every slot of a pool is taken. It is pure: time is passed
-// in and its randomness is seeded.
+// Package admission decides, when every slot of a pool is taken, which requests wait,
+// which one runs next and which are refused. Its input is requests with deadlines,
+// observed service times and the number of slots; time is passed in and the randomness is
+// seeded, so decisions are reproducible. The dispatcher calls it for each pool, and the
+// load model of internal/measure/load for its simulations.
 //
-// A queue is owned by one lock or goroutine; it does no locking of its own.
+// A queue does no locking: its owner serializes the calls.
 package admission
 
 import "time"
 
-// Request is what the decision needs to know of a request.
+// Request holds the properties of a request that admission depends on.
 type Request struct {
 	ID uint64
-	// Caller is who sent it; slots are shared fairly among callers.
+	// Caller identifies the sender; slots are shared fairly among callers.
 	Caller string
-	// Kind groups requests with the same usual service time: a service and its
-	// class.
+	// Kind groups requests with similar service times: a service and its class.
 	Kind     string
 	Urgent   bool
 	Arrived  time.Time
 	Deadline time.Time
 }
 
-// Reason tells why a request was refused. Values are stable: they appear in
-// problems and metrics.
+// Reason says why a request was refused. Values are stable: they appear in problem
+// documents and metrics.
 type Reason string
 
-// Reasons of refusals.
+// Reasons for a refusal.
 const (
-	// ReasonFull: it came when the queue had reached its bound.
+	// ReasonFull means that the queue was full when the request arrived.
 	ReasonFull Reason = "queue_full"
-	// ReasonTooLate: it could not have finished before its deadline.
+	// ReasonTooLate means that the request could not have finished before its deadline.
 	ReasonTooLate Reason = "deadline_out_of_reach"
-	// ReasonDisplaced: a newer request took its place, of a caller that has
-	// fewer waiting or of one more urgent.
+	// ReasonDisplaced means that a newer request took its place, either from a caller with
+	// fewer waiting requests or because it is urgent.
 	ReasonDisplaced Reason = "displaced"
 )
 
-// Refusal is the final word on a request that will not run.
+// Refusal is the final result of a request that will not run.
 type Refusal struct {
 	ID     uint64
 	Reason Reason
-	// RetryAfter is when it is worth trying again.
+	// RetryAfter is how long the caller should wait before it retries.
 	RetryAfter time.Duration
 }
 
 // Queue holds the requests that wait for a slot.
 type Queue interface {
-	// SetSlots tells how many requests may run at a time.
+	// SetSlots sets how many requests may run concurrently.
 	SetSlots(n int)
-	// Offer takes a request for which there is no free slot. What is refused
-	// because of it is returned, which may be the request itself.
+	// Offer queues a request for which there is no free slot. It returns the requests
+	// refused as a result, which may include r itself.
 	Offer(now time.Time, r Request) []Refusal
-	// Next takes the request out that is to run now that a slot is free, and
-	// returns those that were given up on the way.
+	// Next removes and returns the request to run in a free slot, together with the
+	// refusals of those that could no longer meet their deadline.
 	Next(now time.Time) (r Request, ok bool, refused []Refusal)
-	// Expire takes out and returns those that can no longer end in time. It is
-	// called at short intervals, as Next is not while no slot is free.
+	// Expire removes and returns the requests that can no longer meet their deadline. It
+	// is called at short intervals, because Next is not called while no slot is free.
 	Expire(now time.Time) []Refusal
-	// Remove forgets a request whose caller has gone.
+	// Remove drops a request whose caller has disconnected.
 	Remove(id uint64)
-	// Observe learns how long a request of a kind held its slot.
+	// Observe records how long a request of a kind occupied its slot.
 	Observe(kind string, service time.Duration)
-	// Estimate returns the usual service time of a kind; 0 if unknown.
+	// Estimate returns the mean service time of a kind; 0 if unknown.
 	Estimate(kind string) time.Duration
-	// RetryAfter is the advice for a request that is refused now.
+	// RetryAfter returns the delay to advise to a request that is refused now.
 	RetryAfter(now time.Time) time.Duration
-	// Len returns how many requests wait.
+	// Len returns the number of waiting requests.
 	Len() int
-	// Work returns the expected service time of all that waits.
+	// Work returns the expected service time of all waiting requests.
 	Work() time.Duration
 }
 
-// FIFO is the baseline: unbounded, first in first out, blind to deadlines.
+// FIFO is the baseline for comparisons: unbounded, first in first out, ignoring deadlines.
 type FIFO struct {
-	waiting []Request
-	times   estimates
+	waiting      []Request
+	serviceTimes estimates
 }
 
 // NewFIFO returns an empty FIFO.
-func NewFIFO() *FIFO { return &FIFO{times: newEstimates()} }
+func NewFIFO() *FIFO { return &FIFO{serviceTimes: newEstimates()} }
 
 // SetSlots implements Queue.
 func (q *FIFO) SetSlots(int) {}
@@ -112,10 +113,10 @@
 }
 
 // Observe implements Queue.
-func (q *FIFO) Observe(kind string, service time.Duration) { q.times.observe(kind, service) }
+func (q *FIFO) Observe(kind string, service time.Duration) { q.serviceTimes.observe(kind, service) }
 
 // Estimate implements Queue.
-func (q *FIFO) Estimate(kind string) time.Duration { return q.times.of(kind) }
+func (q *FIFO) Estimate(kind string) time.Duration { return q.serviceTimes.meanOf(kind) }
 
 // RetryAfter implements Queue.
 func (q *FIFO) RetryAfter(time.Time) time.Duration { return time.Second }
@@ -124,4 +125,4 @@
 func (q *FIFO) Len() int { return len(q.waiting) }
 
 // Work implements Queue.
-func (q *FIFO) Work() time.Duration { return time.Duration(len(q.waiting)) * q.times.all }
+func (q *FIFO) Work() time.Duration { return time.Duration(len(q.waiting)) * q.serviceTimes.overall }
--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -16,15 +16,14 @@
 
 var start = time.Unix(1000, 0)
 
-// newQueue returns a queue for a pool of two slots in which requests take a
-// tenth of a second.
+// newQueue returns a queue for a pool of two slots and requests of 100 ms.
 func newQueue() *Fair {
 	q := NewFair(1)
 	q.SetSlots(2)
-	for range enoughSamples {
+	for range minSamples {
 		q.Observe("k", 100*time.Millisecond)
 	}
-	q.times.kinds["k"] = spread{samples: enoughSamples, mean: 100 * time.Millisecond}
+	q.serviceTimes.byKind["k"] = timeStats{samples: minSamples, mean: 100 * time.Millisecond}
 	return q
 }
 
@@ -32,19 +31,19 @@
 	return Request{ID: id, Caller: caller, Kind: "k", Arrived: at, Deadline: at.Add(timeout)}
 }
 
-// overload has refusals go on for longer than overloadAfter, and returns the
-// time at which they have.
+// overload has requests refused for longer than overloadAfter and returns the time
+// reached.
 func overload(q *Fair) time.Time {
 	now := start
 	for range 12 {
-		q.press(now)
+		q.noteRefusal(now)
 		now = now.Add(100 * time.Millisecond)
 	}
 	return now
 }
 
-// order takes everything out.
-func order(q *Fair, now time.Time) []uint64 {
+// drainIDs takes all requests out and returns their IDs in order.
+func drainIDs(q *Fair, now time.Time) []uint64 {
 	var out []uint64
 	for {
 		r, ok, _ := q.Next(now)
@@ -61,20 +60,20 @@
 		for id := range uint64(5) {
 			Expect(q.Offer(start, request(id, "a", start, time.Minute))).To(BeEmpty())
 		}
-		Expect(order(q, start)).To(Equal([]uint64{0, 1, 2, 3, 4}))
+		Expect(drainIDs(q, start)).To(Equal([]uint64{0, 1, 2, 3, 4}))
 	})
 
-	It("takes turns between callers", func() {
+	It("alternates between callers", func() {
 		q := newQueue()
 		for id := range uint64(4) {
 			q.Offer(start, request(id, "a", start, time.Minute))
 		}
 		q.Offer(start, request(10, "b", start, time.Minute))
 		q.Offer(start, request(11, "b", start, time.Minute))
-		Expect(order(q, start)).To(Equal([]uint64{0, 10, 1, 11, 2, 3}))
+		Expect(drainIDs(q, start)).To(Equal([]uint64{0, 10, 1, 11, 2, 3}))
 	})
 
-	It("lets urgent requests pass without starving the others", func() {
+	It("serves urgent requests first without starving the others", func() {
 		q := newQueue()
 		q.Offer(start, request(100, "a", start, time.Minute))
 		for id := range uint64(6) {
@@ -82,10 +81,10 @@
 			r.Urgent = true
 			q.Offer(start, r)
 		}
-		Expect(order(q, start)).To(Equal([]uint64{0, 1, 2, 3, 100, 4, 5}))
+		Expect(drainIDs(q, start)).To(Equal([]uint64{0, 1, 2, 3, 100, 4, 5}))
 	})
 
-	It("refuses at once what cannot finish in time", func() {
+	It("refuses on arrival a request that cannot finish in time", func() {
 		q := newQueue()
 		for id := range uint64(6) {
 			Expect(q.Offer(start, request(id, "a", start, time.Second))).To(BeEmpty())
@@ -96,7 +95,7 @@
 		Expect(out[0].Reason).To(Equal(ReasonTooLate))
 	})
 
-	It("gives up what has run out of time in the queue", func() {
+	It("refuses a request that has expired in the queue", func() {
 		q := newQueue()
 		q.Offer(start, request(1, "a", start, time.Second))
 		_, ok, refused := q.Next(start.Add(950 * time.Millisecond))
@@ -104,33 +103,33 @@
 		Expect(refused).To(HaveLen(1))
 	})
 
-	// Service times were ten seconds for a while, far past the deadline. If
-	// the estimate were believed, every request would be refused, none would
-	// run, and the estimate would never recover.
-	It("does not refuse everything for an estimate past the deadline", func() {
+	// Service times were ten seconds for a while, far beyond the deadline. Without a cap
+	// on the estimate every request would be refused, none would run, and the estimate
+	// would never recover.
+	It("does not refuse every request when the estimate exceeds the deadline", func() {
 		q := newQueue()
-		q.times.kinds["k"] = spread{samples: enoughSamples, mean: 10 * time.Second}
+		q.serviceTimes.byKind["k"] = timeStats{samples: minSamples, mean: 10 * time.Second}
 		Expect(q.Offer(start, request(1, "a", start, time.Second))).To(BeEmpty())
 		_, ok, _ := q.Next(start)
 		Expect(ok).To(BeTrue())
 	})
 
-	// Refusals have gone on for more than a second: whoever comes to a full
-	// queue hears of it on arrival, and what waits keeps its place.
+	// After more than a second of refusals, a request that finds the queue full is refused
+	// on arrival, and the waiting ones keep their place.
 	It("refuses on arrival under sustained overload", func() {
 		q := newQueue()
 		now := overload(q)
-		for id := range uint64(overloadMin) {
+		for id := range uint64(minOverloadBound) {
 			Expect(q.Offer(now, request(id, "a", now, time.Second))).To(BeEmpty())
 		}
 		out := q.Offer(now, request(10, "a", now, time.Second))
 		Expect(out).To(HaveLen(1))
 		Expect(out[0].ID).To(Equal(uint64(10)))
 		Expect(out[0].Reason).To(Equal(ReasonFull))
-		Expect(order(q, now)).To(Equal([]uint64{0, 1, 2, 3}))
+		Expect(drainIDs(q, now)).To(Equal([]uint64{0, 1, 2, 3}))
 	})
 
-	It("holds no more under sustained overload than clears within milliseconds", func() {
+	It("bounds the queue under sustained overload to what is served within milliseconds", func() {
 		q := newQueue()
 		q.SetSlots(100)
 		now := overload(q)
@@ -140,7 +139,7 @@
 		Expect(q.Len()).To(Equal(10)) // 100 slots, 100 ms each: 10 in 10 ms
 	})
 
-	It("has a caller with more of the queue yield to another, its newest first", func() {
+	It("displaces the newest request of the caller with the most waiting requests", func() {
 		q := newQueue()
 		now := overload(q)
 		q.Offer(now, request(1, "a", now, time.Second))
@@ -152,35 +151,35 @@
 		Expect(out[0].ID).To(Equal(uint64(2)))
 		Expect(out[0].Reason).To(Equal(ReasonDisplaced))
 		q.Remove(1)
-		Expect(order(q, now)).To(Equal([]uint64{3, 4, 5}))
+		Expect(drainIDs(q, now)).To(Equal([]uint64{3, 4, 5}))
 	})
 
-	// A request that has waited is displaced only for the sake of a caller that
-	// would be starved otherwise: its own caller holds far more of the queue.
-	DescribeTable("after a wait", func(held int, refused uint64, reason Reason) {
+	// A request that has waited is displaced only where another caller would starve
+	// otherwise: its own caller holds far more of the queue.
+	DescribeTable("displacing requests that have waited", func(waiting int, refused uint64, reason Reason) {
 		q := newQueue()
 		now := overload(q)
-		for id := range overloadMin {
+		for id := range minOverloadBound {
 			caller := "c"
-			if id < held {
+			if id < waiting {
 				caller = "a"
 			}
 			q.Offer(now, request(uint64(id), caller, now, time.Second))
 		}
-		now = now.Add(2 * overloadClear)
+		now = now.Add(2 * overloadDrainTime)
 		out := q.Offer(now, request(10, "b", now, time.Second))
 		Expect(out).To(HaveLen(1))
 		Expect(out[0].ID).To(Equal(refused))
 		Expect(out[0].Reason).To(Equal(reason))
 	},
-		Entry("an equal caller is not displaced", 2, uint64(10), ReasonFull),
-		Entry("a greedy one is", greedyFactor, uint64(greedyFactor-1), ReasonDisplaced),
+		Entry("a request of a caller with a similar share is not displaced", 2, uint64(10), ReasonFull),
+		Entry("a request of a caller with a far larger share is displaced", greedyFactor, uint64(greedyFactor-1), ReasonDisplaced),
 	)
 
-	// A long queue has built up by the time the overload counts as sustained.
-	// Its requests were promised a slot; thrown out at once, hundreds would
-	// hear after most of a second what could have been told on arrival.
-	It("drains what waits when an overload becomes sustained", func() {
+	// A long queue has built up by the time the overload counts as sustained. Dropping the
+	// excess at once would refuse hundreds of requests after most of a second of waiting,
+	// which could have been refused on arrival.
+	It("keeps the waiting requests when an overload becomes sustained", func() {
 		q := newQueue()
 		for id := range uint64(40) {
 			Expect(q.Offer(start, request(id, "a", start, time.Minute))).To(BeEmpty())
@@ -192,10 +191,10 @@
 		Expect(q.Len()).To(Equal(40))
 	})
 
-	It("refuses a normal request for an urgent one", func() {
+	It("displaces a normal request for an urgent one", func() {
 		q := newQueue()
 		now := overload(q)
-		for id := range uint64(overloadMin) {
+		for id := range uint64(minOverloadBound) {
 			q.Offer(now, request(id, fmt.Sprint(id), now, time.Second))
 		}
 		r := request(10, "u", now, time.Second)
@@ -203,12 +202,12 @@
 		out := q.Offer(now, r)
 		Expect(out).To(HaveLen(1))
 		Expect(out[0].Reason).To(Equal(ReasonDisplaced))
-		Expect(order(q, now)).To(ContainElement(uint64(10)))
+		Expect(drainIDs(q, now)).To(ContainElement(uint64(10)))
 	})
 
-	// No slot comes free, so that Next is never called. Two requests wait; the
-	// first can no longer end in time and is to hear of it now.
-	It("gives up what can no longer end in time though no slot comes free", func() {
+	// No slot becomes free, so Next is never called. Two requests wait; the first can no
+	// longer finish in time and must be refused now.
+	It("expires requests that cannot meet their deadline while no slot is free", func() {
 		q := newQueue()
 		q.Offer(start, request(1, "a", start, time.Second))
 		q.Offer(start, request(2, "a", start, 2*time.Second))
@@ -217,10 +216,10 @@
 		Expect(out).To(HaveLen(1))
 		Expect(out[0].ID).To(Equal(uint64(1)))
 		Expect(out[0].Reason).To(Equal(ReasonTooLate))
-		Expect(order(q, start.Add(950*time.Millisecond))).To(Equal([]uint64{2}))
+		Expect(drainIDs(q, start.Add(950*time.Millisecond))).To(Equal([]uint64{2}))
 	})
 
-	It("bounds its length in a burst too", func() {
+	It("bounds the queue length in a burst", func() {
 		q := newQueue()
 		for id := range uint64(1000) {
 			q.Offer(start, request(id, fmt.Sprint(id%7), start, time.Hour))
@@ -228,7 +227,7 @@
 		Expect(q.Len()).To(BeNumerically("<=", 2*maxPerSlot))
 	})
 
-	It("spreads callers that were refused, and more so the longer the queue", func() {
+	It("jitters the retry advice and raises it with the length of the queue", func() {
 		q := newQueue()
 		first := q.RetryAfter(start)
 		Expect(q.RetryAfter(start)).NotTo(Equal(first))
--- a/internal/admission/lane.go
+++ b/internal/admission/lane.go
@@ -5,26 +5,27 @@
 	"time"
 )
 
-// lane shares its turns among callers by start-time fair queueing: each caller
-// has a virtual time that grows with the work it was given, and the one that
-// is behind goes next. Work is counted in estimated service time, so that long
-// requests weigh more than short ones.
+// lane shares its turns among callers by start-time fair queueing: each caller has a
+// virtual time that grows with the work served for it, and the caller with the lowest
+// virtual time goes next. Work is counted in estimated service time, so that long requests
+// weigh more than short ones.
 type lane struct {
-	flows   map[string]*flow
-	order   []*flow // callers with waiting requests, in order of arrival
-	virtual time.Duration
-	len     int
+	flows       map[string]*flow
+	order       []*flow // callers with waiting requests, in order of their first one
+	virtualTime time.Duration
+	len         int
 }
 
 // flow is one caller's waiting requests, oldest first.
 type flow struct {
-	lane    *lane
-	caller  string
-	waiting []Request
-	virtual time.Duration
+	lane        *lane
+	caller      string
+	waiting     []Request
+	virtualTime time.Duration
 }
 
-// minCost is the least that a request counts as, while its kind is unknown.
+// minCost is the least cost charged for a request, also while the service time of its kind
+// is unknown.
 const minCost = time.Millisecond
 
 func newLane() lane { return lane{flows: map[string]*flow{}} }
@@ -39,9 +40,9 @@
 func (l *lane) push(r Request) *flow {
 	f := l.flows[r.Caller]
 	if f == nil {
-		// A caller that comes back starts level with the others: time that it
-		// did not use is not saved up for a burst later.
-		f = &flow{lane: l, caller: r.Caller, virtual: l.virtual}
+		// A returning caller starts at the lane's virtual time: unused time is not saved
+		// up for a later burst.
+		f = &flow{lane: l, caller: r.Caller, virtualTime: l.virtualTime}
 		l.flows[r.Caller] = f
 		l.order = append(l.order, f)
 	}
@@ -50,24 +51,23 @@
 	return f
 }
 
-// take removes the next request: the oldest of the caller that is furthest
-// behind.
-func (l *lane) take(cost func(kind string) time.Duration) Request {
+// takeNext removes and returns the next request: the oldest one of the caller with the
+// lowest virtual time.
+func (l *lane) takeNext(cost func(kind string) time.Duration) Request {
 	f := l.order[0]
 	for _, other := range l.order[1:] {
-		if other.virtual < f.virtual {
+		if other.virtualTime < f.virtualTime {
 			f = other
 		}
 	}
 	r := f.waiting[0]
-	l.virtual = f.virtual
-	f.virtual += max(cost(r.Kind), minCost)
-	l.cut(f, 0)
+	l.virtualTime = f.virtualTime
+	f.virtualTime += max(cost(r.Kind), minCost)
+	l.removeAt(f, 0)
 	return r
 }
 
-// longest returns the caller with the most waiting requests, and preferred if
-// it is one of several.
+// longest returns the caller with the most waiting requests; a tie goes to preferred.
 func (l *lane) longest(preferred *flow) *flow {
 	f := l.order[0]
 	if preferred.lane == l {
@@ -84,12 +84,12 @@
 func (l *lane) takeNewest(f *flow) Request {
 	i := len(f.waiting) - 1
 	r := f.waiting[i]
-	l.cut(f, i)
+	l.removeAt(f, i)
 	return r
 }
 
-// takeAll removes every request for which match is true.
-func (l *lane) takeAll(match func(Request) bool) []Request {
+// takeMatching removes and returns every request for which match returns true.
+func (l *lane) takeMatching(match func(Request) bool) []Request {
 	var out []Request
 	for _, f := range slices.Clone(l.order) {
 		for i := 0; i < len(f.waiting); {
@@ -99,7 +99,7 @@
 				continue
 			}
 			out = append(out, r)
-			l.cut(f, i)
+			l.removeAt(f, i)
 		}
 	}
 	return out
@@ -108,14 +108,14 @@
 func (l *lane) remove(f *flow, id uint64) {
 	for i, r := range f.waiting {
 		if r.ID == id {
-			l.cut(f, i)
+			l.removeAt(f, i)
 			return
 		}
 	}
 }
 
-// cut removes request i of a caller, and the caller with its last request.
-func (l *lane) cut(f *flow, i int) {
+// removeAt removes a caller's request i, and the caller itself with its last request.
+func (l *lane) removeAt(f *flow, i int) {
 	f.waiting = append(f.waiting[:i], f.waiting[i+1:]...)
 	l.len--
 	if len(f.waiting) > 0 {
