--- a/internal/node/metrics.go
+++ b/internal/node/metrics.go
@@ -9,8 +9,8 @@
 	"cyclamenwheel/internal/fleetlog"
 )
 
-// gauges is what /metrics shows of the control goroutine. Scrapes read it from
-// other goroutines.
+// gauges holds the values of the control goroutine that /metrics exports. Scrapes read
+// them from other goroutines.
 type gauges struct {
 	offset, generation, diverged, logDown, cutOff atomic.Uint64
 }
@@ -34,29 +34,28 @@
 	n.gauges.offset.Store(n.State().Offset)
 	n.gauges.generation.Store(n.State().Manifest.Generation)
 	n.gauges.diverged.Store(uint64(n.replica.Diverged))
-	n.gauges.logDown.Store(flag(!n.logOK))
-	n.gauges.cutOff.Store(flag(n.CutOff()))
+	n.gauges.logDown.Store(boolToUint(!n.logOK))
+	n.gauges.cutOff.Store(boolToUint(n.CutOff()))
 }
 
-func flag(b bool) uint64 {
+func boolToUint(b bool) uint64 {
 	if b {
 		return 1
 	}
 	return 0
 }
 
-// countVerdicts counts folded records by kind and verdict. A rise of any reason
-// but "ok" tells of a race or of a writer that acts on old state.
+// countVerdicts counts folded records by kind and verdict. A rise of any reason but "ok"
+// indicates a race, or a writer that acts on outdated state.
 func countVerdicts(applied []fleetlog.Applied) {
 	for _, a := range applied {
 		metrics.GetOrCreateCounter(fmt.Sprintf(`cyclamen_records_total{kind=%q,verdict=%q}`,
-			knownKind(a.Record.Kind), a.Verdict.Reason)).Inc()
+			kindLabel(a.Record.Kind), a.Verdict.Reason)).Inc()
 	}
 }
 
-// knownKind keeps the label's values few: a kind in the log is whatever its
-// author wrote.
-func knownKind(k fleetlog.Kind) fleetlog.Kind {
+// kindLabel bounds the values of the label: a record's kind is whatever its author wrote.
+func kindLabel(k fleetlog.Kind) fleetlog.Kind {
 	if k.Known() {
 		return k
 	}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -18,42 +18,41 @@
 
 // Timing of the control goroutine.
 const (
-	// tickEvery is how often hooks get to act without a cause.
+	// tickEvery is the interval at which hooks run without an event.
 	tickEvery = 50 * time.Millisecond
-	// beatSpacing keeps a burst of records from becoming a burst of
-	// heartbeats; it adds at most this much to a handover.
-	beatSpacing = 20 * time.Millisecond
-	// fetchAfter is how far a peer may be ahead, in time, before its records
-	// are fetched from it: longer than the log's own delivery takes, so that a
-	// healthy fleet fetches nothing.
+	// minHeartbeatGap keeps a burst of records from causing a burst of heartbeats; it
+	// delays a handover by at most this much.
+	minHeartbeatGap = 20 * time.Millisecond
+	// fetchAfter is for how long a peer must have been ahead before records are fetched
+	// from it: longer than delivery by the log takes, so that a healthy fleet fetches
+	// nothing.
 	fetchAfter = 150 * time.Millisecond
-	// coldPatience is how long a starting process waits for the log before it
-	// asks peers for their state.
-	coldPatience = time.Second
-	// silentAfter is how long without word from log and peers before a
-	// process counts as cut off.
-	silentAfter = 3 * time.Second
+	// coldFetchAfter is how long a starting process waits for the log before it asks peers
+	// for their state.
+	coldFetchAfter = time.Second
+	// cutOffAfter is how long after the last response of the log and the last report of
+	// any peer a process counts as cut off.
+	cutOffAfter = 3 * time.Second
 )
 
-// Hooks is what a daemon adds to the control goroutine. All calls come from
-// that goroutine.
+// Hooks is the daemon's part of the control goroutine, from which all calls come.
 type Hooks interface {
-	// Applied is told of folded records, in order. When it returns, the
-	// process has acted on them: they count as acknowledged.
+	// Applied receives folded records, in order. When it returns, the process has acted on
+	// them: they count as acknowledged.
 	Applied(batch []fleetlog.Applied)
-	// ListChanged is told that a newer instance list is known. When it returns,
-	// the process has acted on it.
+	// ListChanged is called when a newer instance list, or a peer's report of one, has
+	// been applied. When it returns, the process has acted on it.
 	ListChanged()
 	// Tick is called every tickEvery.
 	Tick()
 	// Beat fills in the daemon's part of a heartbeat to peer to.
 	Beat(to string, hb *Heartbeat)
-	// Heard is told of a peer's heartbeat.
+	// Heard receives a peer's heartbeat.
 	Heard(from peer.Identity, hb Heartbeat)
 	// MayJoin reports whether the process may (re)join the members now.
 	MayJoin() bool
-	// AckLimit bounds what may be acknowledged; the maximum when nothing is
-	// held back.
+	// AckLimit returns the highest offset that may be acknowledged; the maximum value if
+	// there is no limit.
 	AckLimit() uint64
 }
 
@@ -62,29 +61,30 @@
 	Self     membership.Member
 	Platform platform.Platform
 	Peers    *peer.Node
-	// Seeds are the peers known from the settings, id to address.
+	// Seeds are the peers configured in the settings, id to address.
 	Seeds map[string]string
 	// Heartbeat is the period of heartbeats when nothing changes.
 	Heartbeat time.Duration
 	// ListPoll is the pause between two reads of the instance list.
 	ListPoll time.Duration
-	// SnapshotEvery overrides snapshotEvery where the log keeps records for
-	// less than twice that; 0 leaves it.
+	// SnapshotEvery overrides snapshotEvery where the log retains records for less than
+	// twice that; 0 keeps the default.
 	SnapshotEvery time.Duration
 	Logger        *slog.Logger
 }
 
-// Heard is what a peer last said.
+// Heard is the last report of a peer.
 type Heard struct {
 	Identity peer.Identity
 	Beat     Heartbeat
 	At       time.Duration
-	// aheadSince is when the peer was first seen ahead of us.
+	// aheadSince is when the peer's offset was first seen ahead of this process's, 0 if it
+	// is not.
 	aheadSince time.Duration
 }
 
-// Node is the control goroutine and what it owns. Methods marked loop-only may
-// be called from hooks and from functions given to Do.
+// Node is the control goroutine and the state it owns. Methods marked loop-only may only
+// be called from hooks and from functions passed to Do or Post.
 type Node struct {
 	opts    Options
 	hooks   Hooks
@@ -101,34 +101,34 @@
 	done     chan struct{}
 	wg       sync.WaitGroup
 
-	heard     map[string]*Heard
-	wanted    map[string]string // peers we dial, id to address
-	list      platform.InstanceList
-	listIndex map[string]*platform.Instance
-	notLive   map[string]bool // from peers with a newer list version
-	notLiveV  uint64
-	// ownNotLiveIDs are those of the own list, as of these versions of list
-	// and pools.
-	ownNotLiveIDs []string
-	ownNotLiveAt  [2]uint64
-	listAsked     atomic.Int64 // when the list was last asked for with success
+	peerReports    map[string]*Heard
+	peerAddrs      map[string]string // peers to dial, id to address
+	list           platform.InstanceList
+	listIndex      map[string]*platform.Instance
+	notLive        map[string]bool // from peers with a newer list version
+	notLiveVersion uint64
+	// workersNotLiveIDs caches workersNotLive, computed at the versions of list and pools
+	// in workersNotLiveAt.
+	workersNotLiveIDs []string
+	workersNotLiveAt  [2]uint64
+	listAsked         atomic.Int64 // time of the last request for the list that succeeded
 
-	logOK       bool
-	logAt       time.Duration // last answer of the log
-	logErr      string
-	started     time.Duration
-	firstHead   uint64
-	headSeen    bool
-	joining     bool
-	leaving     bool
-	waiters     map[fleetlog.ID]chan fold.Verdict
-	fetching    bool
-	lastBeat    time.Duration
-	beatWanted  bool
-	ackedOffset uint64
-	ackHeld     bool // hooks keep the newest offsets from being acknowledged
-	snapshotter snapshotter
-	gauges      *gauges
+	logOK              bool
+	logAt              time.Duration // last response of the log
+	logErr             string
+	started            time.Duration
+	firstHead          uint64
+	headSeen           bool
+	joining            bool
+	leaving            bool
+	waiters            map[fleetlog.ID]chan fold.Verdict
+	fetching           bool
+	lastHeartbeat      time.Duration
+	heartbeatRequested bool
+	ackedOffset        uint64
+	ackLimited         bool // hooks keep the newest offsets from being acknowledged
+	snapshotter        snapshotter
+	gauges             *gauges
 }
 
 // New returns a node that is not yet running.
@@ -142,16 +142,16 @@
 		pages:    make(chan fleetlog.Page),
 		lists:    make(chan listAnswer),
 		ctx:      ctx, cancel: cancel, done: make(chan struct{}),
-		heard:     make(map[string]*Heard),
-		wanted:    make(map[string]string),
-		listIndex: make(map[string]*platform.Instance),
-		waiters:   make(map[fleetlog.ID]chan fold.Verdict),
-		gauges:    newGauges(),
+		peerReports: make(map[string]*Heard),
+		peerAddrs:   make(map[string]string),
+		listIndex:   make(map[string]*platform.Instance),
+		waiters:     make(map[fleetlog.ID]chan fold.Verdict),
+		gauges:      newGauges(),
 	}
 }
 
-// Register adds the peer handlers; before the peer links start.
-func (n *Node) Register() { n.handlePeers() }
+// Register adds the peer handlers. Call it before the peer connections start.
+func (n *Node) Register() { n.registerPeerHandlers() }
 
 // Run starts the control goroutine.
 func (n *Node) Run(hooks Hooks) {
@@ -163,7 +163,7 @@
 	go n.loop()
 }
 
-// Close stops the node. Waiting submissions end with *StoppedError.
+// Close stops the node. Pending submissions end with *StoppedError.
 func (n *Node) Close() {
 	n.cancel()
 	n.wg.Wait()
@@ -194,12 +194,12 @@
 		case <-tick.C:
 			n.onTick()
 		}
-		n.beatIfDue()
+		n.sendHeartbeatsIfDue()
 	}
 }
 
-// Do runs f in the control goroutine and waits for it. It reports false if the
-// node has stopped.
+// Do runs f in the control goroutine and waits for it. It reports false if the node has
+// stopped.
 func (n *Node) Do(f func()) bool {
 	ran := make(chan struct{})
 	if !n.post(func() { f(); close(ran) }) {
@@ -226,16 +226,16 @@
 // called from that goroutine.
 func (n *Node) Post(f func()) { n.post(f) }
 
-// State is the folded state; loop-only.
+// State returns the folded state; loop-only.
 func (n *Node) State() *fleetlog.State { return n.replica.State() }
 
-// Self is this process.
+// Self returns the member record of this process.
 func (n *Node) Self() membership.Member { return n.opts.Self }
 
-// Now is the time on the clock that counts suspension.
+// Now returns the time on a clock that keeps running while the machine is suspended.
 func (n *Node) Now() time.Duration { return planlease.Boottime() }
 
-// Uptime is how long the node has run; loop-only.
+// Uptime returns how long the node has run; loop-only.
 func (n *Node) Uptime() time.Duration { return n.Now() - n.started }
 
 func (n *Node) onPage(p fleetlog.Page) {
@@ -250,9 +250,9 @@
 	if p.Trimmed && n.replica.State().Offset > 0 && len(p.Records) > 0 && p.Records[0].Offset > n.replica.Next() {
 		n.log.Warn("log trimmed past own offset", "offset", n.replica.State().Offset)
 		n.replica.Restart()
-		// Not caught up until it has reached what the log holds now: it may be
-		// many generations behind. A process that started on an empty log would
-		// otherwise count as caught up whatever it lacks.
+		// The process is not caught up before it has reached the log's present head: it
+		// may lack many generations. Otherwise a process that started on an empty log
+		// would count as caught up whatever it lacks.
 		n.firstHead = p.Head
 	}
 	if n.replica.Cold() && p.Head == 0 {
@@ -261,7 +261,7 @@
 	n.ingest(p.Records)
 }
 
-// ingest folds records from whichever source.
+// ingest folds records from the log or from a peer.
 func (n *Node) ingest(records []platform.LogRecord) {
 	for _, rec := range records {
 		n.ring.add(rec)
@@ -272,7 +272,7 @@
 	}
 	n.tail.Advance(n.replica.Next())
 	for _, a := range applied {
-		n.settle(a)
+		n.deliverVerdict(a)
 	}
 	n.afterFold(applied)
 }
@@ -282,14 +282,14 @@
 	n.setPeers()
 	n.hooks.Applied(applied)
 	n.acknowledge()
-	n.beatWanted = n.beatWanted || slices.ContainsFunc(applied, awaited)
+	n.heartbeatRequested = n.heartbeatRequested || slices.ContainsFunc(applied, ackAwaited)
 }
 
-// awaited reports whether others wait for a record's acknowledgement: handovers
-// of instances, and of slots among the entries. All other acknowledgements go
-// with the next regular heartbeat. Sent at once, every lease renewal would cost
-// a message between each two processes.
-func awaited(a fleetlog.Applied) bool {
+// ackAwaited reports whether other processes wait for a record's acknowledgement:
+// handovers of instances, and of slots among the entries, do. All other acknowledgements
+// go with the next regular heartbeat. Sent at once, every lease renewal would cost a
+// message between each two processes.
+func ackAwaited(a fleetlog.Applied) bool {
 	switch a.Record.Kind {
 	case fleetlog.KindBegin, fleetlog.KindJoin, fleetlog.KindLeave:
 		return a.Verdict.Accepted
@@ -297,15 +297,15 @@
 	return false
 }
 
-// acknowledge moves the acknowledged offset up to what hooks have acted on.
+// acknowledge advances the acknowledged offset to what the hooks have acted on.
 func (n *Node) acknowledge() {
 	limit := min(n.replica.State().Offset, n.hooks.AckLimit())
 	if limit > n.ackedOffset {
-		// What had been held back is waited for.
-		n.beatWanted = n.beatWanted || n.ackHeld
+		// Others wait for an acknowledgement that was held back.
+		n.heartbeatRequested = n.heartbeatRequested || n.ackLimited
 		n.ackedOffset = limit
 	}
-	n.ackHeld = limit < n.replica.State().Offset
+	n.ackLimited = limit < n.replica.State().Offset
 }
 
 func (n *Node) onTick() {
--- a/internal/node/ring.go
+++ b/internal/node/ring.go
@@ -2,12 +2,11 @@
 
 import "cyclamenwheel/internal/platform"
 
-// ringBytes bounds the records kept for peers. 1 MiB holds some 30 s of a busy
-// log; a peer further behind takes the state instead.
+// ringBytes bounds the records kept for peers. 1 MiB holds about 30 s of a busy log; a
+// peer further behind fetches the state instead.
 const ringBytes = 1 << 20
 
-// ring keeps the newest records, contiguous, for peers that the log does not
-// reach.
+// ring keeps the newest records, contiguous, for peers that cannot read the log.
 type ring struct {
 	records []platform.LogRecord
 	bytes   int
@@ -28,8 +27,8 @@
 	}
 }
 
-// from returns up to maxBytes of records from offset on, nil if that offset is
-// not kept.
+// from returns up to maxBytes of records starting at offset, but at least one; nil if that
+// offset is not kept.
 func (r *ring) from(offset uint64, maxBytes int) []platform.LogRecord {
 	if len(r.records) == 0 || offset < r.records[0].Offset {
 		return nil
--- a/internal/node/snapshot.go
+++ b/internal/node/snapshot.go
@@ -9,24 +9,24 @@
 )
 
 const (
-	// snapshotRecords is how many records may follow a snapshot before the
-	// next is due: it bounds what a starting process folds (about a second).
+	// snapshotRecords is how many records may follow a snapshot before the next is due. It
+	// bounds what a starting process folds (about a second).
 	snapshotRecords = 20_000
-	// snapshotEvery bounds the time between snapshots. It must stay under half
-	// of the log's retention, or a starting process could find the log trimmed
-	// with no snapshot after it.
+	// snapshotEvery bounds the time between snapshots. It must stay below half of the
+	// log's retention; otherwise a starting process could find the log trimmed with no
+	// snapshot after it.
 	snapshotEvery = 2 * time.Minute
-	// snapshotRank is the extra wait of each further member, so that the one
-	// of lowest rank writes where all could.
-	snapshotRank = 5 * time.Second
-	// snapshotLimit bounds the writing of one snapshot.
-	snapshotLimit = 30 * time.Second
+	// snapshotRankDelay is the extra delay per rank, so that only the member of lowest
+	// rank writes the snapshot.
+	snapshotRankDelay = 5 * time.Second
+	// snapshotTimeout bounds the writing of one snapshot.
+	snapshotTimeout = 30 * time.Second
 )
 
-// snapshotter writes a snapshot of the fold into the log when one is due.
+// snapshotter writes a snapshot of the folded state to the log when one is due.
 type snapshotter struct {
 	busy   bool
-	markAt time.Duration // own clock when the newest mark was seen
+	markAt time.Duration // local time when the newest mark was seen
 	mark   uint64
 }
 
@@ -39,13 +39,13 @@
 	if s.busy || !n.Joined() || n.leaving {
 		return
 	}
-	wait := time.Duration(n.rank()) * snapshotRank
+	wait := time.Duration(n.rank()) * snapshotRankDelay
 	due := n.Now()-s.markAt > n.snapshotEvery()+wait && st.Offset > s.mark+2
 	if !due && (st.Offset < s.mark+snapshotRecords || n.rank() != 0) {
 		return
 	}
 	s.busy = true
-	n.SubmitAsync(snapshotLimit, fleetlog.KindMark, 0, fleetlog.Mark{Wanted: st.Offset},
+	n.SubmitAsync(snapshotTimeout, fleetlog.KindMark, 0, fleetlog.Mark{Wanted: st.Offset},
 		func(v fold.Verdict, _ error) {
 			if !v.Accepted {
 				s.busy = false
@@ -62,7 +62,7 @@
 	return snapshotEvery
 }
 
-// rank is this process's place among the members; the planner comes first.
+// rank returns the position of this process among the members; the planner comes first.
 func (n *Node) rank() int {
 	lease := n.State().Lease
 	if lease.Holder == n.opts.Self.ID && lease.BootID == n.opts.Self.BootID && !lease.Released {
@@ -84,7 +84,7 @@
 		return
 	}
 	n.wg.Go(func() {
-		ctx, cancel := context.WithTimeout(n.ctx, snapshotLimit)
+		ctx, cancel := context.WithTimeout(n.ctx, snapshotTimeout)
 		defer cancel()
 		defer n.post(func() { n.snapshotter.busy = false })
 		for _, p := range fleetlog.Split(encoded, replaces) {
@@ -93,7 +93,7 @@
 				_, err = fleetlog.AppendUntil(ctx, n.opts.Platform, rec)
 			}
 			if err != nil {
-				n.log.Warn("snapshot not written", "offset", replaces, "error", err.Error())
+				n.log.Warn("cannot write snapshot", "offset", replaces, "error", err.Error())
 				return
 			}
 		}
--- a/internal/node/status.go
+++ b/internal/node/status.go
@@ -8,7 +8,7 @@
 	"cyclamenwheel/internal/planlease"
 )
 
-// MemberStatus is what this process knows of one member.
+// MemberStatus is one member as seen by this process.
 type MemberStatus struct {
 	ID           string          `json:"id"`
 	Role         membership.Role `json:"role"`
@@ -18,11 +18,11 @@
 	Ready        bool            `json:"ready"`
 	Generation   uint64          `json:"generation"`
 	Acked        uint64          `json:"acked_offset"`
-	// HeardMillis is how long ago it was heard; -1 for never.
+	// HeardMillis is the age of the member's last report; -1 if there is none.
 	HeardMillis int64 `json:"heard_ms_ago"`
 }
 
-// Status is the process's view of the whole.
+// Status is the process's view of the fleet.
 type Status struct {
 	ID         string          `json:"id"`
 	Role       membership.Role `json:"role"`
@@ -36,7 +36,7 @@
 	Members    []MemberStatus  `json:"members"`
 }
 
-// Status describes the process; loop-only.
+// Status returns the process's view of the fleet; loop-only.
 func (n *Node) Status() Status {
 	st := n.State()
 	out := Status{
@@ -63,7 +63,7 @@
 		ms.Ready = len(n.NotReady()) == 0
 		return ms
 	}
-	if h := n.heard[m.ID]; h != nil && h.Identity.BootID == m.BootID {
+	if h := n.peerReports[m.ID]; h != nil && h.Identity.BootID == m.BootID {
 		ms.Generation, ms.Acked, ms.Ready = h.Beat.Generation, h.Beat.Acked, h.Beat.Ready
 		ms.HeardMillis = (n.Now() - h.At).Milliseconds()
 	}
@@ -72,15 +72,15 @@
 
 // Acks returns the members' acknowledgements for handovers; loop-only.
 func (n *Node) Acks() map[string]membership.Ack {
-	acks := make(map[string]membership.Ack, len(n.heard))
-	for id, h := range n.heard {
+	acks := make(map[string]membership.Ack, len(n.peerReports))
+	for id, h := range n.peerReports {
 		acks[id] = membership.Ack{BootID: h.Identity.BootID, Offset: h.Beat.Acked, Busy: h.Beat.Busy}
 	}
 	return acks
 }
 
-// CaughtUp reports whether the process has folded up to the head that it first
-// saw, or has taken a peer's state while the log is away; loop-only.
+// CaughtUp reports whether the process has folded the log up to the head that it saw
+// first, or has installed a peer's state while the log is unreachable; loop-only.
 func (n *Node) CaughtUp() bool {
 	if n.replica.Cold() {
 		return n.headSeen && n.firstHead == 0
@@ -88,45 +88,45 @@
 	return !n.headSeen || n.State().Offset >= n.firstHead
 }
 
-// Joined reports whether the fold has this boot as a member; loop-only.
+// Joined reports whether this incarnation is a member in the folded state; loop-only.
 func (n *Node) Joined() bool {
 	return n.State().Members.Is(n.opts.Self.ID, n.opts.Self.BootID)
 }
 
-// CutOff reports whether neither log nor any peer has been heard lately;
+// CutOff reports whether neither the log nor any peer has responded within cutOffAfter;
 // loop-only.
 func (n *Node) CutOff() bool {
 	now := n.Now()
-	if n.logOK || now-n.logAt < silentAfter {
+	if n.logOK || now-n.logAt < cutOffAfter {
 		return false
 	}
-	for _, h := range n.heard {
-		if now-h.At < silentAfter {
+	for _, h := range n.peerReports {
+		if now-h.At < cutOffAfter {
 			return false
 		}
 	}
 	return true
 }
 
-// NotReady lists why the process cannot take work yet; loop-only.
+// NotReady returns the reasons why the process cannot take work yet; loop-only.
 func (n *Node) NotReady() []string {
-	var why []string
+	var reasons []string
 	switch {
 	case n.replica.Cold() && !n.logOK:
-		why = append(why, "no state: log unreachable and no peer gave its state: "+n.logErr)
+		reasons = append(reasons, "no state: log unreachable and no peer supplied its state: "+n.logErr)
 	case !n.CaughtUp():
-		why = append(why, "still folding the log")
+		reasons = append(reasons, "still folding the log")
 	case !n.Joined():
-		why = append(why, "not yet a member")
+		reasons = append(reasons, "not yet a member")
 	}
 	if n.leaving {
-		why = append(why, "shutting down")
+		reasons = append(reasons, "shutting down")
 	}
 	if n.State().Manifest.Generation == 0 {
-		why = append(why, "no manifest in force")
+		reasons = append(reasons, "no manifest in force")
 	}
 	if n.CutOff() {
-		why = append(why, "cut off from log and peers")
+		reasons = append(reasons, "cut off from log and peers")
 	}
-	return why
+	return reasons
 }
--- a/internal/node/submit.go
+++ b/internal/node/submit.go
@@ -11,26 +11,26 @@
 	"cyclamenwheel/internal/membership"
 )
 
-// StoppedError says that the process is stopping.
+// StoppedError means that the process is stopping.
 type StoppedError struct{}
 
 func (*StoppedError) Error() string { return "process is stopping" }
 
-// UnsettledError says that a record's verdict is not known: it may or may not
-// be, or come to be, in the log.
+// UnsettledError means that a record's verdict is unknown: the record may or may not be in
+// the log, or may still arrive there.
 type UnsettledError struct {
 	Record fleetlog.ID
 	Cause  error
 }
 
 func (e *UnsettledError) Error() string {
-	return "record " + e.Record.String() + " unsettled: " + e.Cause.Error()
+	return "record " + e.Record.String() + " has an unknown outcome: " + e.Cause.Error()
 }
 
 // Unwrap returns the cause.
 func (e *UnsettledError) Unwrap() error { return e.Cause }
 
-// NotAppendedError says that a record certainly is not in the log.
+// NotAppendedError means that a record is certainly not in the log.
 type NotAppendedError struct{ Cause error }
 
 func (e *NotAppendedError) Error() string { return "record not appended: " + e.Cause.Error() }
@@ -45,8 +45,8 @@
 	if err != nil {
 		return fold.Verdict{}, err
 	}
-	settled := make(chan fold.Verdict, 1)
-	if !n.Do(func() { n.waiters[rec.ID] = settled }) {
+	verdicts := make(chan fold.Verdict, 1)
+	if !n.Do(func() { n.waiters[rec.ID] = verdicts }) {
 		return fold.Verdict{}, &StoppedError{}
 	}
 	defer n.post(func() { delete(n.waiters, rec.ID) })
@@ -56,7 +56,7 @@
 		return fold.Verdict{}, &NotAppendedError{Cause: err}
 	}
 	select {
-	case v := <-settled:
+	case v := <-verdicts:
 		return v, nil
 	case <-ctx.Done():
 		return fold.Verdict{}, &UnsettledError{Record: rec.ID, Cause: errors.Wrap(ctx.Err(), "waiting for own record")}
@@ -65,8 +65,7 @@
 	}
 }
 
-// SubmitAsync does Submit in the background; done is called in the control
-// goroutine.
+// SubmitAsync runs Submit in the background and calls done in the control goroutine.
 func (n *Node) SubmitAsync(limit time.Duration, kind fleetlog.Kind, epoch uint64, body any, done func(fold.Verdict, error)) {
 	n.wg.Go(func() {
 		ctx, cancel := context.WithTimeout(n.ctx, limit)
@@ -76,9 +75,9 @@
 	})
 }
 
-// settle wakes whoever waits for the record. A duplicate is no verdict: the
-// first copy gave it.
-func (n *Node) settle(a fleetlog.Applied) {
+// deliverVerdict passes a record's verdict to its waiting submitter. A duplicate is
+// ignored: the first copy has delivered the verdict.
+func (n *Node) deliverVerdict(a fleetlog.Applied) {
 	ch, ok := n.waiters[a.Record.ID]
 	if !ok || a.Verdict.Reason == fold.ReasonDuplicate {
 		return
@@ -87,23 +86,23 @@
 	ch <- a.Verdict
 }
 
-// joinLimit bounds one try to join; the next tick tries again.
-const joinLimit = 5 * time.Second
+// joinTimeout bounds one attempt to join; the next tick retries.
+const joinTimeout = 5 * time.Second
 
 func (n *Node) joinIfDue() {
 	if n.joining || n.leaving || !n.CaughtUp() || n.Joined() || !n.hooks.MayJoin() {
 		return
 	}
 	n.joining = true
-	n.SubmitAsync(joinLimit, fleetlog.KindJoin, 0, membership.Join{Member: n.opts.Self},
+	n.SubmitAsync(joinTimeout, fleetlog.KindJoin, 0, membership.Join{Member: n.opts.Self},
 		func(v fold.Verdict, err error) {
 			n.joining = false
 			n.log.Info("join", "accepted", v.Accepted, "reason", v.Reason, "error", errText(err))
 		})
 }
 
-// Leave takes the process off the members: nothing of it is in flight, so
-// handovers need not wait for it.
+// Leave removes the process from the members. Nothing of it is in flight, so handovers
+// need not wait for it.
 func (n *Node) Leave(ctx context.Context) error {
 	n.Do(func() { n.leaving = true })
 	_, err := n.Submit(ctx, fleetlog.KindLeave, 0, membership.Leave{
@@ -119,14 +118,14 @@
 	return err.Error()
 }
 
-// Background runs f outside the control goroutine; its context ends when the
-// node is closed, and Close waits for it.
+// Background runs f outside the control goroutine. Its context ends when the node is
+// closed, and Close waits for it.
 func (n *Node) Background(f func(context.Context)) {
 	n.wg.Go(func() { f(n.ctx) })
 }
 
-// Retire makes the process not ready, so that the balancer leaves it; it goes
-// on answering what reaches it.
+// Retire makes the process not ready, so that the load balancer stops sending requests to
+// it. It still answers those that arrive.
 func (n *Node) Retire() {
-	n.Do(func() { n.leaving, n.beatWanted = true, true })
+	n.Do(func() { n.leaving, n.heartbeatRequested = true, true })
 }
