--- a/internal/attempts/attempts.go
+++ b/internal/attempts/attempts.go
@@ -1,12 +1,13 @@
-// Package attempts repeats writes that may be repeated safely: the store recognises
-// them by a sequence number or a condition, or the newest one counts. How long one
-// attempt waits is decided by the answers seen lately.
+// Package attempts retries writes that are safe to repeat: the store recognises them by a
+// sequence number or a condition, or only the newest counts. Its input is the call, a
+// classification of its errors, and the answer times seen recently, from which it derives
+// how long an attempt waits before the next one starts. Group membership (internal/shards)
+// and the owners' journals (internal/tenure) call it for their writes to the store.
 //
-// Load: the store carries out half of the writes and loses their answers, while
-// owners of pools change. A claim needs two answered writes in a row and an
-// owner's batch one, and a member that is silent for a second is taken for gone:
-// with a wait far above what an answer takes, each lost answer costs a second in
-// which a pool accepts and starts nothing.
+// Load: the store carries out half of the writes and loses their answers, while owners of
+// pools change. A claim needs two answered writes in a row and an owner's batch one, and a
+// member that is silent for a second is considered gone: with a wait far above the usual
+// answer time, each lost answer costs a second in which a pool accepts and starts nothing.
 package attempts
 
 import (
@@ -21,83 +22,83 @@
 )
 
 const (
-	// shortest is the least wait: some ten times what a quiet store takes, so that a
-	// node short of processor time does not repeat each call.
-	shortest = 80 * time.Millisecond
-	// longest bounds the wait for a store that is slow.
-	longest = 900 * time.Millisecond
-	// patience is how many times the usual answer's time an attempt waits, and
-	// usual is the percentile that counts as usual.
-	patience = 4
-	usual    = 95
-	// windows and answersPerWindow say how many answers are remembered: some ten
-	// seconds of a busy owner.
-	windows          = 2
+	// minWait is the lower limit of the wait: about ten times the answer time of an idle
+	// store, so that a node short of CPU time does not repeat every call.
+	minWait = 80 * time.Millisecond
+	// maxWait bounds the wait for a slow store.
+	maxWait = 900 * time.Millisecond
+	// waitFactor times the typical answer time is how long an attempt waits.
+	// typicalPercentile is the percentile of the answer times that counts as typical.
+	waitFactor        = 4
+	typicalPercentile = 95
+	// windowCount and answersPerWindow set how many answers the histogram covers: about
+	// ten seconds of a busy owner.
+	windowCount      = 2
 	answersPerWindow = 64
-	// measureEvery spaces the work of finding the percentile, in answers.
-	measureEvery = 8
-	// growth bounds the later waits of a call, in first waits, while other calls are
-	// answered: the store is forgetful then and not slow, and a long wait for an
-	// answer that is lost helps nobody. silence is how long no call may have been
-	// answered for that.
-	growth  = 2
-	silence = time.Second
-	// fewAnswers is how many of the newest answers the wait covers by half as much
-	// again, so that a store that has become slow is known after one.
-	fewAnswers = 4
-	// turnedAwayPause follows an attempt that failed before its wait was over: the
-	// store is down, or turns this node away.
-	turnedAwayPause = 60 * time.Millisecond
+	// percentileEvery is how many answers pass between two computations of the percentile.
+	percentileEvery = 8
+	// maxGrowth bounds later waits of a call, as a multiple of its first wait, while other
+	// calls are answered: the store then loses answers but is not slow, and a long wait
+	// for a lost answer is useless. Without an answer for silentAfter, only maxWait bounds
+	// them.
+	maxGrowth   = 2
+	silentAfter = time.Second
+	// latestCount is how many of the newest answers the wait exceeds by half, so that a
+	// single answer shows that the store has become slow.
+	latestCount = 4
+	// refusedPause follows an attempt that failed before its wait was over: the store is
+	// down or refuses this node.
+	refusedPause = 60 * time.Millisecond
 )
 
-// Resolution of the remembered times.
+// Range and resolution of the histogram.
 const (
-	leastMicros = 100
-	mostMicros  = 4_000_000
-	digits      = 2
+	minMicros         = 100
+	maxMicros         = 4_000_000
+	significantDigits = 2
 )
 
-// Policy is how long attempts wait, learnt from the answers. It is safe for
-// concurrent use; the zero value is not ready to use.
+// Policy derives the wait of an attempt from recent answer times. It is safe for
+// concurrent use; create it with NewPolicy.
 type Policy struct {
-	mu      sync.Mutex
-	seen    *hdrhistogram.WindowedHistogram
-	answers int
-	// typical is the percentile last found, latest the newest answers' times.
+	mu        sync.Mutex
+	histogram *hdrhistogram.WindowedHistogram
+	answers   int
+	// typical is the percentile last computed, latest the times of the newest answers.
 	typical time.Duration
-	latest  [fewAnswers]time.Duration
-	// heard is when a call was last answered and carried out.
-	heard time.Duration
+	latest  [latestCount]time.Duration
+	// lastDone is when the store last answered a call that it carried out.
+	lastDone time.Duration
 }
 
-// NewPolicy returns a policy that has seen no answer.
+// NewPolicy returns a policy without recorded answers.
 func NewPolicy() *Policy {
-	return &Policy{seen: hdrhistogram.NewWindowed(windows, leastMicros, mostMicros, digits), typical: shortest / patience}
+	return &Policy{histogram: hdrhistogram.NewWindowed(windowCount, minMicros, maxMicros, significantDigits), typical: minWait / waitFactor}
 }
 
-// Wait is how long the numbered attempt of a call, from 1 on, waits for its answer.
-// The second waits as long as the first, as one lost answer says nothing of the
-// store's speed; from then on each waits half as long again: where no answer comes
-// at all, the store is slower than it was and not only forgetful.
+// Wait returns how long an attempt of a call, counted from 1, waits for its answer. The
+// second waits as long as the first, as one lost answer does not mean that the store is
+// slow. From then on each waits half as long again: if no answer arrives at all, the store
+// may have become slower.
 func (p *Policy) Wait(now time.Duration, attempt int) time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	wait := max(shortest, patience*p.typical)
+	wait := max(minWait, waitFactor*p.typical)
 	for _, took := range p.latest {
 		wait = max(wait, took+took/2)
 	}
-	most := longest
-	if now-p.heard < silence {
-		most = growth * wait
+	limit := maxWait
+	if now-p.lastDone < silentAfter {
+		limit = maxGrowth * wait
 	}
 	for range attempt - 2 {
-		wait = min(wait+wait/2, most)
+		wait = min(wait+wait/2, limit)
 	}
-	return min(wait, longest)
+	return min(wait, maxWait)
 }
 
-// Slow reports whether the store takes longer than limit for most of its answers
-// lately. One that loses answers gives the others as fast as ever.
+// Slow reports whether most of the newest answers took longer than limit. A store that
+// only loses answers is not slow: the others arrive as fast as before.
 func (p *Policy) Slow(limit time.Duration) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -107,76 +108,75 @@
 			slow++
 		}
 	}
-	return 2*slow > fewAnswers
+	return 2*slow > latestCount
 }
 
-// Silent is for how long the store has carried out nothing that it answered.
+// Silent returns how long ago the store last answered a call that it carried out.
 func (p *Policy) Silent(now time.Duration) time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return now - p.heard
+	return now - p.lastDone
 }
 
-// Answered takes in how long an answer took. done is false where it turned the
-// call away.
+// Answered records how long an answer took. done is false if the store refused the call.
 func (p *Policy) Answered(now, took time.Duration, done bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if done {
-		p.heard = now
+		p.lastDone = now
 	}
-	// Beyond the histogram's range there is nothing to learn: the wait is bounded.
-	_ = p.seen.Current.RecordValue(min(max(took.Microseconds(), leastMicros), mostMicros))
-	p.latest[p.answers%fewAnswers] = took
+	// Times beyond the histogram's range are clamped: the wait is bounded anyway.
+	_ = p.histogram.Current.RecordValue(min(max(took.Microseconds(), minMicros), maxMicros))
+	p.latest[p.answers%latestCount] = took
 	p.answers++
-	if p.answers%measureEvery == 0 {
-		p.typical = time.Duration(p.seen.Merge().ValueAtQuantile(usual)) * time.Microsecond
+	if p.answers%percentileEvery == 0 {
+		p.typical = time.Duration(p.histogram.Merge().ValueAtQuantile(typicalPercentile)) * time.Microsecond
 	}
 	if p.answers%answersPerWindow == 0 {
-		p.seen.Rotate()
+		p.histogram.Rotate()
 	}
 }
 
-// Verdict is what an attempt's error says of the call.
+// Verdict classifies the error of an attempt.
 type Verdict uint8
 
 // Verdicts on attempts.
 const (
-	// Final: the answer will not change.
+	// Final means that a retry would get the same answer.
 	Final Verdict = iota
-	// TurnedAway: the store answered that it has done nothing; it may later.
+	// TurnedAway means that the store answered that it did nothing; a retry may succeed.
 	TurnedAway
-	// Unanswered: the call may have been carried out.
+	// Unanswered means that the call may have been carried out.
 	Unanswered
 )
 
-// answer is what became of one attempt.
+// answer is the result of one attempt.
 type answer[T any] struct {
 	out  T
 	err  error
 	took time.Duration
-	// givenUp: a later attempt has taken its place.
-	givenUp bool
+	// superseded is set if the attempt was cancelled for a later one.
+	superseded bool
 }
 
-// repeater is one call and its attempts. The first stays open beside the newest one:
-// its answer may be slow and not lost.
+// repeater is one call with its attempts. The first attempt stays open beside the newest
+// one: its answer may be slow and not lost.
 type repeater[T any] struct {
-	policy  *Policy
-	call    func(context.Context) (T, error)
-	answers chan answer[T]
-	tries   int
-	// giveUp ends the newest attempt.
-	giveUp context.CancelFunc
+	policy   *Policy
+	call     func(context.Context) (T, error)
+	answers  chan answer[T]
+	attempts int
+	// cancelNewest cancels the newest attempt.
+	cancelNewest context.CancelFunc
 }
 
-// Repeat makes a call until its answer is final or ctx ends, and returns how many
-// attempts that took. judge says what an error means; nil errors are final. The
-// first answer of any attempt counts.
+// Repeat makes a call until its answer is final or ctx ends, and returns the number of
+// attempts. classify says what an error means; a nil error is final. The first conclusive
+// answer of any attempt is returned.
 //
-// Where each attempt is given up for the next one, none is answered by a store that
-// has just become slow.
-func Repeat[T any](ctx context.Context, p *Policy, judge func(error) Verdict, call func(context.Context) (T, error)) (out T, tries int, err error) {
+// If every attempt were cancelled for the next one, a store that has just become slow
+// would answer none in time.
+func Repeat[T any](ctx context.Context, p *Policy, classify func(error) Verdict, call func(context.Context) (T, error)) (out T, attempts int, err error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	r := repeater[T]{policy: p, call: call, answers: make(chan answer[T])}
@@ -188,52 +188,51 @@
 			if err == nil {
 				err = &platform.OutcomeUnknownError{Call: "repeated call", Cause: ctx.Err()}
 			}
-			return out, r.tries, err
+			return out, r.attempts, err
 		case <-timer.C:
 			r.attempt(ctx)
-			timer.Reset(p.Wait(planlease.Boottime(), r.tries))
+			timer.Reset(p.Wait(planlease.Boottime(), r.attempts))
 		case a := <-r.answers:
-			if a.givenUp && a.err != nil {
+			if a.superseded && a.err != nil {
 				continue
 			}
 			out, err = a.out, a.err
-			if r.take(a, judge) {
-				return out, r.tries, err
+			if r.handle(a, classify) {
+				return out, r.attempts, err
 			}
-			timer.Reset(turnedAwayPause)
+			timer.Reset(refusedPause)
 		}
 	}
 }
 
-// attempt makes another attempt and gives up the one before, unless that is the
-// first.
+// attempt starts another attempt and cancels the one before, unless that is the first.
 func (r *repeater[T]) attempt(ctx context.Context) {
-	if r.tries > 1 {
-		r.giveUp()
+	if r.attempts > 1 {
+		r.cancelNewest()
 	}
-	r.tries++
-	call := ctx
-	ctx, giveUp := context.WithTimeout(ctx, longest)
-	r.giveUp = giveUp
+	r.attempts++
+	callCtx := ctx
+	ctx, cancel := context.WithTimeout(ctx, maxWait)
+	r.cancelNewest = cancel
 	go func() {
-		defer giveUp()
+		defer cancel()
 		began := planlease.Boottime()
 		out, err := r.call(ctx)
 		a := answer[T]{out, err, planlease.Boottime() - began, ctx.Err() != nil}
 		select {
 		case r.answers <- a:
-		case <-call.Done():
+		case <-callCtx.Done():
 		}
 	}()
 }
 
-// take learns from an answer and reports whether it is final.
-func (r *repeater[T]) take(a answer[T], judge func(error) Verdict) (final bool) {
+// handle records the answer's time and reports whether the answer is final.
+func (r *repeater[T]) handle(a answer[T], classify func(error) Verdict) (final bool) {
 	if a.err == nil {
 		r.policy.Answered(planlease.Boottime(), a.took, true)
 		return true
 	}
-	verdict := judge(a.err)
+	verdict := classify(a.err)
 	if verdict != Unanswered {
 		r.policy.Answered(planlease.Boottime(), a.took, verdict == Final)
 	}
--- a/internal/attempts/store.go
+++ b/internal/attempts/store.go
@@ -6,19 +6,19 @@
 	"cyclamenwheel/platform"
 )
 
-// OfStore says what an error of a call on the store means.
+// OfStore classifies the error of a call to the store.
 func OfStore(err error) Verdict {
 	var fenced *platform.FencedError
-	var movedOn *platform.MovedOnError
-	if errors.As(err, &fenced) || errors.As(err, &movedOn) {
+	var conditionFailed *platform.MovedOnError
+	if errors.As(err, &fenced) || errors.As(err, &conditionFailed) {
 		return Final
 	}
-	var turnedAway *platform.NotDoneError
-	if !errors.As(err, &turnedAway) {
+	var notDone *platform.NotDoneError
+	if !errors.As(err, &notDone) {
 		return Unanswered
 	}
-	if turnedAway.Reason != "" {
-		return Final // a number out of sequence
+	if notDone.Reason != "" {
+		return Final // sequence number out of order
 	}
 	return TurnedAway
 }
