--- a/internal/feed/feed.go
+++ b/internal/feed/feed.go
@@ -1,5 +1,7 @@
-// Package feed follows a keyed topic of the platform's store: the newest record
-// of each key, as it changes.
+// Package feed follows a keyed topic of the platform's store and passes on the newest
+// record of each key as it changes. Its input is the pages that the store's client reads;
+// after a gap in the history it reads the newest records again. internal/host runs it for
+// the endpoints' and the operators' topics.
 package feed
 
 import (
@@ -14,28 +16,28 @@
 )
 
 const (
-	// pollWait is how long a read waits for a record. A connection that has
-	// gone silent without a reset is noticed after this and the client's
-	// slack; together they stay below the time in which a configuration must
-	// be in force.
+	// pollWait is how long a read waits for a record. A connection that has stalled
+	// without a reset is detected after this plus the client's slack; together they stay
+	// below the time in which a configuration must take effect.
 	pollWait = 900 * time.Millisecond
-	// retryMin and retryMax space attempts while the store does not answer.
+	// retryMin and retryMax bound the delay between attempts while the store does not
+	// answer.
 	retryMin = 100 * time.Millisecond
 	retryMax = 500 * time.Millisecond
 )
 
-// Handler takes in records. Reset is true where records are the whole state,
-// and false where they follow what came before. It is called by one goroutine.
+// Handler receives records. If reset is true, records are the whole state; otherwise they
+// follow the previous ones. It is called by one goroutine.
 type Handler func(reset bool, records []platform.Record)
 
-// Topic is what to follow.
+// Topic is a topic to follow.
 type Topic struct {
 	Name string
-	// Gap is left between two reads: a topic that changes all the time would otherwise
-	// cost a call for each record.
+	// Gap is the pause between two reads: a topic that changes all the time would
+	// otherwise cost a call for each record.
 	Gap    time.Duration
 	Handle Handler
-	// Heard, if set, is called after each answer of the store, once what it brought was
+	// Heard, if set, is called after each answer of the store, once its records have been
 	// handled.
 	Heard func()
 }
@@ -46,15 +48,15 @@
 	Read(ctx context.Context, topic string, from int64, wait time.Duration) (platform.Page, error)
 }
 
-// Follow reads a topic until ctx ends. History that is gone is made up for by
-// reading the newest records again, so that a feed is never behind for good.
+// Follow reads a topic until ctx ends. If the store no longer has the next records, it
+// reads the newest record of each key again, so that a feed never stays behind.
 func Follow(ctx context.Context, store Store, topic Topic, log *slog.Logger) {
 	f := follower{store: store, topic: topic.Name, log: log, handle: topic.Handle, next: -1}
 	retry := retryMin
 	for ctx.Err() == nil {
 		err := f.step(ctx)
 		if err == nil {
-			f.regained()
+			f.markUp()
 			retry = retryMin
 			if topic.Heard != nil && f.next >= 0 {
 				topic.Heard()
@@ -65,7 +67,7 @@
 		if ctx.Err() != nil {
 			return
 		}
-		f.lost(err)
+		f.markDown(err)
 		pause.For(ctx, retry)
 		retry = min(2*retry, retryMax)
 	}
@@ -74,8 +76,8 @@
 // historyLimit bounds the records that History reads.
 const historyLimit = 20000
 
-// History returns the records of a topic that the store still has, the oldest
-// first, as they were written: also those whose key has a newer record.
+// History returns the records of a topic that the store still has, oldest first and as
+// written, including those superseded by a newer record of their key.
 func History(ctx context.Context, store Store, topic string) ([]platform.Record, error) {
 	var all []platform.Record
 	from := int64(0)
@@ -133,14 +135,14 @@
 	return nil
 }
 
-func (f *follower) lost(err error) {
+func (f *follower) markDown(err error) {
 	if !f.down {
 		f.log.Warn("dependency lost", "dependency", "store", "topic", f.topic, "error", err.Error())
 	}
 	f.down = true
 }
 
-func (f *follower) regained() {
+func (f *follower) markUp() {
 	if f.down {
 		f.log.Info("dependency regained", "dependency", "store", "topic", f.topic)
 	}
--- a/internal/ingress/ingress.go
+++ b/internal/ingress/ingress.go
@@ -1,6 +1,7 @@
-// Package ingress answers callers: it finds the queue's pool, hands the request
-// to the pool's owner, and turns what comes back into an answer that says
-// whether the request has taken effect.
+// Package ingress answers callers: it forwards a request to the owner of its queue's pool
+// and turns the result into an answer that says whether the request has taken effect. Its
+// input is decoded requests with their queue and account. The listener for callers'
+// requests (platform) calls it; internal/host sets it up.
 package ingress
 
 import (
@@ -19,7 +20,7 @@
 	"cyclamenwheel/platform"
 )
 
-// Ingress serves callers' requests of one process.
+// Ingress serves the callers' requests that arrive at one process.
 type Ingress struct {
 	*published.Keeper
 	calls *shards.Calls
@@ -31,14 +32,14 @@
 	return &Ingress{Keeper: configs, calls: calls, log: log}
 }
 
-// Submit hands a job in.
+// Submit submits a job.
 func (i *Ingress) Submit(ctx context.Context, q *routing.Queue, account string, job jobs.Job) platform.Answer {
 	result := i.calls.Submit(ctx, shards.SubmitCall{Pool: q.Service, Job: job,
 		Under: executor.Accepting{Queue: q.Name, Terms: q.Terms, Account: account}})
 	return answerOf(result)
 }
 
-// State answers with a job's state.
+// State returns a job's state.
 func (i *Ingress) State(ctx context.Context, q *routing.Queue, account, id string) platform.Answer {
 	result := i.calls.State(ctx, jobCall(q, account, id))
 	a := answerOf(result)
@@ -57,7 +58,7 @@
 	return shards.JobCall{Pool: q.Service, ID: id, By: executor.Caller{Queue: q.Name, Account: account}}
 }
 
-// Pending answers with the number of a queue's jobs that have not begun.
+// Pending returns how many of a queue's jobs have not started.
 func (i *Ingress) Pending(ctx context.Context, q *routing.Queue) platform.Answer {
 	result := i.calls.Pending(ctx, shards.QueueCall{Pool: q.Service, Queue: q.Name})
 	a := answerOf(result)
@@ -67,8 +68,8 @@
 	return a
 }
 
-// answerOf keeps apart what has certainly not happened, which callers may
-// repeat as they like, and what may have, which they must ask about.
+// answerOf distinguishes calls that certainly had no effect, which callers may repeat
+// freely, from those that may have had one, whose outcome callers must query.
 func answerOf(r shards.Result) platform.Answer {
 	retry := time.Duration(r.RetryAfterMs) * time.Millisecond
 	switch r.Outcome {
@@ -84,20 +85,20 @@
 	return platform.Answer{Status: http.StatusGatewayTimeout, Problem: "outcome-unknown", Detail: r.Reason}
 }
 
-// Answered logs and counts a request's end.
+// Answered logs and counts an answered request.
 func (i *Ingress) Answered(r platform.Request) {
-	status := statusClass(r.Answer.Status)
+	status := statusLabel(r.Answer.Status)
 	metrics.GetOrCreateCounter(`cyclamen_requests_total{method="` + methodLabel(r.Method) + `",status="` + status + `"}`).Inc()
 	metrics.GetOrCreateHistogram(`cyclamen_request_duration_seconds{method="` + methodLabel(r.Method) + `"}`).Update(r.Took.Seconds())
 	if r.Method == http.MethodGet && r.Answer.Status == http.StatusOK {
-		return // callers poll; the state they were shown has its own line
+		return // callers poll; changes of a job's state are logged separately
 	}
 	i.log.Info("request answered", "job", r.Job, "queue", r.Queue, "account", r.Account, "method", r.Method, "config_version", r.Version,
 		"status", r.Answer.Status, "reason", r.Answer.Problem, "detail", r.Answer.Detail,
 		"retry_after_ms", r.Answer.RetryAfter.Milliseconds(), "duration_ms", r.Took.Milliseconds())
 }
 
-// methodLabel bounds the label's values: callers may send any word as method.
+// methodLabel bounds the label's values: callers may send any string as method.
 func methodLabel(method string) string {
 	switch method {
 	case http.MethodGet, http.MethodPost, http.MethodDelete:
@@ -106,7 +107,7 @@
 	return "other"
 }
 
-func statusClass(status int) string {
+func statusLabel(status int) string {
 	switch status {
 	case http.StatusOK, http.StatusTooManyRequests, http.StatusServiceUnavailable, http.StatusGatewayTimeout,
 		http.StatusNotFound, http.StatusGone, http.StatusUnauthorized, http.StatusBadRequest:
--- a/internal/jobs/jobs.go
+++ b/internal/jobs/jobs.go
@@ -1,5 +1,7 @@
-// Package jobs holds what callers hand in: jobs of steps of tasks, their
-// names and their checks. It knows nothing of how they arrive or run.
+// Package jobs defines what callers submit: jobs of steps of tasks, their names and their
+// validation. Its input is decoded jobs and task names in text form; it does not depend on
+// how jobs arrive or run. The listener for callers' requests (platform) validates with it,
+// and the executor and internal/shards use its types.
 package jobs
 
 import (
@@ -11,32 +13,31 @@
 const (
 	// MaxSpecBytes is the longest Spec that callers may send.
 	MaxSpecBytes = 4000
-	// MaxSteps and MaxTasks bound what one job may cost: all of its tasks'
-	// progress is one record of some 60 bytes a task, and the store takes
-	// records of 256 KB.
+	// MaxSteps and MaxTasks bound the size of a job: the progress of all of its tasks is
+	// one record of about 60 bytes a task, and the store accepts records of up to 256 KB.
 	MaxSteps = 256
 	MaxTasks = 3000
-	// MaxOccurrences bounds a recurring job; occurrences are expanded one at
-	// a time, so it is no bound on memory.
+	// MaxOccurrences bounds a recurring job. Occurrences are expanded one at a time, so it
+	// does not serve to bound memory.
 	MaxOccurrences = 100000
 	idDigits       = 16
 )
 
-// Job is what a caller submits. It never changes once accepted.
+// Job is what a caller submits. It is immutable once accepted.
 type Job struct {
 	ID string `cbor:"1,keyasint"`
-	// Spec is passed to each task as it came.
+	// Spec is passed unchanged to each task.
 	Spec  string `cbor:"2,keyasint,omitempty"`
 	Steps []Step `cbor:"3,keyasint"`
-	// Occurrences is how often the steps run; 0 stands for once, at once.
+	// Occurrences is how often the steps run; 0 means once, immediately.
 	Occurrences int `cbor:"4,keyasint,omitempty"`
 	// StartAtMs is when the first occurrence is due, in ms since 1970.
 	StartAtMs int64 `cbor:"5,keyasint,omitempty"`
-	// IntervalMs lies between two occurrences.
+	// IntervalMs is the time between two occurrences.
 	IntervalMs int64 `cbor:"6,keyasint,omitempty"`
 }
 
-// Step is a number of alike tasks.
+// Step is a number of identical tasks.
 type Step struct {
 	Count      int   `cbor:"1,keyasint"`
 	CPUMilli   int   `cbor:"2,keyasint,omitempty"`
@@ -44,31 +45,33 @@
 	GPUs       int   `cbor:"4,keyasint,omitempty"`
 	EstimateMs int   `cbor:"5,keyasint,omitempty"`
 	After      []int `cbor:"6,keyasint,omitempty"`
-	// Checkpoints says that its tasks save their progress.
+	// Checkpoints means that its tasks save their progress.
 	Checkpoints bool `cbor:"7,keyasint,omitempty"`
-	// Gang says that its tasks work only while all of them are present.
+	// Gang means that its tasks make progress only while all of them are running.
 	Gang     bool `cbor:"8,keyasint,omitempty"`
 	SameRack bool `cbor:"9,keyasint,omitempty"`
-	// Requires is a label that the endpoint must carry.
+	// Requires is a label that the endpoint must have.
 	Requires string `cbor:"10,keyasint,omitempty"`
-	// DataRack is where its data is; elsewhere its tasks take longer.
+	// DataRack is the rack that holds its data; on other racks its tasks take longer.
 	DataRack string `cbor:"11,keyasint,omitempty"`
-	// MaxPerEndpoint bounds its tasks on one endpoint; 0 is no bound.
+	// MaxPerEndpoint bounds how many of its tasks run on one endpoint; 0 means no limit.
 	MaxPerEndpoint int  `cbor:"12,keyasint,omitempty"`
 	Speculative    bool `cbor:"13,keyasint,omitempty"`
-	// LongRunning tasks run until the job is cancelled, however they end.
+	// LongRunning tasks run until the job is cancelled; they are restarted however they
+	// end.
 	LongRunning bool   `cbor:"14,keyasint,omitempty"`
 	Image       string `cbor:"15,keyasint,omitempty"`
-	// TargetMs is the tail latency that its tasks promise their own users.
+	// TargetMs is the tail latency that its tasks guarantee to their own users.
 	TargetMs int `cbor:"16,keyasint,omitempty"`
-	// Fills says that CPUMilli is taken from what other tasks leave unused.
+	// Fills means that its tasks use CPU that other tasks leave idle.
 	Fills bool `cbor:"17,keyasint,omitempty"`
-	// MayMiss is how many of its tasks may be away by the system's own doing.
+	// MayMiss is how many of its tasks the system may keep stopped at a time by its own
+	// actions.
 	MayMiss int `cbor:"18,keyasint,omitempty"`
 }
 
-// Serves reports whether the step's tasks have users of their own whose
-// response times other tasks can spoil.
+// Serves reports whether the step's tasks have users of their own, whose response times
+// other tasks can degrade.
 func (s *Step) Serves() bool { return s.TargetMs > 0 }
 
 // TaskName identifies a task in all messages.
@@ -100,7 +103,7 @@
 	return TaskName{Job: parts[0], Occurrence: numbers[0], Step: numbers[1], Index: numbers[2]}, true
 }
 
-// ValidID reports whether id has the form of a job's ID.
+// ValidID reports whether id has the form of a job ID.
 func ValidID(id string) bool {
 	if len(id) != idDigits {
 		return false
@@ -113,7 +116,7 @@
 	return true
 }
 
-// MalformedError says what is wrong with a job.
+// MalformedError names the field of a job that is invalid, and why.
 type MalformedError struct {
 	Field  string
 	Detail string
@@ -121,7 +124,7 @@
 
 func (e *MalformedError) Error() string { return e.Field + ": " + e.Detail }
 
-// Check returns the first fault of a job as a *MalformedError, or nil.
+// Check returns the first error in a job as a *MalformedError, or nil.
 func (j *Job) Check() error {
 	switch {
 	case !ValidID(j.ID):
--- a/internal/published/published.go
+++ b/internal/published/published.go
@@ -1,10 +1,11 @@
-// Package published keeps the operators' configuration in force in one process. It comes
-// from the store; a process that the store turns away learns of newer versions from its
-// peers.
+// Package published holds the operators' configuration in force in one process and decides
+// when to ask peers for a newer one. Its input is configurations decoded from the store's
+// topic and, where the store does not answer this process, from peers. internal/host
+// passes it the configurations, and ingress serves requests by the one in force.
 //
-// What a peer sends is taken for as good as the store's word: peers prove by certificate
-// that they are nodes of the deployment, each has decoded what it sends from the store's
-// topic itself, and a version is never followed by an older one.
+// A peer's configuration is trusted as much as the store's: peers prove by certificate
+// that they are nodes of the deployment, each decodes the store's topic itself, and a
+// version is never replaced by an older one.
 package published
 
 import (
@@ -22,55 +23,57 @@
 
 const (
 	kindNewer = "config.newer"
-	// unconfirmed is how old the store's word may be before peers are asked. It is above
-	// what passes between two answers of a store that is well.
-	unconfirmed = 1300 * time.Millisecond
-	// askEvery spaces questions to peers, and to the store for a key that is not known: a
-	// flood of unknown keys costs no more.
-	askEvery = 400 * time.Millisecond
-	// askLimit bounds one question: a peer that is silent may be cut off as well.
-	askLimit = 300 * time.Millisecond
+	// askPeersAfter is how long ago the store may last have confirmed the configuration
+	// before peers are asked. It is above the time between two answers of a healthy store.
+	askPeersAfter = 1300 * time.Millisecond
+	// askInterval spaces requests to peers, also those for an unknown key: a flood of
+	// unknown keys costs no more.
+	askInterval = 400 * time.Millisecond
+	// askTimeout bounds one request: a peer that does not answer may be cut off as well.
+	askTimeout = 300 * time.Millisecond
 )
 
-// Options of a Keeper.
+// Options configure a Keeper.
 type Options struct {
-	// Peers returns the names of the peers that can be asked.
+	// Peers returns the names of the peers to ask.
 	Peers func() []string
-	// Ask asks one of them.
+	// Ask sends a request to one of them.
 	Ask func(ctx context.Context, peer string, have int64) (Answer, error)
-	// Changed is told of each configuration that comes into force.
+	// Changed is called with each configuration that takes effect.
 	Changed func(*routing.Config)
-	// Strict: a process that has heard nothing of the configuration for Revoke trusts no
-	// keys, as they may have been removed. Others go on with the last ones.
+	// Strict makes a process that has had no confirmation of its configuration for Revoke
+	// reject all keys, as they may have been removed. Otherwise it keeps using the last
+	// ones.
 	Strict bool
 	Revoke time.Duration
 	Logger *slog.Logger
 }
 
-// Keeper keeps the configuration in force. It is safe for concurrent use.
+// Keeper holds the configuration in force. It is safe for concurrent use.
 type Keeper struct {
 	opts   Options
 	config atomic.Pointer[routing.Config]
-	// putting is held while a configuration comes into force, so that Changed is told of
-	// them in order.
-	putting sync.Mutex
-	// confirmed is when config was last known to be the newest, asked when that was last
-	// asked; on a clock that counts suspension.
-	confirmed, asked atomic.Int64
-	next             atomic.Int64
+	// putMu serializes changes of the configuration, so that Changed is called in order of
+	// versions.
+	putMu sync.Mutex
+	// confirmedAt is when config was last known to be the newest, lastAsked when a peer
+	// was last asked on a caller's behalf; both on a clock that keeps running during
+	// suspension.
+	confirmedAt, lastAsked atomic.Int64
+	nextPeer               atomic.Int64
 }
 
 // New returns a keeper without a configuration.
 func New(opts Options) *Keeper { return &Keeper{opts: opts} }
 
-// Config is the configuration in force, nil before the first.
+// Config returns the configuration in force, nil before the first.
 func (k *Keeper) Config() *routing.Config { return k.config.Load() }
 
-// Put puts a configuration in force unless one as new is: the store may answer a late
-// read with an old state.
+// Put puts a configuration in force and reports true, unless one at least as new is in
+// force: the store may answer a delayed read with an old state.
 func (k *Keeper) Put(c *routing.Config) bool {
-	k.putting.Lock()
-	defer k.putting.Unlock()
+	k.putMu.Lock()
+	defer k.putMu.Unlock()
 	if have := k.config.Load(); have != nil && have.Version >= c.Version {
 		return false
 	}
@@ -79,62 +82,64 @@
 	return true
 }
 
-// Confirm takes in that the store had nothing newer at the time at.
+// Confirm records that the store had nothing newer at the time at.
 func (k *Keeper) Confirm(at time.Duration) {
 	for {
-		have := k.confirmed.Load()
-		if have >= int64(at) || k.confirmed.CompareAndSwap(have, int64(at)) {
+		have := k.confirmedAt.Load()
+		if have >= int64(at) || k.confirmedAt.CompareAndSwap(have, int64(at)) {
 			return
 		}
 	}
 }
 
-// Age is how long ago the configuration was last known to be the newest.
-func (k *Keeper) Age() time.Duration { return planlease.Boottime() - time.Duration(k.confirmed.Load()) }
+// Age returns how long ago the configuration was last known to be the newest.
+func (k *Keeper) Age() time.Duration {
+	return planlease.Boottime() - time.Duration(k.confirmedAt.Load())
+}
 
-// KeysTrusted reports whether callers' keys may be gone by.
+// KeysTrusted reports whether callers' keys may be accepted.
 func (k *Keeper) KeysTrusted() bool { return !k.opts.Strict || k.Age() < k.opts.Revoke }
 
-// Follow asks peers while the store is silent, until ctx ends.
+// Follow asks peers while the store does not answer, until ctx ends.
 func (k *Keeper) Follow(ctx context.Context) {
 	for ctx.Err() == nil {
-		pause.For(ctx, askEvery)
-		if k.Age() > unconfirmed {
+		pause.For(ctx, askInterval)
+		if k.Age() > askPeersAfter {
 			k.askPeer(ctx)
 		}
 	}
 }
 
-// Newer returns the newest configuration that can be had at once. While the store is
-// well, that is the one in force.
+// Newer returns the configuration in force, after asking a peer if that is not newer than
+// version and the store has not confirmed it recently.
 func (k *Keeper) Newer(ctx context.Context, version int64) *routing.Config {
 	if c := k.Config(); c != nil && c.Version > version {
 		return c
 	}
-	if k.Age() > unconfirmed && k.mayAsk() {
+	if k.Age() > askPeersAfter && k.reserveAsk() {
 		k.askPeer(ctx)
 	}
 	return k.Config()
 }
 
-// mayAsk takes the turn to ask, which comes once in askEvery.
-func (k *Keeper) mayAsk() bool {
-	now, last := int64(planlease.Boottime()), k.asked.Load()
-	return now-last > int64(askEvery) && k.asked.CompareAndSwap(last, now)
+// reserveAsk reports whether the caller may ask a peer now, at most once per askInterval.
+func (k *Keeper) reserveAsk() bool {
+	now, last := int64(planlease.Boottime()), k.lastAsked.Load()
+	return now-last > int64(askInterval) && k.lastAsked.CompareAndSwap(last, now)
 }
 
-// askPeer asks one peer, another one each time.
+// askPeer asks one peer, in round-robin order.
 func (k *Keeper) askPeer(ctx context.Context) {
 	peers := k.opts.Peers()
 	if len(peers) == 0 {
 		return
 	}
-	name := peers[int(k.next.Add(1))%len(peers)]
+	name := peers[int(k.nextPeer.Add(1))%len(peers)]
 	have := int64(0)
 	if c := k.Config(); c != nil {
 		have = c.Version
 	}
-	ctx, cancel := context.WithTimeout(ctx, askLimit)
+	ctx, cancel := context.WithTimeout(ctx, askTimeout)
 	defer cancel()
 	asked := planlease.Boottime()
 	got, err := k.opts.Ask(ctx, name, have)
@@ -150,18 +155,18 @@
 	}
 }
 
-// Question asks a peer for a configuration newer than a version.
+// Question asks a peer for a configuration newer than version Have.
 type Question struct {
 	Have int64 `cbor:"1,keyasint"`
 }
 
-// Answer is what a peer has.
+// Answer describes the configuration in force at a peer.
 type Answer struct {
-	// Version is that of the configuration in force at the peer, 0 for none, and AgeMs how
-	// long ago it was known to be the newest.
+	// Version is its version, 0 for none, and AgeMs how long ago it was known to be the
+	// newest.
 	Version int64 `cbor:"1,keyasint"`
 	AgeMs   int64 `cbor:"2,keyasint"`
-	// Config is that configuration, where it is newer than what the asker has.
+	// Config is the configuration itself if it is newer than the requester's.
 	Config *routing.Config `cbor:"3,keyasint,omitempty"`
 }
 
@@ -177,7 +182,7 @@
 	return a
 }
 
-// Register makes this process answer its peers.
+// Register makes this process answer requests from its peers.
 func (k *Keeper) Register(n *peer.Node) {
 	peer.Handle(n, kindNewer, func(_ context.Context, _ peer.Identity, q Question) (Answer, error) {
 		return k.answer(q), nil
--- a/internal/published/published_test.go
+++ b/internal/published/published_test.go
@@ -24,7 +24,7 @@
 		Services: map[string]routing.Service{"p": {Name: "p"}}}
 }
 
-// pair are two keepers of which the first can ask the second.
+// pair returns two keepers of which the first can ask the second.
 func pair(strict bool) (asker, answerer *Keeper, asked *int) {
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
 	changed := func(*routing.Config) {}
@@ -34,7 +34,7 @@
 		Peers: func() []string { return []string{"b"} },
 		Ask: func(_ context.Context, _ string, have int64) (Answer, error) {
 			*asked++
-			// As it travels between processes.
+			// Encode as between processes.
 			data, err := cbor.Marshal(answerer.answer(Question{Have: have}))
 			if err != nil {
 				return Answer{}, err
@@ -45,8 +45,8 @@
 	return asker, answerer, asked
 }
 
-// A removed key is accepted by a node that the store turns away, for as long as it does.
-func TestAConfigurationComesFromAPeerWhileTheStoreIsSilent(t *testing.T) {
+// Guards against a node that the store does not answer accepting a removed key.
+func TestConfigurationComesFromPeerWhileStoreIsUnreachable(t *testing.T) {
 	g := NewWithT(t)
 	asker, answerer, _ := pair(false)
 	asker.Put(configOf(g, 1, "old"))
@@ -60,11 +60,11 @@
 	g.Expect(known).To(BeTrue())
 	g.Expect(a.Limit.CPUMilli).To(Equal(8))
 	g.Expect(got.Queues[0].Terms.Attempts).To(Equal(2))
-	g.Expect(asker.Age()).To(BeNumerically("<", time.Second), "the peer's confirmation counts here as well")
+	g.Expect(asker.Age()).To(BeNumerically("<", time.Second), "the peer's confirmation applies to this node as well")
 }
 
-// A request with an unknown key costs a question each.
-func TestAFloodOfUnknownKeysAsksNoMoreThanATimedQuestion(t *testing.T) {
+// Guards against one request to a peer for every request with an unknown key.
+func TestUnknownKeysAskPeersAtLimitedRate(t *testing.T) {
 	g := NewWithT(t)
 	asker, answerer, asked := pair(false)
 	answerer.Put(configOf(g, 1, "k"))
@@ -76,46 +76,47 @@
 	asker.Confirm(planlease.Boottime())
 	*asked = 0
 	asker.Newer(context.Background(), 1)
-	g.Expect(*asked).To(BeZero(), "the store is well: what it says is the newest")
+	g.Expect(*asked).To(BeZero(), "no peer is asked while the store answers")
 }
 
-// A node that starts while the store is silent ends as it asks a peer that has no
-// configuration either.
-func TestAPeerWithoutAConfigurationIsNoTrouble(t *testing.T) {
+// A node that starts while the store is unreachable must not crash when the peer that it
+// asks has no configuration either.
+func TestPeerWithoutConfiguration(t *testing.T) {
 	g := NewWithT(t)
 	asker, _, asked := pair(false)
 	g.Expect(asker.Newer(context.Background(), 0)).To(BeNil())
 	g.Expect(*asked).To(Equal(1))
 }
 
-// The duties go by an older configuration than callers' requests, as two came at once.
-func TestConfigurationsComeIntoForceInOrder(t *testing.T) {
+// Two configurations arrive at once. Changed must not see the older one last, or pool
+// owners would use an older configuration than callers' requests.
+func TestConfigurationsTakeEffectInOrder(t *testing.T) {
 	g := NewWithT(t)
-	var told []int64
-	k := New(Options{Changed: func(c *routing.Config) { told = append(told, c.Version) }})
+	var versions []int64
+	k := New(Options{Changed: func(c *routing.Config) { versions = append(versions, c.Version) }})
 	var wg sync.WaitGroup
 	for v := range int64(50) {
 		wg.Go(func() { k.Put(&routing.Config{Version: v + 1}) })
 	}
 	wg.Wait()
-	g.Expect(slices.IsSorted(told)).To(BeTrue())
-	g.Expect(told[len(told)-1]).To(Equal(k.Config().Version))
+	g.Expect(slices.IsSorted(versions)).To(BeTrue())
+	g.Expect(versions[len(versions)-1]).To(Equal(k.Config().Version))
 }
 
-// A peer that lags behind puts an older configuration in force.
-func TestAnOlderConfigurationOfAPeerIsNotTaken(t *testing.T) {
+// Guards against a lagging peer putting an older configuration in force.
+func TestOlderConfigurationFromPeerIsIgnored(t *testing.T) {
 	g := NewWithT(t)
 	asker, answerer, _ := pair(false)
 	asker.Put(configOf(g, 3, "new"))
 	answerer.Put(configOf(g, 2, "old"))
 	answerer.Confirm(planlease.Boottime())
 	g.Expect(asker.Newer(context.Background(), 3).Version).To(Equal(int64(3)))
-	g.Expect(asker.Age()).To(BeNumerically(">", unconfirmed), "it confirms nothing")
+	g.Expect(asker.Age()).To(BeNumerically(">", askPeersAfter), "an older version confirms nothing")
 }
 
-// A node that has heard nothing for long goes by keys that may have been removed, though
-// that is not allowed; or refuses everybody, though it is.
-func TestKeysAreTrustedWithoutWordOfTheConfigurationUnlessThatIsStrict(t *testing.T) {
+// A node without confirmation of its configuration for long must reject keys in strict
+// mode, as they may have been removed, and accept them otherwise.
+func TestStaleConfigurationRevokesKeysOnlyInStrictMode(t *testing.T) {
 	g := NewWithT(t)
 	for _, strict := range []bool{false, true} {
 		k, _, _ := pair(strict)
--- a/internal/routing/routing.go
+++ b/internal/routing/routing.go
@@ -1,5 +1,7 @@
-// Package routing is the published configuration as the product uses it:
-// which queue a request belongs to, which pool runs it, and on which terms.
+// Package routing holds the published configuration in the form that the product uses, and
+// decides which queue a request belongs to. Its input is the version decoded from the
+// operators' topic, and a request's host and path. The listener for callers' requests
+// (platform) calls it; ingress and the executor read the queue's pool and terms.
 package routing
 
 import (
@@ -9,45 +11,45 @@
 	"cyclamenwheel/internal/accounts"
 )
 
-// Config is one published version, complete. It is never changed once built.
+// Config is one published version, complete. It is immutable once built.
 type Config struct {
 	Version  int64
 	Queues   []Queue
 	Services map[string]Service
 	Limits   Limits
-	// Accounts are the client accounts and their keys; nil where there are none.
+	// Accounts holds the client accounts and their keys; nil where there are none.
 	Accounts *accounts.Directory
 }
 
-// Queue is one route of callers' jobs.
+// Queue is a route for callers' jobs.
 type Queue struct {
 	Name    string
 	Host    string
 	Prefix  string
 	Service string
-	// Public queues ask for no key.
+	// Public queues require no key.
 	Public bool
 	Terms  Terms
 }
 
-// Terms are what a queue promises its jobs. A job keeps those it was accepted
-// under.
+// Terms are the guarantees and limits of a queue's jobs. A job keeps the terms under which
+// it was accepted.
 type Terms struct {
-	// Priority 0 comes first.
+	// Priority 0 is the highest.
 	Priority int `cbor:"1,keyasint,omitempty"`
-	// Attempts is how many runs of a task may fail before its job does.
+	// Attempts is how many runs of a task may fail before its job fails.
 	Attempts int `cbor:"2,keyasint"`
-	// Stretch times the job's longest chain of work, plus Slack, is its
-	// objective.
+	// Stretch is the slowdown factor: the job's objective is its longest chain of work
+	// times Stretch, plus Slack.
 	Stretch float64       `cbor:"3,keyasint"`
 	Slack   time.Duration `cbor:"4,keyasint"`
-	// TimeoutMs bounds a request, not a job.
+	// Timeout bounds a request, not a job.
 	Timeout time.Duration `cbor:"5,keyasint,omitempty"`
 	Advice  *Advice       `cbor:"6,keyasint,omitempty"`
 }
 
-// Advice says that only a separate service knows which endpoints may run a
-// step of this queue.
+// Advice is set where an external service decides which endpoints may run a step of this
+// queue. A call for n endpoints may take DecideMs plus n times PeriodMs.
 type Advice struct {
 	DecideMs int `cbor:"1,keyasint"`
 	PeriodMs int `cbor:"2,keyasint"`
@@ -57,11 +59,11 @@
 // Service is a pool of instances and how its endpoints are used.
 type Service struct {
 	Name string
-	// Guarded endpoints turn away themselves what does not fit.
+	// Guarded endpoints reject by themselves tasks that do not fit.
 	Guarded bool
 	// Spare pools are switched off and run nothing.
 	Spare bool
-	// MaxConns bounds connections to one endpoint from one process.
+	// MaxConns bounds the connections from one process to one endpoint.
 	MaxConns int
 }
 
@@ -73,8 +75,8 @@
 	IdleTimeout    time.Duration
 }
 
-// Match returns the queue whose host fits and whose prefix is the longest that
-// path begins with, and the rest of the path.
+// Match returns the queue of that host with the longest prefix of path, and the rest of
+// the path; nil if there is none.
 func (c *Config) Match(host, path string) (q *Queue, rest string) {
 	for i := range c.Queues {
 		candidate := &c.Queues[i]
