--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -73,8 +73,8 @@
 	Logger        *slog.Logger
 }
 
-// Heard is the last report of a peer.
-type Heard struct {
+// PeerReport is the last report of a peer.
+type PeerReport struct {
 	Identity peer.Identity
 	Beat     Heartbeat
 	At       time.Duration
@@ -101,7 +101,7 @@
 	done     chan struct{}
 	wg       sync.WaitGroup
 
-	peerReports    map[string]*Heard
+	peerReports    map[string]*PeerReport
 	peerAddrs      map[string]string // peers to dial, id to address
 	list           platform.InstanceList
 	listIndex      map[string]*platform.Instance
@@ -142,7 +142,7 @@
 		pages:    make(chan fleetlog.Page),
 		lists:    make(chan listAnswer),
 		ctx:      ctx, cancel: cancel, done: make(chan struct{}),
-		peerReports: make(map[string]*Heard),
+		peerReports: make(map[string]*PeerReport),
 		peerAddrs:   make(map[string]string),
 		listIndex:   make(map[string]*platform.Instance),
 		waiters:     make(map[fleetlog.ID]chan fold.Verdict),
--- a/internal/node/peers.go
+++ b/internal/node/peers.go
@@ -108,7 +108,7 @@
 	now := n.Now()
 	h, ok := n.peerReports[from.ID]
 	if !ok || h.Identity.BootID != from.BootID {
-		h = &Heard{}
+		h = &PeerReport{}
 		n.peerReports[from.ID] = h
 	}
 	h.Identity, h.Beat, h.At = from, hb, now
@@ -124,7 +124,7 @@
 }
 
 // Heard returns the last report of each peer, by id; loop-only.
-func (n *Node) Heard() map[string]*Heard { return n.peerReports }
+func (n *Node) Heard() map[string]*PeerReport { return n.peerReports }
 
 // fetchIfBehind fetches records from a peer that has been ahead for longer than the log
 // takes to deliver them: a process that reads the log slowly, or is cut off from it, must
