--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -188,7 +188,7 @@
 	if e.ackedByAll == e.members || e.members == 0 {
 		return
 	}
-	st, heard := e.node.State(), e.node.Heard()
+	st, heard := e.node.State(), e.node.PeerReports()
 	for _, m := range st.Members.WithRole(membership.RoleEntry) {
 		if m.ID == e.node.Self().ID {
 			continue
--- a/internal/node/peers.go
+++ b/internal/node/peers.go
@@ -123,8 +123,8 @@
 	n.hooks.Heard(from, hb)
 }
 
-// Heard returns the last report of each peer, by id; loop-only.
-func (n *Node) Heard() map[string]*PeerReport { return n.peerReports }
+// PeerReports returns the last report of each peer, by id; loop-only.
+func (n *Node) PeerReports() map[string]*PeerReport { return n.peerReports }
 
 // fetchIfBehind fetches records from a peer that has been ahead for longer than the log
 // takes to deliver them: a process that reads the log slowly, or is cut off from it, must
--- a/internal/planner/fence.go
+++ b/internal/planner/fence.go
@@ -47,7 +47,7 @@
 			}
 		}
 	}
-	h := p.node.Heard()[m.ID]
+	h := p.node.PeerReports()[m.ID]
 	return h == nil || h.Identity.BootID != m.BootID || h.Beat.Acked < p.node.State().Members.Version
 }
 
--- a/internal/planner/planner.go
+++ b/internal/planner/planner.go
@@ -199,7 +199,7 @@
 	if member == p.node.Self().ID {
 		return 0
 	}
-	h := p.node.Heard()[member]
+	h := p.node.PeerReports()[member]
 	if h == nil || h.Identity.BootID != p.node.State().Members.Members[member].BootID {
 		return p.node.Uptime()
 	}
