--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -194,7 +194,7 @@
 			continue
 		}
 		h := heard[m.ID]
-		if h == nil || h.Identity.BootID != m.BootID || h.Beat.Acked < e.members {
+		if h == nil || h.Identity.BootID != m.BootID || h.Heartbeat.Acked < e.members {
 			return
 		}
 	}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -75,9 +75,9 @@
 
 // PeerReport is the last report of a peer.
 type PeerReport struct {
-	Identity peer.Identity
-	Beat     Heartbeat
-	At       time.Duration
+	Identity  peer.Identity
+	Heartbeat Heartbeat
+	At        time.Duration
 	// aheadSince is when the peer's offset was first seen ahead of this process's, 0 if it
 	// is not.
 	aheadSince time.Duration
--- a/internal/node/peers.go
+++ b/internal/node/peers.go
@@ -111,7 +111,7 @@
 		h = &PeerReport{}
 		n.peerReports[from.ID] = h
 	}
-	h.Identity, h.Beat, h.At = from, hb, now
+	h.Identity, h.Heartbeat, h.At = from, hb, now
 	if hb.Acked <= n.State().Offset {
 		h.aheadSince = 0
 	} else if h.aheadSince == 0 {
--- a/internal/node/status.go
+++ b/internal/node/status.go
@@ -64,7 +64,7 @@
 		return ms
 	}
 	if h := n.peerReports[m.ID]; h != nil && h.Identity.BootID == m.BootID {
-		ms.Generation, ms.Acked, ms.Ready = h.Beat.Generation, h.Beat.Acked, h.Beat.Ready
+		ms.Generation, ms.Acked, ms.Ready = h.Heartbeat.Generation, h.Heartbeat.Acked, h.Heartbeat.Ready
 		ms.HeardMillis = (n.Now() - h.At).Milliseconds()
 	}
 	return ms
@@ -74,7 +74,7 @@
 func (n *Node) Acks() map[string]membership.Ack {
 	acks := make(map[string]membership.Ack, len(n.peerReports))
 	for id, h := range n.peerReports {
-		acks[id] = membership.Ack{BootID: h.Identity.BootID, Offset: h.Beat.Acked, Busy: h.Beat.Busy}
+		acks[id] = membership.Ack{BootID: h.Identity.BootID, Offset: h.Heartbeat.Acked, Busy: h.Heartbeat.Busy}
 	}
 	return acks
 }
--- a/internal/planner/fence.go
+++ b/internal/planner/fence.go
@@ -48,7 +48,7 @@
 		}
 	}
 	h := p.node.PeerReports()[m.ID]
-	return h == nil || h.Identity.BootID != m.BootID || h.Beat.Acked < p.node.State().Members.Version
+	return h == nil || h.Identity.BootID != m.BootID || h.Heartbeat.Acked < p.node.State().Members.Version
 }
 
 func (p *Planner) fence(m membership.Member, now time.Duration) {
