--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -177,7 +177,7 @@
 		}
 	}
 	if len(busy) < len(e.busy) {
-		e.node.Hurry()
+		e.node.RequestHeartbeat()
 	}
 	e.busy = busy
 }
--- a/internal/entry/round.go
+++ b/internal/entry/round.go
@@ -33,8 +33,8 @@
 		e.limits, e.dirty = limits, false
 		e.publishTable(man, e.byPool)
 		e.traffic.RoutesChanged()
-		e.noteBusy()   // before the record that took them out is acknowledged
-		e.node.Hurry() // loans offered, called back or confirmed
+		e.noteBusy()              // before the record that took them out is acknowledged
+		e.node.RequestHeartbeat() // loans offered, called back or confirmed
 	}
 	inFlight := e.traffic.InFlightAll()
 	for id := range limits {
@@ -52,7 +52,7 @@
 		total += demand
 		e.sharer.SetDemand(name, demand)
 		if table := e.table.Load(); table != nil && demand > slotsOf(table.Endpoints(name)) {
-			e.node.Hurry()
+			e.node.RequestHeartbeat()
 		}
 	}
 	return total
--- a/internal/node/peers.go
+++ b/internal/node/peers.go
@@ -101,8 +101,8 @@
 	}
 }
 
-// Hurry requests a heartbeat soon, without waiting for the next regular one; loop-only.
-func (n *Node) Hurry() { n.heartbeatRequested = true }
+// RequestHeartbeat requests a heartbeat soon, without waiting for the next regular one; loop-only.
+func (n *Node) RequestHeartbeat() { n.heartbeatRequested = true }
 
 func (n *Node) onHeartbeat(from peer.Identity, hb Heartbeat) {
 	now := n.Now()
