--- a/internal/daemon/entry.go
+++ b/internal/daemon/entry.go
@@ -88,7 +88,7 @@
 	defer cancel()
 	err := shutdown.Run(ctx, d.Log, []shutdown.Step{
 		{Name: "announce", Limit: logLimit, Run: func(context.Context) error {
-			d.Node.Retire()
+			d.Node.MarkNotReady()
 			handler.AnnounceClose()
 			return nil
 		}},
--- a/internal/node/submit.go
+++ b/internal/node/submit.go
@@ -124,8 +124,8 @@
 	n.wg.Go(func() { f(n.ctx) })
 }
 
-// Retire makes the process not ready, so that the load balancer stops sending requests to
+// MarkNotReady makes the process not ready, so that the load balancer stops sending requests to
 // it. It still answers those that arrive.
-func (n *Node) Retire() {
+func (n *Node) MarkNotReady() {
 	n.Do(func() { n.leaving, n.heartbeatRequested = true, true })
 }
