--- a/internal/attempts/attempts.go
+++ b/internal/attempts/attempts.go
@@ -144,8 +144,8 @@
 const (
 	// Final means that a retry would get the same answer.
 	Final Verdict = iota
-	// TurnedAway means that the store answered that it did nothing; a retry may succeed.
-	TurnedAway
+	// Refused means that the store answered that it did nothing; a retry may succeed.
+	Refused
 	// Unanswered means that the call may have been carried out.
 	Unanswered
 )
--- a/internal/attempts/attempts_test.go
+++ b/internal/attempts/attempts_test.go
@@ -126,7 +126,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	_, attempts, err = Repeat(ctx, NewPolicy(), classify, func(context.Context) (int, error) {
 		cancel()
-		return 0, failure{TurnedAway}
+		return 0, failure{Refused}
 	})
 	g.Expect(attempts).To(Equal(1))
 	g.Expect(err).To(HaveOccurred(), "the context has ended")
--- a/internal/attempts/store.go
+++ b/internal/attempts/store.go
@@ -20,5 +20,5 @@
 	if notDone.Reason != "" {
 		return Final // sequence number out of order
 	}
-	return TurnedAway
+	return Refused
 }
--- a/internal/tenure/tenure.go
+++ b/internal/tenure/tenure.go
@@ -177,7 +177,7 @@
 func (t *Tenure) judge(w platform.Writer, err error) attempts.Verdict {
 	var turnedAway *platform.NotDoneError
 	if errors.As(err, &turnedAway) && turnedAway.Reason == platform.ReasonOutOfOrder && w.Seq > t.done.Load() {
-		return attempts.TurnedAway
+		return attempts.Refused
 	}
 	return attempts.OfStore(err)
 }
