--- a/internal/attempts/store.go
+++ b/internal/attempts/store.go
@@ -6,8 +6,8 @@
 	"cyclamenwheel/platform"
 )
 
-// OfStore classifies the error of a call to the store.
-func OfStore(err error) Verdict {
+// ClassifyStoreError classifies the error of a call to the store.
+func ClassifyStoreError(err error) Verdict {
 	var fenced *platform.FencedError
 	var conditionFailed *platform.MovedOnError
 	if errors.As(err, &fenced) || errors.As(err, &conditionFailed) {
--- a/internal/shards/group.go
+++ b/internal/shards/group.go
@@ -68,7 +68,7 @@
 func (m *Manager) join(ctx context.Context, generation int64) (platform.Assignment, error) {
 	ctx, cancel := context.WithTimeout(ctx, joinLimit)
 	defer cancel()
-	got, _, err := attempts.Repeat(ctx, m.opts.Store.Attempts, attempts.OfStore, func(ctx context.Context) (platform.Assignment, error) {
+	got, _, err := attempts.Repeat(ctx, m.opts.Store.Attempts, attempts.ClassifyStoreError, func(ctx context.Context) (platform.Assignment, error) {
 		return m.opts.Membership.Join(ctx, group, m.opts.Member, groupTopic, memberTTL, generation)
 	})
 	return got, err
@@ -80,7 +80,7 @@
 func (m *Manager) leaveGroup(ctx context.Context, reason string) bool {
 	ctx, cancel := context.WithTimeout(ctx, joinLimit)
 	defer cancel()
-	_, _, err := attempts.Repeat(ctx, m.opts.Store.Attempts, attempts.OfStore, func(ctx context.Context) (struct{}, error) {
+	_, _, err := attempts.Repeat(ctx, m.opts.Store.Attempts, attempts.ClassifyStoreError, func(ctx context.Context) (struct{}, error) {
 		return struct{}{}, m.opts.Membership.Leave(ctx, group, m.opts.Member)
 	})
 	if err != nil {
--- a/internal/tenure/tenure.go
+++ b/internal/tenure/tenure.go
@@ -84,7 +84,7 @@
 // Put appends records wherever the topic ends, until that is answered. They may be
 // written more than once: the newest record of a key counts.
 func (s Store) Put(ctx context.Context, topic string, w platform.Writer, records []platform.Record) error {
-	_, _, err := attempts.Repeat(ctx, s.Attempts, attempts.OfStore, func(ctx context.Context) (int64, error) {
+	_, _, err := attempts.Repeat(ctx, s.Attempts, attempts.ClassifyStoreError, func(ctx context.Context) (int64, error) {
 		return s.Journal.Append(ctx, topic, platform.AnyEnd, w, records)
 	})
 	return err
@@ -179,7 +179,7 @@
 	if errors.As(err, &turnedAway) && turnedAway.Reason == platform.ReasonOutOfOrder && w.Seq > t.done.Load() {
 		return attempts.Refused
 	}
-	return attempts.OfStore(err)
+	return attempts.ClassifyStoreError(err)
 }
 
 // take appends the record of the claim at the topic's end. Where an attempt went
