--- a/internal/feed/feed.go
+++ b/internal/feed/feed.go
@@ -37,9 +37,9 @@
 	// otherwise cost a call for each record.
 	Gap    time.Duration
 	Handle Handler
-	// Heard, if set, is called after each answer of the store, once its records have been
+	// OnAnswer, if set, is called after each answer of the store, once its records have been
 	// handled.
-	Heard func()
+	OnAnswer func()
 }
 
 // Store is the part of the platform's client that a feed uses.
@@ -58,8 +58,8 @@
 		if err == nil {
 			f.markUp()
 			retry = retryMin
-			if topic.Heard != nil && f.next >= 0 {
-				topic.Heard()
+			if topic.OnAnswer != nil && f.next >= 0 {
+				topic.OnAnswer()
 			}
 			pause.For(ctx, topic.Gap)
 			continue
--- a/internal/host/feeds.go
+++ b/internal/host/feeds.go
@@ -154,7 +154,7 @@
 		if !n.takeOperator(records) && reset {
 			n.takeHistory(ctx)
 		}
-	}, Heard: func() { n.configs.Confirm(planlease.Boottime()) }}, n.log)
+	}, OnAnswer: func() { n.configs.Confirm(planlease.Boottime()) }}, n.log)
 }
 
 // peerNames are the peers that can be asked.
