--- a/internal/executor/learnt_test.go
+++ b/internal/executor/learnt_test.go
@@ -24,7 +24,7 @@
 	return c
 }
 
-var underTest = Accepting{Queue: "q", Terms: routing.Terms{Attempts: 2, Stretch: 1.6, Slack: 600 * time.Millisecond}}
+var underTest = Accepting{Queue: "q", Terms: routing.Terms{Attempts: 2, SlowdownFactor: 1.6, Slack: 600 * time.Millisecond}}
 
 var _ = Describe("what an owner knows", func() {
 	// All processes lose power and come back. Callers whose jobs could still be in
--- a/internal/executor/lengths.go
+++ b/internal/executor/lengths.go
@@ -199,7 +199,7 @@
 
 // setObjective works out when a job is late by what is known of its lengths.
 func (c *Core) setObjective(j *job) {
-	chain := c.chainMs(j) * j.rec.Terms.Stretch
+	chain := c.chainMs(j) * j.rec.Terms.SlowdownFactor
 	j.objective = j.offered + time.Duration(chain*float64(time.Millisecond)) + j.rec.Terms.Slack
 	c.unsorted = true
 }
--- a/internal/executor/submit.go
+++ b/internal/executor/submit.go
@@ -271,7 +271,7 @@
 		return Refusal{}, false
 	}
 	chain := c.chainMs(j)
-	slack := (j.rec.Terms.Stretch-1)*chain + float64(j.rec.Terms.Slack.Milliseconds())
+	slack := (j.rec.Terms.SlowdownFactor-1)*chain + float64(j.rec.Terms.Slack.Milliseconds())
 	ahead := c.backlog(now, j.rec.Terms.Priority)
 	backlog := c.withinShares(ahead.byAccount, slack)
 	wait := max(c.waitMs(now, backlog, pool), float64(c.pace.startsWait(ahead.tasks+len(c.leaving)).Milliseconds()))
--- a/internal/executor/uneven_test.go
+++ b/internal/executor/uneven_test.go
@@ -41,7 +41,7 @@
 	mostTries  = 4
 )
 
-var turnTerms = routing.Terms{Attempts: 3, Stretch: 1.6, Slack: 600 * time.Millisecond}
+var turnTerms = routing.Terms{Attempts: 3, SlowdownFactor: 1.6, Slack: 600 * time.Millisecond}
 
 func (t *turns) offer(n int) {
 	var estimates [2]int
@@ -54,7 +54,7 @@
 	j := jobOf(n, small(4), small(4, 0))
 	j.Steps[0].EstimateMs, j.Steps[1].EstimateMs = estimates[0], estimates[1]
 	t.lengths[j.ID] = lengths
-	due := time.Duration(turnTerms.Stretch*float64(lengths[0]+lengths[1])) + turnTerms.Slack
+	due := time.Duration(turnTerms.SlowdownFactor*float64(lengths[0]+lengths[1])) + turnTerms.Slack
 	t.offers = append(t.offers, &offer{job: j, at: t.w.now, due: t.w.now + due, again: t.w.now})
 }
 
--- a/internal/executor/world_test.go
+++ b/internal/executor/world_test.go
@@ -419,7 +419,7 @@
 }
 
 func terms() routing.Terms {
-	return routing.Terms{Attempts: 3, Stretch: 2, Slack: 5 * time.Second}
+	return routing.Terms{Attempts: 3, SlowdownFactor: 2, Slack: 5 * time.Second}
 }
 
 func jobOf(n int, steps ...jobs.Step) jobs.Job {
