--- a/internal/attempts/attempts.go
+++ b/internal/attempts/attempts.go
@@ -111,8 +111,8 @@
 	return 2*slow > latestCount
 }
 
-// Silent returns how long ago the store last answered a call that it carried out.
-func (p *Policy) Silent(now time.Duration) time.Duration {
+// SilentFor returns how long ago the store last answered a call that it carried out.
+func (p *Policy) SilentFor(now time.Duration) time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return now - p.lastDone
--- a/internal/attempts/attempts_test.go
+++ b/internal/attempts/attempts_test.go
@@ -60,9 +60,9 @@
 	p.Answered(time.Second, 5*time.Millisecond, true)
 	g.Expect(p.Wait(time.Second+silentAfter/2, 12)).To(Equal(maxGrowth * minWait))
 	g.Expect(p.Wait(time.Second+2*silentAfter, 12)).To(Equal(maxWait))
-	g.Expect(p.Silent(3 * time.Second)).To(Equal(2 * time.Second))
+	g.Expect(p.SilentFor(3 * time.Second)).To(Equal(2 * time.Second))
 	p.Answered(4*time.Second, 5*time.Millisecond, false)
-	g.Expect(p.Silent(4*time.Second)).To(Equal(3*time.Second), "a refused call does not count as carried out")
+	g.Expect(p.SilentFor(4*time.Second)).To(Equal(3*time.Second), "a refused call does not count as carried out")
 }
 
 // A job was accepted a second late: the store had carried out a write and lost its answer,
--- a/internal/shards/answers.go
+++ b/internal/shards/answers.go
@@ -104,7 +104,7 @@
 		return false
 	}
 	unanswered := now - r.batches[0].sent
-	return unanswered > forgetfulAfter || unanswered > stuckAfter && r.store.Attempts.Silent(now) > stuckAfter
+	return unanswered > forgetfulAfter || unanswered > stuckAfter && r.store.Attempts.SilentFor(now) > stuckAfter
 }
 
 func (r *Runner) cancelJob(ctx context.Context, id string, by executor.Caller) Result {
