--- a/internal/node/status.go
+++ b/internal/node/status.go
@@ -18,8 +18,8 @@
 	Ready        bool            `json:"ready"`
 	Generation   uint64          `json:"generation"`
 	Acked        uint64          `json:"acked_offset"`
-	// HeardMillis is the age of the member's last report; -1 if there is none.
-	HeardMillis int64 `json:"heard_ms_ago"`
+	// LastReportMillis is the age of the member's last report; -1 if there is none.
+	LastReportMillis int64 `json:"heard_ms_ago"`
 }
 
 // Status is the process's view of the fleet.
@@ -56,16 +56,16 @@
 func (n *Node) memberStatus(m membership.Member) MemberStatus {
 	ms := MemberStatus{
 		ID: m.ID, Role: m.Role, Zone: m.Zone, OperatorAddr: m.OperatorAddr,
-		CallerAddr: m.CallerAddr, HeardMillis: -1,
+		CallerAddr: m.CallerAddr, LastReportMillis: -1,
 	}
 	if m.ID == n.opts.Self.ID {
-		ms.Generation, ms.Acked, ms.HeardMillis = n.State().Manifest.Generation, n.ackedOffset, 0
+		ms.Generation, ms.Acked, ms.LastReportMillis = n.State().Manifest.Generation, n.ackedOffset, 0
 		ms.Ready = len(n.NotReady()) == 0
 		return ms
 	}
 	if h := n.peerReports[m.ID]; h != nil && h.Identity.BootID == m.BootID {
 		ms.Generation, ms.Acked, ms.Ready = h.Heartbeat.Generation, h.Heartbeat.Acked, h.Heartbeat.Ready
-		ms.HeardMillis = (n.Now() - h.At).Milliseconds()
+		ms.LastReportMillis = (n.Now() - h.At).Milliseconds()
 	}
 	return ms
 }
