--- a/internal/routing/routing.go
+++ b/internal/routing/routing.go
@@ -39,8 +39,8 @@
 	Priority int `cbor:"1,keyasint,omitempty"`
 	// Attempts is how many runs of a task may fail before its job fails.
 	Attempts int `cbor:"2,keyasint"`
-	// SlowdownFactor is the slowdown factor: the job's objective is its longest chain of work
-	// times SlowdownFactor, plus Slack.
+	// SlowdownFactor and Slack set the job's objective: its longest chain of work times
+	// SlowdownFactor, plus Slack.
 	SlowdownFactor float64       `cbor:"3,keyasint" json:"Stretch"`
 	Slack          time.Duration `cbor:"4,keyasint"`
 	// Timeout bounds a request, not a job.
