--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -177,7 +177,7 @@
 		}
 	}
 	if len(busy) < len(e.busy) {
-		e.node.Hurry()
+		e.node.RequestHeartbeat()
 	}
 	e.busy = busy
 }
@@ -188,13 +188,13 @@
 	if e.ackedByAll == e.members || e.members == 0 {
 		return
 	}
-	st, heard := e.node.State(), e.node.Heard()
+	st, heard := e.node.State(), e.node.PeerReports()
 	for _, m := range st.Members.WithRole(membership.RoleEntry) {
 		if m.ID == e.node.Self().ID {
 			continue
 		}
 		h := heard[m.ID]
-		if h == nil || h.Identity.BootID != m.BootID || h.Beat.Acked < e.members {
+		if h == nil || h.Identity.BootID != m.BootID || h.Heartbeat.Acked < e.members {
 			return
 		}
 	}
--- a/internal/executor/learnt_test.go
+++ b/internal/executor/learnt_test.go
@@ -24,7 +24,7 @@
 	return c
 }
 
-var testAcceptance = Accepting{Queue: "q", Terms: routing.Terms{Attempts: 2, Stretch: 1.6, Slack: 600 * time.Millisecond}}
+var testAcceptance = Accepting{Queue: "q", Terms: routing.Terms{Attempts: 2, SlowdownFactor: 1.6, Slack: 600 * time.Millisecond}}
 
 var _ = Describe("an owner's recorded state", func() {
 	// All processes lose power and restart. A new owner that measured each job's wait from its
--- a/internal/shards/runner_calls.go
+++ b/internal/shards/runner_calls.go
@@ -106,7 +106,7 @@
 		return false
 	}
 	waited := now - r.batches[0].sentAt
-	return waited > appendStalledAfter || waited > storeStalledAfter && r.store.Attempts.Silent(now) > storeStalledAfter
+	return waited > appendStalledAfter || waited > storeStalledAfter && r.store.Attempts.SilentFor(now) > storeStalledAfter
 }
 
 func (r *Runner) cancelJob(ctx context.Context, id string, caller executor.Caller) Result {
--- a/internal/tenure/tenure.go
+++ b/internal/tenure/tenure.go
@@ -86,7 +86,7 @@
 // Put appends records at the topic's end and retries until the store answers. Records may be
 // written more than once; the newest record of a key counts.
 func (s Store) Put(ctx context.Context, topic string, w platform.Writer, records []platform.Record) error {
-	_, _, err := attempts.Repeat(ctx, s.Attempts, attempts.OfStore, func(ctx context.Context) (int64, error) {
+	_, _, err := attempts.Repeat(ctx, s.Attempts, attempts.ClassifyStoreError, func(ctx context.Context) (int64, error) {
 		return s.Journal.Append(ctx, topic, platform.AnyEnd, w, records)
 	})
 	return err
@@ -177,9 +177,9 @@
 func (t *Tenure) classify(w platform.Writer, err error) attempts.Verdict {
 	var notDone *platform.NotDoneError
 	if errors.As(err, &notDone) && notDone.Reason == platform.ReasonOutOfOrder && w.Seq > t.storedBelow.Load() {
-		return attempts.TurnedAway
+		return attempts.Refused
 	}
-	return attempts.OfStore(err)
+	return attempts.ClassifyStoreError(err)
 }
 
 // appendClaim appends the claim's record at the topic's end. If an attempt was not answered
