--- a/internal/dispatch/active.go
+++ b/internal/dispatch/active.go
@@ -1,16 +1,16 @@
 package dispatch
 
-// Active returns how many callers' requests are under way.
+// Active returns the number of caller requests being served.
 func (h *Handler) Active() int {
 	h.calls.mu.Lock()
 	defer h.calls.mu.Unlock()
 	return h.calls.active
 }
 
-// InFlightAll returns the requests in flight of every instance that has any,
-// with the same promise as InFlight. It takes each pool's lock once, where
-// asking for one instance after the other takes all of them each time: with
-// 4,000 instances in 33 pools that was two thirds of an idle entry's work.
+// InFlightAll returns the requests in flight for every instance that has any,
+// with the same guarantee as InFlight. It takes each pool's lock once. Querying
+// instances one by one takes every lock each time, which with 4,000 instances
+// in 33 pools was two thirds of an idle entry's CPU time.
 func (h *Handler) InFlightAll() map[string]int {
 	all := make(map[string]int)
 	h.eachGate(func(g *gate) { g.addInFlight(all) })
--- a/internal/dispatch/attempt.go
+++ b/internal/dispatch/attempt.go
@@ -15,53 +15,54 @@
 	"cyclamenwheel/internal/dispatch/pick"
 )
 
-// answer is the endpoint's answer to one attempt. rest is set where it did not
-// fit the buffer: what follows body is still to be read.
-type answer struct {
+// response is an endpoint's response to one attempt. If the body does not fit
+// the buffer, stream is set: body then holds the beginning and the remainder is
+// still to be read.
+type response struct {
 	status int
 	header http.Header
 	body   []byte
-	rest   *rest
+	stream *responseStream
 }
 
-// rest is the part of an answer that is streamed. The slot is held until it
-// ends.
-type rest struct {
-	resp *http.Response
-	conn *conn
-	slot *slot
-	took time.Duration
+// responseStream is the unread part of a response. Its slot is held until the
+// stream ends.
+type responseStream struct {
+	resp    *http.Response
+	conn    *conn
+	slot    *slot
+	latency time.Duration
 }
 
-// hopHeaders concern one connection only and are not passed on.
-var hopHeaders = []string{
+// hopByHopHeaders apply to a single connection and are not forwarded.
+var hopByHopHeaders = []string{
 	"Connection", "Proxy-Connection", "Keep-Alive", "Proxy-Authenticate",
 	"Proxy-Authorization", "Te", "Trailer", "Transfer-Encoding", "Upgrade", "Expect",
 }
 
-func stripHop(h http.Header) {
+func removeHopByHopHeaders(h http.Header) {
 	for _, list := range h["Connection"] {
 		for name := range strings.SplitSeq(list, ",") {
 			h.Del(strings.TrimSpace(name))
 		}
 	}
-	for _, name := range hopHeaders {
+	for _, name := range hopByHopHeaders {
 		delete(h, name)
 	}
 }
 
-// outgoing builds the request to an endpoint. The path is the caller's, byte
-// by byte.
+// buildRequest builds the request to an endpoint. The path is forwarded byte
+// for byte.
 //
-// Its id is of this attempt alone. Failure: two callers choose the same id, or
-// one repeats its own, and the endpoint crosses or repeats answers. Symptom: the
-// answer to the one passes for the answer to the other.
-func (c *call) outgoing(e Endpoint, now time.Time) *http.Request {
+// The request ID is unique to this attempt. Callers may choose the same ID or
+// reuse one, and an endpoint may mix up or repeat responses; with the caller's
+// ID, a response to one request could be mistaken for the response to another.
+func (c *call) buildRequest(e Endpoint, now time.Time) *http.Request {
 	path, query, _ := strings.Cut(c.target, "?")
 	c.attempt = c.id + "-" + strconv.FormatUint(rand.Uint64(), 36)
 	c.header.Set(HeaderRequestID, c.attempt)
-	left := max(c.deadline.Sub(now).Milliseconds(), 1)
-	c.header.Set(HeaderDeadline, strconv.FormatInt(left, 10))
+	remaining := max(c.deadline.Sub(now).Milliseconds(), 1)
+	c.header.Set(HeaderDeadline, strconv.FormatInt(remaining, 10))
 	req := &http.Request{
 		Method: c.method, Host: c.host, Header: c.header,
 		URL: &url.URL{Scheme: "http", Host: e.Addr, Opaque: path, RawQuery: query},
@@ -73,28 +74,28 @@
 	return req
 }
 
-// attempt sends the request once and reads the answer, or its first part. It
-// gives the slot back unless the answer has a rest.
-func (h *Handler) attempt(c *call, s *slot) (*answer, error) {
-	ans, err := h.send(c, s)
-	took := h.opts.Now().Sub(s.start)
+// attempt sends the request once and reads the response, or its buffered
+// beginning. It releases the slot unless the response has a stream.
+func (h *Handler) attempt(c *call, s *slot) (*response, error) {
+	res, err := h.send(c, s)
+	latency := h.opts.Now().Sub(s.start)
 	if err != nil {
-		result := resultOf(err)
+		result := resultOfError(err)
 		if result != pick.ResultRefused {
-			h.conns.drop(s.gate.pool, s.endpoint)
+			h.conns.closeIdleTo(s.gate.pool, s.endpoint)
 		}
-		s.release(result, took)
+		s.release(result, latency)
 		return nil, err
 	}
-	if ans.rest == nil {
-		s.release(resultOfStatus(ans.status), took)
-		return ans, nil
+	if res.stream == nil {
+		s.release(resultOfStatus(res.status), latency)
+		return res, nil
 	}
-	ans.rest.slot, ans.rest.took = s, took
-	return ans, nil
+	res.stream.slot, res.stream.latency = s, latency
+	return res, nil
 }
 
-func resultOf(err error) pick.Result {
+func resultOfError(err error) pick.Result {
 	if errors.HasType(err, (*EndpointRefusedError)(nil)) {
 		return pick.ResultRefused
 	}
@@ -105,8 +106,8 @@
 }
 
 // resultOfStatus counts server errors against the endpoint's health, although
-// they are answers and go to the caller: a worker that fails everything fails
-// fast, looks idle and would draw ever more requests.
+// they are forwarded to the caller as responses: a worker that fails every
+// request responds quickly, looks idle and would attract ever more requests.
 func resultOfStatus(status int) pick.Result {
 	if status >= http.StatusInternalServerError {
 		return pick.ResultFailed
@@ -114,32 +115,33 @@
 	return pick.ResultOK
 }
 
-func (h *Handler) send(c *call, s *slot) (*answer, error) {
+func (h *Handler) send(c *call, s *slot) (*response, error) {
 	e := s.endpoint
 	cn, err := h.conns.get(s.gate.pool, e, c.deadline)
 	if err != nil {
 		return nil, err
 	}
-	resp, err := cn.exchange(e.Instance, c.outgoing(e, h.opts.Now()), c.deadline)
+	resp, err := cn.exchange(e.Instance, c.buildRequest(e, h.opts.Now()), c.deadline)
 	if err == nil {
-		err = check(c, e.Instance, resp)
+		err = verifyResponse(c, e.Instance, resp)
 	}
 	if err != nil {
 		cn.close()
 		return nil, err
 	}
-	return h.receive(s, cn, resp)
+	return h.readResponse(s, cn, resp)
 }
 
-// check refuses answers that cannot be trusted to be whole and the request's
-// own, and recognises an endpoint's statement that it did not run the request.
-func check(c *call, instance string, resp *http.Response) error {
+// verifyResponse rejects responses that may be incomplete or belong to another
+// request, and recognizes an endpoint's statement that it did not run the
+// request.
+func verifyResponse(c *call, instance string, resp *http.Response) error {
 	got := resp.Header.Get(HeaderRequestID)
 	if got != "" && got != c.attempt {
 		return &CrossedAnswerError{Instance: instance, Want: c.attempt, Got: got}
 	}
 	if resp.StatusCode == http.StatusServiceUnavailable && resp.Header.Get(HeaderNotRun) == "true" {
-		return refusedBy(instance, got != "")
+		return refusalError(instance, got != "")
 	}
 	chunked := len(resp.TransferEncoding) > 0
 	if resp.ContentLength < 0 && !chunked && resp.Body != http.NoBody {
@@ -148,40 +150,40 @@
 	return nil
 }
 
-// refusedBy takes an endpoint's word that it did not run a request only where
-// it names the request.
-//
-// Failure: answers are crossed, or one comes late on a kept connection. Symptom:
-// a request that runs is told "did not run", or is sent to another endpoint
-// because of it, and runs twice.
-func refusedBy(instance string, named bool) error {
-	if !named {
+// refusalError returns the error for an endpoint's statement that it did not
+// run a request. The statement is trusted only if it carries the request ID. A
+// response to another request, or a late one on a reused connection, could
+// otherwise be taken for a refusal of a request that is running: the caller
+// would be told that it did not run, or it would be sent to another endpoint
+// and run twice.
+func refusalError(instance string, namesRequest bool) error {
+	if !namesRequest {
 		return &UnnamedRefusalError{Instance: instance}
 	}
 	return &EndpointRefusedError{Instance: instance}
 }
 
-// receive reads the answer up to the buffer's size. A connection is kept only
-// after the last byte of its answer.
-func (h *Handler) receive(s *slot, cn *conn, resp *http.Response) (*answer, error) {
-	ans := &answer{status: resp.StatusCode, header: resp.Header}
+// readResponse reads the response up to the buffer size. The connection is kept
+// for reuse only once the response has been read to its end.
+func (h *Handler) readResponse(s *slot, cn *conn, resp *http.Response) (*response, error) {
+	res := &response{status: resp.StatusCode, header: resp.Header}
 	body, err := readBuffered(resp, h.opts.Buffer)
 	if err != nil {
 		cn.close()
-		return nil, cn.failure(s.endpoint.Instance, err)
+		return nil, cn.classifyError(s.endpoint.Instance, err)
 	}
-	ans.body = body
+	res.body = body
 	if int64(len(body)) > h.opts.Buffer {
-		ans.rest = &rest{resp: resp, conn: cn}
-		return ans, nil
+		res.stream = &responseStream{resp: resp, conn: cn}
+		return res, nil
 	}
-	h.recycle(s, cn, resp)
-	return ans, nil
+	h.keepOrClose(s, cn, resp)
+	return res, nil
 }
 
 // readBuffered reads at most one byte more than limit.
 func readBuffered(resp *http.Response, limit int64) ([]byte, error) {
-	if resp.Body == http.NoBody { // also HEAD, whose length is of no body
+	if resp.Body == http.NoBody { // includes HEAD, whose Content-Length describes no body
 		return nil, nil
 	}
 	if n := resp.ContentLength; n >= 0 && n <= limit {
@@ -192,12 +194,14 @@
 	return io.ReadAll(io.LimitReader(resp.Body, limit+1))
 }
 
-// recycle keeps a connection, unless its answer named no request.
+// keepOrClose keeps the connection for reuse if the response carried a request
+// ID.
 //
-// Failure: the endpoint repeats such an answer, later than quiet can see.
-// Symptom: the next caller on the connection gets it as its own. An answer that
-// names its request is recognised; the others get a connection each.
-func (h *Handler) recycle(s *slot, cn *conn, resp *http.Response) {
+// An endpoint may repeat a response later than openAndEmpty can detect, and the
+// next request on the connection would then receive it. A response that carries
+// its request ID is recognized; endpoints that send none get a new connection
+// for every request.
+func (h *Handler) keepOrClose(s *slot, cn *conn, resp *http.Response) {
 	if resp.Close || resp.Header.Get(HeaderRequestID) == "" {
 		cn.close()
 		return
@@ -205,8 +209,8 @@
 	h.conns.put(s.gate.pool, s.endpoint, cn)
 }
 
-// provesNotRun tells whether an attempt's error makes it certain that the
-// request did not run.
+// provesNotRun reports whether the error of an attempt proves that the request
+// did not run.
 func provesNotRun(err error) bool {
 	return errors.HasType(err, (*ConnectError)(nil)) ||
 		errors.HasType(err, (*NotSentError)(nil)) ||
--- a/internal/dispatch/claims.go
+++ b/internal/dispatch/claims.go
@@ -11,33 +11,33 @@
 	"cyclamenwheel/internal/idempotency"
 )
 
-// finished is what is reported of a claimed request.
-type finished struct {
+// claimResult is what is reported to Claims for a claimed request.
+type claimResult struct {
 	outcome idempotency.Outcome
 	answer  *idempotency.Answer
 }
 
 var (
-	// answeredTooLarge: a whole answer came, too large to be kept.
-	answeredTooLarge = finished{outcome: idempotency.OutcomeAnswered}
-	outcomeLost      = finished{outcome: idempotency.OutcomeUnknown}
-	outcomeNotRun    = finished{outcome: idempotency.OutcomeNotRun}
+	// resultAnswerTooLarge: the response was complete but too large to keep.
+	resultAnswerTooLarge = claimResult{outcome: idempotency.OutcomeAnswered}
+	resultUnknown        = claimResult{outcome: idempotency.OutcomeUnknown}
+	resultNotRun         = claimResult{outcome: idempotency.OutcomeNotRun}
 )
 
-// NotClaimed is implemented by errors of Claims.Begin that make it certain
-// that no attempt with the key has run. Without it an error leaves open
-// whether an earlier attempt ran.
+// NotClaimed is implemented by errors of Claims.Begin that prove that no
+// attempt with the key has run. Any other error leaves open whether an earlier
+// attempt ran.
 type NotClaimed interface{ NotRun() bool }
 
-// serveClaimed runs a non-idempotent request with a key.
+// serveClaimed serves a non-idempotent request that has a key.
 //
-// The claim comes before admission, at the price of claims for requests that
-// are then refused. The other way round, a repeated charge could be told "did
-// not run" by a full queue although its first attempt ran, and would be
-// charged again under a new key.
+// The key is claimed before admission, although this costs a claim for requests
+// that are then refused. With admission first, a full queue could report "did
+// not run" for a repeated charge whose first attempt ran, and the caller would
+// charge again with a new key.
 func (h *Handler) serveClaimed(ctx context.Context, w http.ResponseWriter, c *call) {
 	if h.opts.Claims == nil {
-		h.refuse(w, c, refusal{kind: TypeKeyUnavailable, status: http.StatusServiceUnavailable, ran: RanUnknown})
+		h.writeRefusal(w, c, refusal{kind: TypeKeyUnavailable, status: http.StatusServiceUnavailable, ran: RanUnknown})
 		return
 	}
 	claim := idempotency.Claim{
@@ -45,18 +45,18 @@
 	}
 	decision, kept, err := h.opts.Claims.Begin(ctx, claim)
 	if err != nil {
-		h.refuse(w, c, claimFailed(err))
+		h.writeRefusal(w, c, claimRefusal(err))
 		return
 	}
 	if decision != idempotency.DecisionRun {
-		h.settled(w, c, decision, kept)
+		h.respondFromClaim(w, c, decision, kept)
 		return
 	}
 	c.claim = &claim
 	h.runClaimed(ctx, w, c)
 }
 
-func claimFailed(err error) refusal {
+func claimRefusal(err error) refusal {
 	p := refusal{kind: TypeKeyUnavailable, status: http.StatusServiceUnavailable, ran: RanUnknown, cause: err}
 	var nc NotClaimed
 	if errors.As(err, &nc) && nc.NotRun() {
@@ -65,30 +65,29 @@
 	return p
 }
 
-// runClaimed runs a request whose claim is journalled, and reports what became
-// of it.
+// runClaimed runs a request whose claim is recorded, and reports its outcome.
 func (h *Handler) runClaimed(ctx context.Context, w http.ResponseWriter, c *call) {
-	// A panic would otherwise leave the claim open and let repetitions wait
-	// for an answer that never comes.
-	defer h.finish(c, outcomeLost)
-	ans, p := h.run(ctx, c)
+	// A panic would otherwise leave the claim open, and repeated requests would
+	// wait for a response that never comes.
+	defer h.finish(c, resultUnknown)
+	res, p := h.runAttempts(ctx, c)
 	if p != nil {
 		if p.ran == RanNo {
-			h.finish(c, outcomeNotRun)
+			h.finish(c, resultNotRun)
 		} else {
-			h.finish(c, outcomeLost)
+			h.finish(c, resultUnknown)
 		}
-		h.refuse(w, c, *p)
+		h.writeRefusal(w, c, *p)
 		return
 	}
-	if ans.rest == nil {
-		h.finish(c, keep(ans))
+	if res.stream == nil {
+		h.finish(c, replayableResult(res))
 	}
-	h.deliver(w, c, ans)
+	h.writeResponse(w, c, res)
 }
 
-// finish reports the outcome, once.
-func (h *Handler) finish(c *call, f finished) {
+// finish reports the outcome of the claim. Only the first call has an effect.
+func (h *Handler) finish(c *call, f claimResult) {
 	if c.claim == nil {
 		return
 	}
@@ -96,48 +95,50 @@
 	c.claim = nil
 }
 
-func keep(ans *answer) finished {
-	if len(ans.body) > idempotency.MaxAnswerBytes {
-		return answeredTooLarge
+func replayableResult(res *response) claimResult {
+	if len(res.body) > idempotency.MaxAnswerBytes {
+		return resultAnswerTooLarge
 	}
-	header := ans.header.Clone()
-	stripHop(header)
-	return finished{
+	header := res.header.Clone()
+	removeHopByHopHeaders(header)
+	return claimResult{
 		outcome: idempotency.OutcomeAnswered,
-		answer:  &idempotency.Answer{Status: ans.status, Header: header, Body: ans.body},
+		answer:  &idempotency.Answer{Status: res.status, Header: header, Body: res.body},
 	}
 }
 
-// settled answers a request that is not run, because of an earlier attempt.
-func (h *Handler) settled(w http.ResponseWriter, c *call, d idempotency.Decision, kept *idempotency.Answer) {
+// respondFromClaim responds to a request that is not run because of an earlier
+// attempt with its key.
+func (h *Handler) respondFromClaim(w http.ResponseWriter, c *call, d idempotency.Decision, kept *idempotency.Answer) {
 	switch {
 	case d == idempotency.DecisionReplay && kept != nil:
-		h.deliver(w, c, &answer{status: kept.Status, header: http.Header(kept.Header).Clone(), body: kept.Body})
+		h.writeResponse(w, c, &response{status: kept.Status, header: http.Header(kept.Header).Clone(), body: kept.Body})
 		c.outcome = outcomeReplayed
 	case d == idempotency.DecisionReplay, d == idempotency.DecisionFinished:
-		h.refuse(w, c, refusal{kind: TypeKeyFinished, status: http.StatusConflict, ran: RanYes})
+		h.writeRefusal(w, c, refusal{kind: TypeKeyFinished, status: http.StatusConflict, ran: RanYes})
 	case d == idempotency.DecisionConflict:
-		h.refuse(w, c, refusal{kind: TypeKeyConflict, status: http.StatusConflict, ran: RanNo})
+		h.writeRefusal(w, c, refusal{kind: TypeKeyConflict, status: http.StatusConflict, ran: RanNo})
 	default:
-		h.refuse(w, c, refusal{kind: TypeKeyUnknown, status: http.StatusServiceUnavailable, ran: RanUnknown})
+		h.writeRefusal(w, c, refusal{kind: TypeKeyUnknown, status: http.StatusServiceUnavailable, ran: RanUnknown})
 	}
 }
 
-// fingerprint tells requests with the same key apart: method, path and body.
+// fingerprint identifies a request by method, target and body, to detect a key
+// that is used for different requests.
 func fingerprint(c *call) [16]byte {
 	var out [16]byte
 	for i := range 2 {
 		d := xxhash.NewWithSeed(uint64(i))
-		writeField(d, []byte(c.method))
-		writeField(d, []byte(c.target))
-		writeField(d, c.body)
+		hashField(d, []byte(c.method))
+		hashField(d, []byte(c.target))
+		hashField(d, c.body)
 		binary.BigEndian.PutUint64(out[8*i:], d.Sum64())
 	}
 	return out
 }
 
-// writeField hashes the length too, so that no two requests run together.
-func writeField(d *xxhash.Digest, p []byte) {
+// hashField includes the length, so that adjacent fields cannot be confused.
+func hashField(d *xxhash.Digest, p []byte) {
 	var size [8]byte
 	binary.BigEndian.PutUint64(size[:], uint64(len(p)))
 	_, _ = d.Write(size[:]) // a hash's Write never fails
--- a/internal/dispatch/claims_test.go
+++ b/internal/dispatch/claims_test.go
@@ -13,7 +13,7 @@
 	"cyclamenwheel/internal/idempotency"
 )
 
-// fakeClaims gives the decisions it is told to, and records what it is told.
+// fakeClaims returns the configured decisions and records its calls.
 type fakeClaims struct {
 	mu       sync.Mutex
 	decide   func(c idempotency.Claim) (idempotency.Decision, *idempotency.Answer, error)
@@ -46,7 +46,7 @@
 }
 
 var _ = Describe("requests with a key", func() {
-	It("reports the answer for replay", func() {
+	It("reports the response for replay", func() {
 		claims := &fakeClaims{}
 		w := newWorker("w1", echo)
 		e := newEntry(Options{Claims: claims}, w.Endpoint)
@@ -62,7 +62,7 @@
 		Expect(claims.claims).To(BeEmpty())
 	})
 
-	It("tells requests apart by method, path and body", func() {
+	It("has fingerprints that depend on method, path and body", func() {
 		prints := map[[16]byte]bool{}
 		for _, c := range []*call{
 			{method: "POST", target: "/a", body: []byte("b")}, {method: "POST", target: "/ab"},
@@ -73,7 +73,7 @@
 		Expect(prints).To(HaveLen(4))
 	})
 
-	DescribeTable("answers what it does not run",
+	DescribeTable("responds without running the request",
 		func(d idempotency.Decision, a *idempotency.Answer, status int, ran Ran, body string) {
 			claims := &fakeClaims{decide: func(idempotency.Claim) (idempotency.Decision, *idempotency.Answer, error) {
 				return d, a, nil
@@ -93,10 +93,11 @@
 		Entry("conflict", idempotency.DecisionConflict, nil, 409, RanNo, string(TypeKeyConflict)),
 	)
 
-	// The caller repeats a charge whose first answer it lost, while the owner
-	// of the key can't be reached. It must not read "did not run": it would
-	// charge again under another key, and the first charge may stand.
-	It("says unknown where the claim fails without proof", func() {
+	// The caller repeats a charge whose first response was lost, while the
+	// owner of the key is unreachable. The refusal must not say "did not run":
+	// the caller would charge again with another key although the first charge
+	// may have run.
+	It("reports unknown if the claim fails without proof that nothing ran", func() {
 		claims := &fakeClaims{decide: func(idempotency.Claim) (idempotency.Decision, *idempotency.Answer, error) {
 			return 0, nil, context.DeadlineExceeded
 		}}
@@ -106,10 +107,10 @@
 		Expect(out.problem.Ran).To(Equal(RanUnknown))
 	})
 
-	// The endpoint reads the charge and closes the connection. The caller sees
-	// 502 with ran unknown at once; the claim is closed as unknown, so that a
-	// repetition is not run either.
-	It("closes the claim as unknown where the answer is lost", func() {
+	// The endpoint reads the charge and closes the connection. The caller gets
+	// 502 with ran "unknown" at once, and the claim is closed as unknown so
+	// that a repeated request is not run either.
+	It("closes the claim as unknown if the response is lost", func() {
 		claims := &fakeClaims{}
 		w := newWorker("w1", func(int64, *http.Request, []byte, net.Conn) bool { return false })
 		e := newEntry(Options{Claims: claims}, w.Endpoint)
@@ -120,15 +121,15 @@
 		Expect(claims.outcomes()).To(Equal([]idempotency.Outcome{idempotency.OutcomeUnknown}))
 	})
 
-	It("frees the claim where the request certainly did not run", func() {
+	It("releases the claim if the request certainly did not run", func() {
 		claims := &fakeClaims{}
-		e := newEntry(Options{Claims: claims}, Endpoint{Instance: "w1", Addr: deadAddr(), Slots: 1})
+		e := newEntry(Options{Claims: claims}, Endpoint{Instance: "w1", Addr: unusedAddr(), Slots: 1})
 		out := e.do("POST", "/tabs/charge", "5", HeaderIdempotencyKey, "k")
 		Expect(out.problem.Ran).To(Equal(RanNo))
 		Expect(claims.outcomes()).To(Equal([]idempotency.Outcome{idempotency.OutcomeNotRun}))
 	})
 
-	It("keeps an answer that is too large as finished only", func() {
+	It("records a response that is too large to keep as finished only", func() {
 		claims := &fakeClaims{}
 		big := strings.Repeat("x", DefaultBuffer*2)
 		w := newWorker("w1", func(_ int64, _ *http.Request, _ []byte, c net.Conn) bool {
--- a/internal/dispatch/closed_test.go
+++ b/internal/dispatch/closed_test.go
@@ -10,16 +10,16 @@
 	"cyclamenwheel/internal/dispatch"
 )
 
-// An entry was frozen, taken off the members and wakes. A caller repeats a
-// charge there that has run elsewhere meanwhile. The entry knows nothing of
-// that, so it must not say that the charge did not run: the caller would send
-// it again under a new key.
-func TestEntryOffTheMembersDoesNotVouchForKeys(t *testing.T) {
+// An entry was suspended, removed from the membership and resumed. A caller
+// repeats a charge there that has meanwhile run elsewhere. The entry must not
+// report that the charge did not run: the caller would send it again with a new
+// key.
+func TestRemovedEntryReportsUnknownForKeys(t *testing.T) {
 	g := NewWithT(t)
 	h := dispatch.NewHandler(dispatch.Options{
 		Routes: func() *dispatch.RouteTable { return dispatch.NewClosedTable(1) },
 	})
-	ask := func(key string) string {
+	send := func(key string) string {
 		r := httptest.NewRequest("POST", "/tabs/order", strings.NewReader("x"))
 		if key != "" {
 			r.Header.Set(dispatch.HeaderIdempotencyKey, key)
@@ -28,6 +28,6 @@
 		h.ServeHTTP(w, r)
 		return w.Body.String()
 	}
-	g.Expect(ask("k")).To(ContainSubstring(`"ran":"unknown"`))
-	g.Expect(ask("")).To(ContainSubstring(`"ran":"no"`))
+	g.Expect(send("k")).To(ContainSubstring(`"ran":"unknown"`))
+	g.Expect(send("")).To(ContainSubstring(`"ran":"no"`))
 }
--- a/internal/dispatch/conn.go
+++ b/internal/dispatch/conn.go
@@ -21,58 +21,59 @@
 
 // Limits of a connection to an endpoint.
 const (
-	// connectTimeout bounds dialling and the health check that follows it. In
-	// a region both take a few milliseconds; a second lets one lost SYN be
-	// repeated.
+	// connectTimeout bounds dialing and the health check that follows. Within a
+	// region both take a few milliseconds; more than a second allows for the
+	// retransmission of one lost SYN.
 	connectTimeout = 1500 * time.Millisecond
-	// connectPart of the time left is the most that connecting may take:
-	// nothing has been sent yet, so that two more endpoints can be tried even
-	// for a charge.
-	connectPart = 3
-	// maxHead bounds the head of an answer.
-	maxHead = 1 << 20
-	// maxHealthBody bounds the body of a health check.
+	// connectDivisor limits connecting to this fraction of the remaining time.
+	// Nothing has been sent at that point, so two more endpoints can be tried
+	// even for a non-idempotent request.
+	connectDivisor = 3
+	// maxResponseHead bounds the head of a response, in bytes.
+	maxResponseHead = 1 << 20
+	// maxHealthBody bounds the body of a health check response, in bytes.
 	maxHealthBody = 16 << 10
-	// maxInterim bounds the 1xx answers before the final one.
-	maxInterim = 8
-	// ioBuffer is the size of a connection's buffers.
+	// maxInterimResponses bounds the 1xx responses before the final one.
+	maxInterimResponses = 8
+	// ioBuffer is the size of a connection's buffers, in bytes.
 	ioBuffer = 8 << 10
 )
 
-// conn is one HTTP/1.1 connection, used by one request at a time.
+// conn is an HTTP/1.1 connection, used by one request at a time.
 //
-// http.Transport is not used, because it repeats requests by itself: one with
-// an Idempotency-Key and no body is sent again when a kept-alive connection
-// breaks, and a charge would run twice. Here a request is written once, and
-// how much of it was written is known.
+// http.Transport is not used because it retries by itself: it sends a request
+// with an Idempotency-Key and no body again when a kept-alive connection
+// breaks, and a charge would run twice. A conn writes each request once and
+// records how many bytes were written.
 type conn struct {
-	raw       net.Conn
-	in        limitedReader
-	br        *bufio.Reader
-	bw        *bufio.Writer
-	written   int64
-	idleSince time.Time
-	confirmed time.Duration // on the clock that counts suspension
-	// vouched is when it was last known, by the list or by the endpoint itself,
-	// that the endpoint takes work; 0 for a health check, which needs no such.
-	vouched time.Duration
+	raw         net.Conn
+	in          limitedReader
+	br          *bufio.Reader
+	bw          *bufio.Writer
+	written     int64
+	idleSince   time.Time
+	confirmedAt time.Duration // boot time clock, which includes suspension
+	// acceptingAt is when the route table or the endpoint itself last showed
+	// that the endpoint accepts work. It is 0 during a health check, which
+	// needs no such evidence.
+	acceptingAt time.Duration
 }
 
-// limitedReader bounds what the head of an answer may take.
+// limitedReader bounds the bytes read for the head of a response.
 type limitedReader struct {
-	r    io.Reader
-	left int64
+	r         io.Reader
+	remaining int64
 }
 
 func (l *limitedReader) Read(p []byte) (int, error) {
-	if l.left <= 0 {
-		return 0, &HeadTooLargeError{Limit: maxHead}
+	if l.remaining <= 0 {
+		return 0, &HeadTooLargeError{Limit: maxResponseHead}
 	}
-	if int64(len(p)) > l.left {
-		p = p[:l.left]
+	if int64(len(p)) > l.remaining {
+		p = p[:l.remaining]
 	}
 	n, err := l.r.Read(p)
-	l.left -= int64(n)
+	l.remaining -= int64(n)
 	return n, err
 }
 
@@ -84,9 +85,9 @@
 	return c
 }
 
-// Write passes bytes on and counts them.
+// Write forwards bytes to the connection and counts them.
 func (c *conn) Write(p []byte) (int, error) {
-	if c.written == 0 && c.vouched != 0 && planlease.Boottime()-c.vouched > vouchedFor {
+	if c.written == 0 && c.acceptingAt != 0 && planlease.Boottime()-c.acceptingAt > maxAcceptingAge {
 		return 0, &PausedError{}
 	}
 	n, err := c.raw.Write(p)
@@ -96,8 +97,8 @@
 
 func (c *conn) close() { _ = c.raw.Close() }
 
-// exchange writes the request and reads the head of the answer. The error is
-// *NotSentError where nothing was written.
+// exchange writes the request and reads the head of the response. The error is
+// *NotSentError if nothing was written.
 func (c *conn) exchange(instance string, req *http.Request, deadline time.Time) (*http.Response, error) {
 	c.written = 0
 	if err := c.raw.SetDeadline(deadline); err != nil {
@@ -108,22 +109,22 @@
 		err = c.bw.Flush()
 	}
 	if err != nil {
-		return nil, c.failure(instance, err)
+		return nil, c.classifyError(instance, err)
 	}
-	resp, err := c.readHead(req)
+	resp, err := c.readResponseHead(req)
 	if err != nil {
-		return nil, c.failure(instance, err)
+		return nil, c.classifyError(instance, err)
 	}
-	c.in.left = math.MaxInt64
+	c.in.remaining = math.MaxInt64
 	return resp, nil
 }
 
-func (c *conn) readHead(req *http.Request) (*http.Response, error) {
-	for range maxInterim {
-		c.in.left = maxHead
+func (c *conn) readResponseHead(req *http.Request) (*http.Response, error) {
+	for range maxInterimResponses {
+		c.in.remaining = maxResponseHead
 		resp, err := http.ReadResponse(c.br, req)
 		if err != nil {
-			return nil, errors.Wrap(err, "read answer")
+			return nil, errors.Wrap(err, "read response")
 		}
 		if resp.StatusCode >= http.StatusOK {
 			return resp, nil
@@ -132,11 +133,12 @@
 			break
 		}
 	}
-	return nil, &InterimAnswersError{Limit: maxInterim}
+	return nil, &InterimAnswersError{Limit: maxInterimResponses}
 }
 
-// failure tells apart what did not run and what may have run.
-func (c *conn) failure(instance string, err error) error {
+// classifyError distinguishes requests that were not sent from those that may
+// have run.
+func (c *conn) classifyError(instance string, err error) error {
 	if c.written == 0 {
 		return &NotSentError{Instance: instance, Cause: err}
 	}
@@ -146,14 +148,14 @@
 	return &BrokenAnswerError{Instance: instance, Cause: err}
 }
 
-// quiet reports whether an idle connection is still open and has nothing to
-// read.
+// openAndEmpty reports whether an idle connection is still open and has no data
+// to read.
 //
-// Failure: the endpoint closed it, or a late or crossed answer lies in its
-// buffer. Symptom: a request is lost on a dead connection, or the next caller
-// gets the answer of an earlier one. A peek at the socket sees both; what
-// arrives between the peek and the request is caught by the request id.
-func (c *conn) quiet() bool {
+// The endpoint may have closed it, or sent a late or misdirected response.
+// Using the connection would lose the request, or give the next caller the
+// response to an earlier request. A peek at the socket detects both; data that
+// arrives after the peek is caught by the request ID.
+func (c *conn) openAndEmpty() bool {
 	if c.br.Buffered() > 0 {
 		return false
 	}
@@ -173,26 +175,26 @@
 		_, _, peekErr = unix.Recvfrom(int(fd), one[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
 		return true
 	})
-	// Only "nothing there yet" is quiet; end of file reads as no error.
+	// Only EAGAIN means open and empty; end of file yields no error.
 	return err == nil && errors.Is(peekErr, unix.EAGAIN)
 }
 
-// health is the answer of an endpoint's health check.
+// health is the body of an endpoint's health check response.
 type health struct {
 	Instance string `json:"instance"`
 	BootID   string `json:"boot_id"`
 	Pool     string `json:"pool"`
 }
 
-// connect dials an endpoint and confirms on the new connection itself that it
-// leads to the instance meant.
+// connect dials an endpoint and verifies on the new connection that it leads to
+// the intended instance.
 //
-// Failure: an address comes back as another instance, or the instance has been
-// rebooted or has moved. Symptom: a request of one pool runs in another. The
-// check is made on every new connection, and a connection cannot change its
-// far end, so no request is sent to an instance that was not confirmed.
+// An address may have been reassigned to another instance, or the instance may
+// have rebooted or moved to another pool; a request of one pool would then run
+// in another. Every new connection is checked, and a connection cannot change
+// its remote end, so no request is sent to an unverified instance.
 func connect(dial DialFunc, pool string, e Endpoint, deadline time.Time) (*conn, error) {
-	deadline = connectBy(deadline)
+	deadline = connectDeadline(deadline)
 	ctx, cancel := context.WithDeadline(context.Background(), deadline)
 	defer cancel()
 	raw, err := dial(ctx, e.Addr)
@@ -207,16 +209,18 @@
 	return c, nil
 }
 
-// connectBy is when connecting must have ended, of a request with a deadline.
-func connectBy(deadline time.Time) time.Time {
+// connectDeadline returns when connecting must be complete for a request with
+// the given deadline.
+func connectDeadline(deadline time.Time) time.Time {
 	now := time.Now()
-	return now.Add(min(connectTimeout, deadline.Sub(now)/connectPart))
+	return now.Add(min(connectTimeout, deadline.Sub(now)/connectDivisor))
 }
 
-// confirm makes a health check on the connection.
+// confirm runs a health check on the connection and verifies the instance's
+// identity.
 func (c *conn) confirm(pool string, e Endpoint, deadline time.Time) error {
-	asked := planlease.Boottime()
-	c.vouched = 0
+	checkedAt := planlease.Boottime()
+	c.acceptingAt = 0
 	req, err := http.NewRequest(http.MethodGet, "http://"+e.Addr+"/healthz", nil)
 	if err != nil {
 		return errors.Wrap(err, "health check")
@@ -239,10 +243,10 @@
 	if err := h.match(pool, e); err != nil {
 		return err
 	}
-	if !c.quiet() { // a second answer would pass for that to the request
+	if !c.openAndEmpty() { // would be taken for the response to the next request
 		return &UnaskedAnswerError{Instance: e.Instance}
 	}
-	c.confirmed, c.vouched = asked, asked
+	c.confirmedAt, c.acceptingAt = checkedAt, checkedAt
 	return nil
 }
 
--- a/internal/dispatch/connset.go
+++ b/internal/dispatch/connset.go
@@ -9,25 +9,25 @@
 	"cyclamenwheel/internal/planlease"
 )
 
-// idleTimeout is how long an unused connection is kept. It stays below the
-// five seconds after which common servers close theirs: a request that is
-// written while the far end closes has an unknown outcome.
+// idleTimeout is how long an unused connection is kept. It is below the five
+// seconds after which common servers close idle connections: a request written
+// while the remote end closes has an unknown outcome.
 const idleTimeout = 4 * time.Second
 
-// confirmedFor is how long a confirmed connection counts as such while the list
-// of instances is out of date. A leaving endpoint gets new work for no longer,
-// and a connection costs one health check a second at most.
-const confirmedFor = time.Second
+// maxConfirmationAge is how long a health check remains valid while the list of
+// instances is out of date. It limits how long a leaving endpoint gets new
+// work, at a cost of at most one health check per second and connection.
+const maxConfirmationAge = time.Second
 
-// vouchedFor is how long after an endpoint was known to take work the first
-// byte of a request may still be written to it.
+// maxAcceptingAge is the longest time between the evidence that an endpoint
+// accepts work and writing the first byte of a request to it.
 //
-// Failure: the process is paused between the check and the write. Symptom: the
-// request goes out when it wakes, to an endpoint that has left meanwhile. Asked
-// at the write itself, what remains is a pause within that one call. It is
-// longer than confirmedFor, so that an answer that is as old as that may be
-// used, and above any delay of a scheduler on a busy machine.
-const vouchedFor = 2 * confirmedFor
+// The process may be paused between the check and the write, and the endpoint
+// may leave in the meantime. The age is therefore checked in the write itself,
+// which leaves only a pause within that one call. It exceeds
+// maxConfirmationAge, so that a health check of that age can still be used, and
+// any scheduling delay on a busy machine.
+const maxAcceptingAge = 2 * maxConfirmationAge
 
 // DialFunc opens a connection to host:port.
 type DialFunc func(ctx context.Context, addr string) (net.Conn, error)
@@ -37,33 +37,33 @@
 	return d.DialContext(ctx, "tcp", addr)
 }
 
-// target is what a connection leads to. A change of any field makes it another
-// one.
-type target struct{ pool, instance, bootID, addr string }
+// connKey identifies the remote end of a connection. Connections with different
+// keys are not interchangeable.
+type connKey struct{ pool, instance, bootID, addr string }
 
 // connSet keeps idle connections to endpoints.
 type connSet struct {
-	dial    DialFunc
-	current func() bool
+	dial          DialFunc
+	routesCurrent func() bool
 
-	mu       sync.Mutex
-	idle     map[target][]*conn
-	sweeping bool
+	mu             sync.Mutex
+	idle           map[connKey][]*conn
+	sweepScheduled bool
 }
 
 func newConnSet(dial DialFunc, current func() bool) *connSet {
-	return &connSet{dial: dial, current: current, idle: map[target][]*conn{}}
+	return &connSet{dial: dial, routesCurrent: current, idle: map[connKey][]*conn{}}
 }
 
-func targetOf(pool string, e Endpoint) target {
-	return target{pool, e.Instance, e.BootID, e.Addr}
+func connKeyOf(pool string, e Endpoint) connKey {
+	return connKey{pool, e.Instance, e.BootID, e.Addr}
 }
 
-// get returns a confirmed connection that nobody else uses.
+// get returns a verified connection for exclusive use.
 func (s *connSet) get(pool string, e Endpoint, deadline time.Time) (*conn, error) {
-	t := targetOf(pool, e)
+	t := connKeyOf(pool, e)
 	for c := s.pop(t); c != nil; c = s.pop(t) {
-		if time.Since(c.idleSince) < idleTimeout && c.quiet() {
+		if time.Since(c.idleSince) < idleTimeout && c.openAndEmpty() {
 			return c, s.reconfirm(c, pool, e, deadline)
 		}
 		c.close()
@@ -71,32 +71,32 @@
 	return connect(s.dial, pool, e, deadline)
 }
 
-// reconfirm asks the endpoint whether it still takes work, where the list of
-// instances cannot tell.
+// reconfirm verifies that the endpoint still accepts work if the list of
+// instances is out of date.
 //
-// Failure: the entry is cut off from the platform, or it was paused and has not
-// read the list since. Symptom: an endpoint that was listed as leaving goes on
-// getting work over connections that stand, and is stopped in the middle of it.
-// New connections are always confirmed; here the ones that are kept are too.
+// The list is out of date if the entry is cut off from the platform, or was
+// paused and has not read the list since. An endpoint listed as leaving would
+// otherwise keep getting work over kept connections and be stopped while
+// running it. New connections are always verified; this covers kept ones.
 func (s *connSet) reconfirm(c *conn, pool string, e Endpoint, deadline time.Time) error {
 	now := planlease.Boottime()
-	if s.current() {
-		c.vouched = now
+	if s.routesCurrent() {
+		c.acceptingAt = now
 		return nil
 	}
-	if now-c.confirmed < confirmedFor {
-		c.vouched = c.confirmed
+	if now-c.confirmedAt < maxConfirmationAge {
+		c.acceptingAt = c.confirmedAt
 		return nil
 	}
-	if err := c.confirm(pool, e, connectBy(deadline)); err != nil {
+	if err := c.confirm(pool, e, connectDeadline(deadline)); err != nil {
 		c.close()
 		return &ConnectError{Instance: e.Instance, Cause: err}
 	}
 	return nil
 }
 
-// pop takes the connection that was used last: the others can then age out.
-func (s *connSet) pop(t target) *conn {
+// pop takes the most recently used connection, so that the others can expire.
+func (s *connSet) pop(t connKey) *conn {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	list := s.idle[t]
@@ -108,24 +108,24 @@
 	return c
 }
 
-// drop closes the idle connections to an endpoint.
+// closeIdleTo closes the idle connections to an endpoint.
 //
-// Failure: a host vanishes without closing its connections. Symptom: each idle
-// connection to it swallows one more request until its deadline, with unknown
-// outcome. After one failure the others are not trusted either; a new one
-// proves itself before a request is sent.
-func (s *connSet) drop(pool string, e Endpoint) {
-	t := targetOf(pool, e)
+// If a host disappears without closing its connections, a request sent on any
+// idle connection to it is lost until its deadline, with unknown outcome. After
+// one failure the other connections are therefore discarded too; a new
+// connection is verified before a request is sent.
+func (s *connSet) closeIdleTo(pool string, e Endpoint) {
+	t := connKeyOf(pool, e)
 	for c := s.pop(t); c != nil; c = s.pop(t) {
 		c.close()
 	}
 }
 
-// put keeps a connection whose last answer has been read to its end.
+// put keeps a connection whose last response has been read to its end.
 func (s *connSet) put(pool string, e Endpoint, c *conn) {
-	t := targetOf(pool, e)
+	t := connKeyOf(pool, e)
 	c.idleSince = time.Now()
-	// A deadline in the past would make the next look at the socket fail.
+	// A deadline in the past would make the next openAndEmpty fail.
 	if err := c.raw.SetDeadline(time.Time{}); err != nil {
 		c.close()
 		return
@@ -137,13 +137,14 @@
 		return
 	}
 	s.idle[t] = append(s.idle[t], c)
-	if !s.sweeping {
-		s.sweeping = true
+	if !s.sweepScheduled {
+		s.sweepScheduled = true
 		time.AfterFunc(idleTimeout, s.sweep)
 	}
 }
 
-// sweep closes what has been idle for too long, for as long as there is any.
+// sweep closes expired idle connections and reschedules itself while any are
+// left.
 func (s *connSet) sweep() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -159,14 +160,14 @@
 		}
 		s.idle[t] = append([]*conn(nil), list[n:]...)
 	}
-	s.sweeping = len(s.idle) > 0
-	if s.sweeping {
+	s.sweepScheduled = len(s.idle) > 0
+	if s.sweepScheduled {
 		time.AfterFunc(idleTimeout/2, s.sweep)
 	}
 }
 
-// closeIdle closes every idle connection.
-func (s *connSet) closeIdle() {
+// closeAllIdle closes every idle connection.
+func (s *connSet) closeAllIdle() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for t, list := range s.idle {
--- a/internal/dispatch/gate.go
+++ b/internal/dispatch/gate.go
@@ -11,44 +11,44 @@
 	"cyclamenwheel/internal/slots"
 )
 
-// pumpInterval is how often waiting requests are looked at while no slot is
-// given back: slots also come free because an ejection ends or a slow start
-// proceeds, and no event tells of that.
-const pumpInterval = 10 * time.Millisecond
+// queuePollInterval is how often the queue is checked while no slot is
+// released. Slots also become free when an ejection ends or a slow start
+// progresses, which triggers no event.
+const queuePollInterval = 10 * time.Millisecond
 
-// gate lets requests through to one pool's endpoints: it joins the decisions
-// about queueing, picking and retrying under one lock.
+// gate admits requests to one pool's endpoints. It combines queueing, endpoint
+// selection and retries under one lock.
 type gate struct {
 	pool   string
 	routes func() *RouteTable
 	now    func() time.Time
 
-	mu        sync.Mutex
-	table     *RouteTable
-	endpoints map[string]Endpoint
-	picker    pick.Picker
-	queue     admission.Queue
-	retries   retry.Policy
-	waiters   map[uint64]*waiter
-	nextID    uint64
-	pumping   bool
-	meter     slots.Meter
+	mu            sync.Mutex
+	table         *RouteTable
+	endpoints     map[string]Endpoint
+	picker        pick.Picker
+	queue         admission.Queue
+	retries       retry.Policy
+	waiters       map[uint64]*waiter
+	nextID        uint64
+	pollScheduled bool
+	meter         slots.Meter
 }
 
-// waiter is a request in the queue.
+// waiter is a queued request.
 type waiter struct {
 	kind  string
 	avoid string
-	done  chan admitted // buffered: the decision never waits for the request
+	done  chan admissionResult // buffered: sending the decision never blocks
 }
 
-// admitted is the decision on a request.
-type admitted struct {
+// admissionResult is the admission decision on a request.
+type admissionResult struct {
 	slot    *slot
 	refusal *admission.Refusal
 }
 
-// slot is the right to have one request in flight to an endpoint.
+// slot is a reservation for one request in flight to an endpoint.
 type slot struct {
 	gate     *gate
 	endpoint Endpoint
@@ -57,13 +57,13 @@
 	expected time.Duration
 }
 
-// refresh takes over a new route table.
+// refresh applies a new route table.
 //
-// It is called under the lock before each pick, and before control code reads
-// what is in flight. Failure prevented: a request that read the old table just
-// before an instance was removed, and is sent to it after control code has
-// counted nothing in flight there. Once InFlight has returned, every later
-// pick uses at least the table that was in force at that time.
+// It is called under the lock before each pick and before control code reads
+// the requests in flight. Otherwise a request that read the old table just
+// before an instance was removed could be sent to it after control code had
+// counted none in flight there. Once InFlight has returned, every later pick
+// uses a table at least as new as the one in force at that time.
 func (g *gate) refresh(now time.Time) {
 	t := g.routes()
 	if t == g.table || t == nil {
@@ -82,75 +82,75 @@
 	g.picker.Set(now, picks)
 }
 
-// acquire returns a slot, or the refusal. It returns neither if ctx ended
-// first.
+// acquire returns a slot or a refusal. It returns neither if ctx ends first.
 func (g *gate) acquire(ctx context.Context, r admission.Request, avoid string) (*slot, *admission.Refusal) {
-	w := g.enter(&r, avoid)
+	w := g.grantOrEnqueue(&r, avoid)
 	select {
 	case a := <-w.done:
 		return a.slot, a.refusal
 	case <-ctx.Done():
-		return g.leave(r.ID, w)
+		return g.cancelWait(r.ID, w)
 	}
 }
 
-// enter grants a slot at once where one is free and nobody waits for it, and
-// queues the request otherwise.
-func (g *gate) enter(r *admission.Request, avoid string) *waiter {
+// grantOrEnqueue grants a slot immediately if one is free and no request is
+// waiting, and queues the request otherwise.
+func (g *gate) grantOrEnqueue(r *admission.Request, avoid string) *waiter {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := g.now()
 	g.refresh(now)
 	g.nextID++
 	r.ID = g.nextID
-	w := &waiter{kind: r.Kind, avoid: avoid, done: make(chan admitted, 1)}
+	w := &waiter{kind: r.Kind, avoid: avoid, done: make(chan admissionResult, 1)}
 	if g.queue.Len() == 0 {
 		if id, ok := g.picker.Pick(now, avoid); ok {
-			w.done <- admitted{slot: g.grant(now, id, r.Kind)}
-			g.note(now)
+			w.done <- admissionResult{slot: g.newSlot(now, id, r.Kind)}
+			g.updateMeter(now)
 			return w
 		}
 	}
 	g.queue.SetSlots(g.picker.Slots(now))
 	g.waiters[r.ID] = w
-	g.refuse(g.queue.Offer(now, *r))
-	g.note(now)
-	g.schedule()
+	g.deliverRefusals(g.queue.Offer(now, *r))
+	g.updateMeter(now)
+	g.schedulePoll()
 	return w
 }
 
-// leave gives up waiting. A decision that came at the same time is kept.
-func (g *gate) leave(id uint64, w *waiter) (*slot, *admission.Refusal) {
+// cancelWait removes a request from the queue. A decision made in the meantime
+// is returned.
+func (g *gate) cancelWait(id uint64, w *waiter) (*slot, *admission.Refusal) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.waiters[id] == w {
 		delete(g.waiters, id)
 		g.queue.Remove(id)
-		g.note(g.now())
+		g.updateMeter(g.now())
 		return nil, nil
 	}
 	a := <-w.done
 	return a.slot, a.refusal
 }
 
-func (g *gate) grant(now time.Time, instance, kind string) *slot {
+func (g *gate) newSlot(now time.Time, instance, kind string) *slot {
 	return &slot{
 		gate: g, endpoint: g.endpoints[instance], kind: kind,
 		start: now, expected: g.queue.Estimate(kind),
 	}
 }
 
-func (g *gate) refuse(list []admission.Refusal) {
+func (g *gate) deliverRefusals(list []admission.Refusal) {
 	for _, r := range list {
 		if w := g.waiters[r.ID]; w != nil {
 			delete(g.waiters, r.ID)
 			g.meter.Refused(g.queue.Estimate(w.kind))
-			w.done <- admitted{refusal: &r}
+			w.done <- admissionResult{refusal: &r}
 		}
 	}
 }
 
-// release gives a slot back and lets the next request through.
+// release frees the slot and dispatches waiting requests.
 func (s *slot) release(result pick.Result, latency time.Duration) {
 	g := s.gate
 	g.mu.Lock()
@@ -158,9 +158,9 @@
 	now := g.now()
 	g.refresh(now)
 	held := now.Sub(s.start)
-	// Timeouts count too: they hold slots for longer than any answer. Fast
-	// failures do not, or an endpoint that fails at once would make the pool
-	// look quick.
+	// Timeouts count because they hold slots longer than any response. Fast
+	// failures do not: an endpoint that fails immediately would make the pool
+	// look fast.
 	if result == pick.ResultOK || held > s.expected {
 		g.queue.Observe(s.kind, held)
 	}
@@ -170,19 +170,19 @@
 	g.picker.Done(now, s.endpoint.Instance, pick.Sample{
 		Result: result, Latency: latency, Expected: g.queue.Estimate(s.kind),
 	})
-	g.pump(now)
+	g.dispatchWaiting(now)
 }
 
-// pump hands free slots to waiting requests.
-func (g *gate) pump(now time.Time) {
-	defer g.note(now)
+// dispatchWaiting assigns free slots to waiting requests.
+func (g *gate) dispatchWaiting(now time.Time) {
+	defer g.updateMeter(now)
 	for g.queue.Len() > 0 {
 		id, ok := g.picker.Pick(now, "")
 		if !ok {
 			return
 		}
 		r, ok, refused := g.queue.Next(now)
-		g.refuse(refused)
+		g.deliverRefusals(refused)
 		if !ok {
 			g.picker.Done(now, id, pick.Sample{Result: pick.ResultNone})
 			return
@@ -190,14 +190,15 @@
 		w := g.waiters[r.ID]
 		delete(g.waiters, r.ID)
 		if id == w.avoid {
-			id = g.swap(now, id)
+			id = g.reserveOther(now, id)
 		}
-		w.done <- admitted{slot: g.grant(now, id, r.Kind)}
+		w.done <- admissionResult{slot: g.newSlot(now, id, r.Kind)}
 	}
 }
 
-// swap exchanges a reserved slot for one at another endpoint, if there is one.
-func (g *gate) swap(now time.Time, id string) string {
+// reserveOther exchanges a reserved slot for one at another endpoint, if there
+// is one.
+func (g *gate) reserveOther(now time.Time, id string) string {
 	other, ok := g.picker.Pick(now, id)
 	if !ok {
 		return id
@@ -206,32 +207,32 @@
 	return other
 }
 
-// schedule runs the pump for as long as requests wait.
-func (g *gate) schedule() {
-	if g.pumping || g.queue.Len() == 0 {
+// schedulePoll dispatches periodically while requests are waiting.
+func (g *gate) schedulePoll() {
+	if g.pollScheduled || g.queue.Len() == 0 {
 		return
 	}
-	g.pumping = true
-	time.AfterFunc(pumpInterval, func() {
+	g.pollScheduled = true
+	time.AfterFunc(queuePollInterval, func() {
 		g.mu.Lock()
 		defer g.mu.Unlock()
-		g.pumping = false
+		g.pollScheduled = false
 		now := g.now()
 		g.refresh(now)
-		g.refuse(g.queue.Expire(now))
-		g.pump(now)
-		g.schedule()
+		g.deliverRefusals(g.queue.Expire(now))
+		g.dispatchWaiting(now)
+		g.schedulePoll()
 	})
 }
 
-// nextRetry asks for another attempt.
+// nextRetry asks the retry policy for another attempt.
 func (g *gate) nextRetry(f retry.Failure) (time.Duration, bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.retries.Next(g.now(), f)
 }
 
-func (g *gate) advice() time.Duration {
+func (g *gate) retryAfter() time.Duration {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.queue.RetryAfter(g.now())
@@ -243,7 +244,7 @@
 	return g.queue.Estimate(kind)
 }
 
-func (g *gate) note(now time.Time) { g.meter.Set(now, g.picker.Total(), g.queue.Work()) }
+func (g *gate) updateMeter(now time.Time) { g.meter.Set(now, g.picker.Total(), g.queue.Work()) }
 
 func (g *gate) demand() int {
 	g.mu.Lock()
@@ -258,10 +259,10 @@
 	return g.picker.InFlight(instance)
 }
 
-func (g *gate) wake() {
+func (g *gate) routesChanged() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := g.now()
 	g.refresh(now)
-	g.pump(now)
+	g.dispatchWaiting(now)
 }
--- a/internal/dispatch/gate_test.go
+++ b/internal/dispatch/gate_test.go
@@ -12,17 +12,17 @@
 )
 
 var _ = Describe("the gate", func() {
-	// Requests of a kind take 400 ms, and the only slot is held and not given
-	// back. A second request with a deadline of a second cannot end in time
-	// any more after 600 ms. Its caller hears so then and not at the deadline,
-	// although no slot came free to make the queue look.
-	It("gives up a request that can no longer end in time while no slot is free", func() {
-		const usual, deadline = 400 * time.Millisecond, time.Second
+	// Requests of a kind take 400 ms, and the only slot is held and never
+	// released. A second request with a deadline of 1 s can no longer complete
+	// after 600 ms. It must be refused then and not at the deadline, although
+	// no slot is released to trigger a check of the queue.
+	It("refuses a request that can no longer complete in time while no slot is free", func() {
+		const serviceTime, deadline = 400 * time.Millisecond, time.Second
 		one := Endpoint{Instance: "w1", BootID: "b", Slots: 1, Zone: "a"}
 		table := NewRouteTable(1, []manifest.Service{{Name: "tabs", Pool: "tabs"}}, map[string][]Endpoint{"tabs": {one}})
 		g := NewHandler(Options{Routes: func() *RouteTable { return table }}).gate("tabs")
 		for range 100 {
-			g.queue.Observe("k", usual)
+			g.queue.Observe("k", serviceTime)
 		}
 		request := func() admission.Request {
 			now := time.Now()
--- a/internal/dispatch/handler.go
+++ b/internal/dispatch/handler.go
@@ -11,18 +11,18 @@
 	"cyclamenwheel/internal/idempotency"
 )
 
-// Handler is the http.Handler that callers meet.
+// Handler is the http.Handler that serves callers.
 type Handler struct {
-	opts    Options
-	conns   *connSet
-	gates   sync.Map // pool name to *gate
-	bodies  atomic.Int64
-	calls   callCount
-	metrics requestMetrics
-	closing atomic.Bool // answers tell their callers to leave
+	opts      Options
+	conns     *connSet
+	gates     sync.Map // pool name to *gate
+	bodyBytes atomic.Int64
+	calls     callCount
+	metrics   requestMetrics
+	closing   atomic.Bool // responses close their caller's connection
 }
 
-// NewHandler returns a Handler. It passes paths on unchanged; a router in front
+// NewHandler returns a Handler. It forwards paths unchanged; a router in front
 // of it must not clean them.
 func NewHandler(o Options) *Handler {
 	o = o.withDefaults()
@@ -33,11 +33,11 @@
 	}
 }
 
-// call is one request on its way through the handler.
+// call is one caller request being handled.
 type call struct {
 	id       string
 	service  string
-	treat    treatment
+	policy   classPolicy
 	arrived  time.Time
 	deadline time.Time
 	caller   string
@@ -49,27 +49,27 @@
 	header http.Header
 	body   []byte
 
-	chunks  bool   // the caller's HTTP version has chunked answers
-	attempt string // the request id of the attempt under way
-	claim   *idempotency.Claim
-	maybe   bool // an earlier attempt may have run
-	outcome string
+	acceptsChunked bool   // the caller's HTTP version supports chunked responses
+	attempt        string // the request ID of the current attempt
+	claim          *idempotency.Claim
+	mayHaveRun     bool // an earlier attempt may have run
+	outcome        string
 }
 
 // ServeHTTP implements http.Handler.
 func (h *Handler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	now := h.opts.Now()
 	c := &call{id: requestID(r.Header.Get(HeaderRequestID)), arrived: now}
-	defer func() { h.metrics.count(c, h.opts.Now().Sub(now)) }()
+	defer func() { h.metrics.observe(c, h.opts.Now().Sub(now)) }()
 	if h.closing.Load() {
 		w.Header().Set("Connection", "close")
 	}
 	if !h.calls.enter() {
-		h.refuseUnread(w, r, c, h.early(r, TypeDraining, http.StatusServiceUnavailable))
+		h.refuseUnread(w, r, c, h.refusalBeforeClaim(r, TypeDraining, http.StatusServiceUnavailable))
 		return
 	}
 	defer h.calls.exit()
-	if p := h.open(c, r); p != nil {
+	if p := h.prepare(c, r); p != nil {
 		h.refuseUnread(w, r, c, *p)
 		return
 	}
@@ -81,31 +81,31 @@
 	}
 	ctx, cancel := context.WithDeadline(r.Context(), c.deadline)
 	defer cancel()
-	if c.key != "" && !c.treat.idempotent {
+	if c.key != "" && !c.policy.idempotent {
 		h.serveClaimed(ctx, w, c)
 		return
 	}
-	h.serve(ctx, w, c)
+	h.serveUnclaimed(ctx, w, c)
 }
 
-// open finds the service and how the request is to be treated.
-func (h *Handler) open(c *call, r *http.Request) *refusal {
+// prepare determines the service and the class policy of the request.
+func (h *Handler) prepare(c *call, r *http.Request) *refusal {
 	table := h.opts.Routes()
 	if table == nil || table.closed {
-		p := h.early(r, TypeNotReady, http.StatusServiceUnavailable)
+		p := h.refusalBeforeClaim(r, TypeNotReady, http.StatusServiceUnavailable)
 		return &p
 	}
 	service, rest := splitPath(r.URL.Path)
 	route := table.services[service]
 	if route == nil {
-		p := h.early(r, TypeUnknownService, http.StatusNotFound)
+		p := h.refusalBeforeClaim(r, TypeUnknownService, http.StatusNotFound)
 		return &p
 	}
 	c.service = service
-	c.treat = route.classify(r.Method, rest)
-	c.deadline = c.arrived.Add(shorter(c.treat.deadline, r.Header.Get(HeaderDeadline)))
+	c.policy = route.classify(r.Method, rest)
+	c.deadline = c.arrived.Add(shorterTimeout(c.policy.deadline, r.Header.Get(HeaderDeadline)))
 	c.caller = callerOf(r)
-	c.chunks = r.ProtoAtLeast(1, 1)
+	c.acceptsChunked = r.ProtoAtLeast(1, 1)
 	c.method, c.host, c.target = r.Method, r.Host, r.RequestURI
 	if c.target == "" || c.target[0] != '/' { // absolute form
 		c.target = r.URL.RequestURI()
@@ -120,19 +120,19 @@
 
 func outgoingHeader(r *http.Request, id string) http.Header {
 	h := r.Header.Clone()
-	stripHop(h)
+	removeHopByHopHeaders(h)
 	h.Del("Content-Length")
 	h.Set(HeaderCallerRequestID, id)
 	if host, _, err := net.SplitHostPort(r.RemoteAddr); err == nil {
 		h.Add("X-Forwarded-For", host)
 	}
 	if _, ok := h["User-Agent"]; !ok {
-		h["User-Agent"] = []string{""} // none is added where the caller sent none
+		h["User-Agent"] = []string{""} // prevents net/http from adding one where the caller sent none
 	}
 	return h
 }
 
-// gate returns the gate of a pool.
+// gate returns the gate of a pool and creates it if needed.
 func (h *Handler) gate(pool string) *gate {
 	if g, ok := h.gates.Load(pool); ok {
 		return g.(*gate)
@@ -159,47 +159,47 @@
 	})
 }
 
-// InFlight returns how many requests of this entry are in flight to an
-// instance. Once it has returned 0 for an instance that the table in force
-// does not hold, no request goes there any more.
+// InFlight returns how many of this entry's requests are in flight to an
+// instance. Once it has returned 0 for an instance that is not in the current
+// table, no further request is sent there.
 func (h *Handler) InFlight(instance string) int {
 	n := 0
 	h.eachGate(func(g *gate) { n += g.inFlight(instance) })
 	return n
 }
 
-// Demand returns how many slots of a pool this entry could use: what is in
-// flight, and what it takes to clear the queue and not to refuse. It averages
-// over the calls, of which there is one for each heartbeat.
+// Demand returns how many slots of a pool this entry could use: the requests in
+// flight plus what is needed to clear the queue and avoid refusals. It averages
+// over the time between calls, one per heartbeat.
 func (h *Handler) Demand(pool string) int { return h.gate(pool).demand() }
 
-// RoutesChanged takes a new route table over at once, rather than with the
-// next request.
-func (h *Handler) RoutesChanged() { h.eachGate((*gate).wake) }
+// RoutesChanged applies a new route table immediately instead of with the next
+// request.
+func (h *Handler) RoutesChanged() { h.eachGate((*gate).routesChanged) }
 
-// AnnounceClose has every answer from now on end its caller's connection.
+// AnnounceClose makes every response from now on close its caller's connection.
 //
-// Failure: a balancer that balances connections leaves the open ones with an
-// entry that is no longer ready, and the entry closes them when it stops.
-// Symptom: a charge that was being written at that moment has an unknown
-// outcome. A caller that was told with its last answer sends nothing more on
-// that connection. Only one that was silent for the whole ready grace can
-// still meet a closed connection, as with any HTTP server's idle timeout.
+// A load balancer that balances connections leaves open connections with an
+// entry that is no longer ready, and the entry closes them when it stops. A
+// charge being written at that moment has an unknown outcome. A caller whose
+// last response announced the close sends nothing more on that connection; only
+// one that was idle for the whole readiness grace period can still hit a closed
+// connection, as with any HTTP server's idle timeout.
 func (h *Handler) AnnounceClose() { h.closing.Store(true) }
 
-// Drain refuses new requests and waits for those in flight. It is called once
-// the listeners are closed.
+// Drain refuses new requests and waits for those in flight. Call it after the
+// listeners are closed.
 func (h *Handler) Drain(ctx context.Context) error {
 	h.AnnounceClose()
 	left := h.calls.drain(ctx)
-	h.conns.closeIdle()
+	h.conns.closeAllIdle()
 	if left > 0 {
 		return &DrainTimeoutError{InFlight: left}
 	}
 	return nil
 }
 
-// callCount counts the calls in progress, and closes for new ones.
+// callCount counts the calls in progress and can be closed to new ones.
 type callCount struct {
 	mu     sync.Mutex
 	active int
--- a/internal/dispatch/options.go
+++ b/internal/dispatch/options.go
@@ -12,33 +12,35 @@
 	"cyclamenwheel/internal/idempotency"
 )
 
-// Limits that apply where Options leaves them at zero.
+// Default limits, used where a field of Options is zero.
 const (
-	// DefaultMaxBody bounds a request's body. Bodies are read whole before a
-	// slot is taken, so that a slow sender holds no endpoint and a retry has
-	// the same bytes to send.
+	// DefaultMaxBody bounds a request body. Bodies are read completely before a
+	// slot is taken, so that a slow sender holds no endpoint and a retry can
+	// send the same bytes.
 	DefaultMaxBody = 4 << 20
-	// DefaultMaxBodies bounds all bodies held together. Entries are small; a
-	// burst of large uploads is refused rather than ending in a lack of
-	// memory that loses every request in flight.
+	// DefaultMaxBodies bounds all buffered bodies together. Entries have little
+	// memory; refusing part of a burst of large uploads avoids running out of
+	// it, which would lose every request in flight.
 	DefaultMaxBodies = 256 << 20
-	// DefaultBuffer is the largest answer that is read whole before its first
-	// byte goes to the caller. A short answer that breaks can then still be
-	// retried or told as a problem. It covers what is kept for replay.
+	// DefaultBuffer is the largest response that is read completely before its
+	// first byte is sent to the caller. If such a response breaks off, the
+	// request can still be retried or the failure reported as a problem. It
+	// covers every response that is kept for replay.
 	DefaultBuffer = 256 << 10
 )
 
 // Options configure a Handler.
 type Options struct {
-	// Routes returns the table in force; nil while there is none.
+	// Routes returns the current table, or nil while there is none.
 	Routes func() *RouteTable
-	// Current reports whether the table rests on a list of instances that was
-	// read lately. While it does not, endpoints are asked before they get work.
-	// Nil stands for always.
+	// Current reports whether the table is based on a recently read list of
+	// instances. While it is not, endpoints are verified before they get work.
+	// Nil means always current.
 	Current func() bool
-	// Claims decides about requests with a key. Without it they are refused.
+	// Claims handles requests with an idempotency key. If nil, they are
+	// refused.
 	Claims idempotency.Claims
-	// Zone is the entry's own availability zone.
+	// Zone is this entry's availability zone.
 	Zone string
 	// Now is the clock; time.Now if nil.
 	Now func() time.Time
@@ -47,15 +49,15 @@
 	// Metrics receives counters and histograms; may be nil.
 	Metrics *metrics.Set
 	Log     *slog.Logger
-	// Seed makes the random choices repeatable.
+	// Seed makes the random choices reproducible.
 	Seed uint64
 
 	MaxBody   int64
 	MaxBodies int64
 	Buffer    int64
 
-	// NewPicker, NewQueue and NewRetry replace the decisions, for
-	// measurements against a baseline.
+	// NewPicker, NewQueue and NewRetry replace the default policies, for
+	// comparison with a baseline.
 	NewPicker func(seed uint64) pick.Picker
 	NewQueue  func(seed uint64) admission.Queue
 	NewRetry  func(seed uint64) retry.Policy
--- a/internal/dispatch/paused_test.go
+++ b/internal/dispatch/paused_test.go
@@ -10,7 +10,7 @@
 	"cyclamenwheel/internal/planlease"
 )
 
-// recorder is a connection that keeps what is written.
+// recorder is a connection that records what is written.
 type recorder struct {
 	net.Conn
 	bytes.Buffer
@@ -19,23 +19,24 @@
 func (r *recorder) Write(p []byte) (int, error) { return r.Buffer.Write(p) }
 func (r *recorder) Read(p []byte) (int, error)  { return r.Buffer.Read(p) }
 
-// A process is paused between picking an endpoint and writing the request. The
-// endpoint leaves meanwhile. When the process wakes nothing may go out, and the
-// caller's request counts as not sent; a request that has begun goes on.
+// A process is paused between picking an endpoint and writing the request, and
+// the endpoint leaves in the meantime. Nothing may be written after the pause,
+// and the request counts as not sent. A request that is already partly written
+// continues.
 func TestNothingIsWrittenAfterAPause(t *testing.T) {
 	g := NewWithT(t)
 	raw := &recorder{}
 	c := newConn(raw)
-	c.vouched = planlease.Boottime() - vouchedFor - 1
+	c.acceptingAt = planlease.Boottime() - maxAcceptingAge - 1
 	_, err := c.Write([]byte("POST"))
 	g.Expect(err).To(BeAssignableToTypeOf(&PausedError{}))
 	g.Expect(raw.Len()).To(BeZero())
-	g.Expect(c.failure("w", err)).To(BeAssignableToTypeOf(&NotSentError{}))
+	g.Expect(c.classifyError("w", err)).To(BeAssignableToTypeOf(&NotSentError{}))
 
-	c.vouched = planlease.Boottime()
+	c.acceptingAt = planlease.Boottime()
 	_, err = c.Write([]byte("POST"))
 	g.Expect(err).NotTo(HaveOccurred())
-	c.vouched -= vouchedFor + 1
+	c.acceptingAt -= maxAcceptingAge + 1
 	_, err = c.Write([]byte(" rest"))
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(raw.String()).To(Equal("POST rest"))
--- a/internal/dispatch/problem.go
+++ b/internal/dispatch/problem.go
@@ -7,23 +7,23 @@
 	"time"
 )
 
-// Ran tells whether a refused request ran.
+// Ran states whether a refused request ran.
 type Ran string
 
 // Values of Ran.
 const (
-	// RanNo: it is certain that the request did not run.
+	// RanNo: the request certainly did not run.
 	RanNo Ran = "no"
-	// RanUnknown: it may have run.
+	// RanUnknown: the request may have run.
 	RanUnknown Ran = "unknown"
-	// RanYes: it ran, but its answer cannot be given.
+	// RanYes: the request ran but its response cannot be returned.
 	RanYes Ran = "yes"
 )
 
-// Type is the kind of a problem. Values are stable.
+// Type is a problem type URI. Values are stable.
 type Type string
 
-// Types of problems.
+// Problem types.
 const (
 	TypeUnknownService  Type = "urn:cyclamenwheel:problem:unknown-service"
 	TypeNotReady        Type = "urn:cyclamenwheel:problem:not-ready"
@@ -44,7 +44,7 @@
 	TypeKeyUnavailable  Type = "urn:cyclamenwheel:problem:claim-unavailable"
 )
 
-// Problem is the body of a refusal, application/problem+json.
+// Problem is the body of a refusal (application/problem+json).
 type Problem struct {
 	Type             Type   `json:"type"`
 	Title            string `json:"title"`
@@ -58,25 +58,24 @@
 // ProblemContentType is the content type of refusals.
 const ProblemContentType = "application/problem+json"
 
-// Headers of this package.
+// Headers read or set by this package.
 const (
-	// HeaderRequestID is the caller's id of its request. Towards endpoints it is
-	// unique to the attempt, and they are to echo it.
+	// HeaderRequestID is the caller's ID for its request. Towards endpoints it
+	// is unique to the attempt, and endpoints are expected to echo it.
 	HeaderRequestID = "X-Request-Id"
-	// HeaderCallerRequestID carries the caller's id to endpoints.
+	// HeaderCallerRequestID carries the caller's request ID to endpoints.
 	HeaderCallerRequestID = "X-Caller-Request-Id"
 	HeaderIdempotencyKey  = "Idempotency-Key"
-	// HeaderDeadline is the caller's own deadline in milliseconds. Towards
-	// endpoints it carries what is left.
+	// HeaderDeadline is the caller's timeout in milliseconds. Towards endpoints
+	// it is the remaining time.
 	HeaderDeadline = "X-Deadline-Ms"
-	// HeaderCaller names who calls, for fairness among callers.
+	// HeaderCaller identifies the caller for fair queueing.
 	HeaderCaller = "X-Caller"
-	// HeaderNotRun is set to "true" by an endpoint on a 503 to a request that
-	// it did not run.
+	// HeaderNotRun is set to "true" by an endpoint on a 503 response to a
+	// request that it did not run.
 	HeaderNotRun = "X-Not-Run"
 )
 
-// titles are the titles of problems.
 var titles = map[Type]string{
 	TypeUnknownService:  "No such service",
 	TypeNotReady:        "No routes known yet",
@@ -97,15 +96,15 @@
 	TypeKeyUnavailable:  "The Idempotency-Key could not be claimed",
 }
 
-// minAdvice is the Retry-After of a refusal for which nothing else is known.
-const minAdvice = 100 * time.Millisecond
+// minRetryAfter is the Retry-After of a refusal without a better estimate.
+const minRetryAfter = 100 * time.Millisecond
 
-// write sends the problem as the final answer.
+// write sends the problem as the response.
 func (p Problem) write(w http.ResponseWriter, retryAfter time.Duration) {
 	p.Title = titles[p.Type]
-	p.RetryAfterMillis = max(retryAfter, minAdvice).Milliseconds()
+	p.RetryAfterMillis = max(retryAfter, minRetryAfter).Milliseconds()
 	body, err := json.Marshal(p)
-	if err != nil { // a Problem holds nothing that cannot be encoded
+	if err != nil { // cannot happen: every field of a Problem can be encoded
 		body = nil
 	}
 	h := w.Header()
@@ -113,8 +112,8 @@
 	h.Set("Content-Length", strconv.Itoa(len(body)))
 	h.Set("Cache-Control", "no-store")
 	h.Set(HeaderRequestID, p.RequestID)
-	// Whole seconds, rounded up, is all that the header can carry.
+	// The header carries whole seconds only; round up.
 	h.Set("Retry-After", strconv.FormatInt((p.RetryAfterMillis+999)/1000, 10))
 	w.WriteHeader(p.Status)
-	_, _ = w.Write(body) // the caller has gone; there is nobody to tell
+	_, _ = w.Write(body) // fails only if the caller has disconnected
 }
--- a/internal/dispatch/request.go
+++ b/internal/dispatch/request.go
@@ -12,18 +12,18 @@
 	"github.com/cockroachdb/errors"
 )
 
-// maxRequestID bounds a caller's request id; a longer one is replaced.
+// maxRequestID bounds a caller's request ID; a longer one is replaced.
 const maxRequestID = 128
 
-// requestID accepts a caller's id, or makes one.
+// requestID returns the caller's ID if it is valid, or generates one.
 func requestID(given string) string {
-	if given != "" && len(given) <= maxRequestID && printable(given) {
+	if given != "" && len(given) <= maxRequestID && isPrintable(given) {
 		return given
 	}
 	return strconv.FormatUint(rand.Uint64(), 36) + strconv.FormatUint(rand.Uint64(), 36)
 }
 
-func printable(s string) bool {
+func isPrintable(s string) bool {
 	for i := range len(s) {
 		if s[i] <= ' ' || s[i] > '~' {
 			return false
@@ -32,16 +32,16 @@
 	return true
 }
 
-// shorter returns the caller's own deadline where it is shorter.
-func shorter(class time.Duration, millis string) time.Duration {
-	n, err := strconv.ParseInt(millis, 10, 64)
-	if err != nil || n <= 0 || n >= class.Milliseconds() {
-		return class
+// shorterTimeout returns the shorter of the class timeout and the caller's own.
+func shorterTimeout(classTimeout time.Duration, requestedMillis string) time.Duration {
+	n, err := strconv.ParseInt(requestedMillis, 10, 64)
+	if err != nil || n <= 0 || n >= classTimeout.Milliseconds() {
+		return classTimeout
 	}
 	return time.Duration(n) * time.Millisecond
 }
 
-// callerOf names who is to get a fair share.
+// callerOf returns the caller's identity for fair queueing.
 func callerOf(r *http.Request) string {
 	if name := r.Header.Get(HeaderCaller); name != "" {
 		return name
@@ -53,9 +53,8 @@
 	return host
 }
 
-// readBody reads the whole body. free gives the memory back and is to be
-// called in any case.
-func (h *Handler) readBody(w http.ResponseWriter, c *call, r *http.Request) (free func(), p *refusal) {
+// readBody reads the whole body. releaseMemory must always be called.
+func (h *Handler) readBody(w http.ResponseWriter, c *call, r *http.Request) (releaseMemory func(), p *refusal) {
 	if r.ContentLength == 0 || r.Body == nil || r.Body == http.NoBody {
 		return func() {}, nil
 	}
@@ -66,35 +65,35 @@
 	if reserve < 0 {
 		reserve = h.opts.MaxBody
 	}
-	free = func() { h.bodies.Add(-reserve) }
-	if h.bodies.Add(reserve) > h.opts.MaxBodies {
-		p := h.early(r, TypeNoMemory, http.StatusServiceUnavailable)
-		return free, &p
+	releaseMemory = func() { h.bodyBytes.Add(-reserve) }
+	if h.bodyBytes.Add(reserve) > h.opts.MaxBodies {
+		p := h.refusalBeforeClaim(r, TypeNoMemory, http.StatusServiceUnavailable)
+		return releaseMemory, &p
 	}
-	// A sender that stops half-way is cut off at its own deadline.
+	// A sender that stalls is cut off at its deadline.
 	_ = http.NewResponseController(w).SetReadDeadline(c.deadline) // not supported by test recorders
 	body, err := readAll(http.MaxBytesReader(w, r.Body, h.opts.MaxBody), r.ContentLength)
 	if err != nil {
-		return free, bodyRefusal(err)
+		return releaseMemory, bodyRefusal(err)
 	}
 	_ = http.NewResponseController(w).SetReadDeadline(time.Time{})
 	c.body = body
-	return free, nil
+	return releaseMemory, nil
 }
 
-// refuseUnread refuses a request whose body was not read to its end, and ends
+// refuseUnread refuses a request whose body was not read to its end, and closes
 // the connection.
 //
-// Failure: the caller sends its body slowly, or stops half-way. net/http reads
-// the rest before it sends the answer, so that the refusal is held back and the
-// connection stays for as long as the caller likes. With the time for reading
-// over, the answer goes out at once.
+// If the caller sends its body slowly or stops halfway, net/http reads the
+// remainder before it sends the response, so the caller could delay the refusal
+// and keep the connection open indefinitely. An expired read deadline makes the
+// response go out at once.
 func (h *Handler) refuseUnread(w http.ResponseWriter, r *http.Request, c *call, p refusal) {
 	if r.ContentLength != 0 {
 		w.Header().Set("Connection", "close")
 		_ = http.NewResponseController(w).SetReadDeadline(c.arrived) // not supported by test recorders
 	}
-	h.refuse(w, c, p)
+	h.writeRefusal(w, c, p)
 }
 
 func readAll(r io.Reader, size int64) ([]byte, error) {
--- a/internal/dispatch/route.go
+++ b/internal/dispatch/route.go
@@ -1,9 +1,11 @@
-// Package dispatch takes callers' HTTP requests, admits or refuses them, sends
-// them to an endpoint and answers.
-//
-// What it promises: a caller gets the whole answer to its own request or a
-// typed refusal; a refusal that says "ran: no" is certain; a non-idempotent
-// request is sent to an endpoint at most once.
+// Package dispatch serves callers' HTTP requests: it admits or refuses each
+// request, forwards it to an endpoint of its service's pool, and returns the
+// complete response or a typed refusal. Its inputs are the request, the route
+// table and the claims of idempotency keys; a refusal with "ran: no" is
+// certain, and a non-idempotent request is sent to an endpoint at most once,
+// unless it is proven that it did not run. The entry process (internal/entry
+// and internal/daemon) creates the Handler, publishes route tables to it and
+// drains it at shutdown.
 package dispatch
 
 import (
@@ -15,43 +17,43 @@
 	"cyclamenwheel/internal/manifest"
 )
 
-// Endpoint is one instance as the traffic path sees it.
+// Endpoint is an instance as request handling sees it.
 type Endpoint struct {
 	Instance string `json:"instance"`
 	BootID   string `json:"boot_id"`
 	// Addr is host:port.
 	Addr string `json:"addr"`
-	// Slots is the number of requests that this entry may have in flight to
-	// the endpoint now.
+	// Slots is the number of requests that this entry may currently have in
+	// flight to the endpoint.
 	Slots int `json:"slots"`
-	// Connections bounds the connections that this entry keeps to it.
+	// Connections bounds the idle connections that this entry keeps to it.
 	Connections int    `json:"connections"`
 	Zone        string `json:"zone"`
 }
 
-// RouteTable is an immutable snapshot of where requests go. Control code
-// publishes a new one for every change; nothing in it is modified after that.
+// RouteTable is an immutable snapshot of where requests are sent. Control code
+// publishes a new table for every change.
 type RouteTable struct {
-	// Generation is the manifest generation in force.
+	// Generation is the current manifest generation.
 	Generation uint64
 	services   map[string]*route
 	pools      map[string][]Endpoint
 	closed     bool
 }
 
-// NewClosedTable returns the table of an entry that must send nothing, because
-// handovers do not wait for it any more. Requests are refused as not taken by
-// this entry, never as of an unknown service: what this entry knows of
-// services and keys may be out of date.
+// NewClosedTable returns the table of an entry that must not send requests
+// because handovers no longer wait for it. Requests are refused as not accepted
+// by this entry and never as addressed to an unknown service, because the
+// entry's information about services and keys may be out of date.
 func NewClosedTable(generation uint64) *RouteTable {
 	return &RouteTable{Generation: generation, closed: true}
 }
 
-// route is one service of a table.
+// route is a service in a route table.
 type route struct {
 	service manifest.Service
-	// kinds are the names under which service times of each class are kept;
-	// the last one is for requests of no class.
+	// kinds are the keys of the service time estimates, one per class; the last
+	// one is for requests without a class.
 	kinds []string
 }
 
@@ -72,29 +74,29 @@
 // Endpoints returns the endpoints of a pool.
 func (t *RouteTable) Endpoints(pool string) []Endpoint { return t.pools[pool] }
 
-// Deadlines of requests.
+// Request deadlines.
 const (
-	// defaultDeadline applies to a request that no class covers.
+	// defaultDeadline applies to a request that matches no class.
 	defaultDeadline = 10 * time.Second
-	// maxDeadline bounds what a manifest can ask for: a request in flight
-	// holds up moves and graceful shutdown for as long.
+	// maxDeadline bounds the deadline in a manifest: a request in flight delays
+	// moves and graceful shutdown for as long.
 	maxDeadline = 5 * time.Minute
 )
 
-// treatment is how a request of a class is handled.
-type treatment struct {
+// classPolicy is how requests of a class are handled.
+type classPolicy struct {
 	kind       string
 	idempotent bool
 	urgent     bool
 	deadline   time.Duration
 }
 
-// classify returns the treatment of the first class that matches. rest is the
-// decoded path below the service. A request that no class covers is taken as
+// classify returns the policy of the first matching class. rest is the decoded
+// path below the service. A request that matches no class is treated as
 // non-idempotent, because sending it again could run a charge twice.
-func (r *route) classify(method, rest string) treatment {
-	// Cleaned, because endpoints clean it too: "/x/../charge" must not escape
-	// the class of "/charge".
+func (r *route) classify(method, rest string) classPolicy {
+	// Endpoints clean the path too, so "/x/../charge" must match the class of
+	// "/charge".
 	rest = path.Clean("/" + rest)
 	for i, c := range r.service.Classes {
 		if len(c.Methods) > 0 && !slices.Contains(c.Methods, method) {
@@ -103,14 +105,14 @@
 		if !strings.HasPrefix(rest, c.PathPrefix) {
 			continue
 		}
-		return treatment{
+		return classPolicy{
 			kind:       r.kinds[i],
 			idempotent: c.Idempotent,
 			urgent:     c.Priority == manifest.PriorityUrgent,
 			deadline:   boundDeadline(c.DeadlineMillis),
 		}
 	}
-	return treatment{kind: r.kinds[len(r.kinds)-1], deadline: defaultDeadline}
+	return classPolicy{kind: r.kinds[len(r.kinds)-1], deadline: defaultDeadline}
 }
 
 func boundDeadline(millis int64) time.Duration {
@@ -123,7 +125,7 @@
 	return time.Duration(millis) * time.Millisecond
 }
 
-// splitPath returns the service and the rest of a path, which keeps its slash.
+// splitPath returns the service and the remaining path, with its leading slash.
 func splitPath(p string) (service, rest string) {
 	p = strings.TrimPrefix(p, "/")
 	i := strings.IndexByte(p, '/')
--- a/internal/dispatch/serve.go
+++ b/internal/dispatch/serve.go
@@ -13,7 +13,7 @@
 	"cyclamenwheel/internal/dispatch/retry"
 )
 
-// refusal is a final answer that the entry gives itself.
+// refusal is a response that the entry generates itself.
 type refusal struct {
 	kind   Type
 	status int
@@ -23,9 +23,9 @@
 	cause  error
 }
 
-func (h *Handler) refuse(w http.ResponseWriter, c *call, r refusal) {
+func (h *Handler) writeRefusal(w http.ResponseWriter, c *call, r refusal) {
 	c.outcome = string(r.kind)
-	boundReading(w)
+	limitWriteTime(w)
 	detail := r.detail
 	if detail == "" && r.cause != nil {
 		detail = r.cause.Error()
@@ -38,10 +38,10 @@
 	p.write(w, r.retry)
 }
 
-// early is a refusal before the request's key was looked at, for a cause that
-// passes. A request with a key may be the repetition of one that ran, so that
-// only a request without one is certain not to have run.
-func (h *Handler) early(r *http.Request, kind Type, status int) refusal {
+// refusalBeforeClaim returns a refusal for a temporary cause found before the
+// request's key was checked. A request with a key may repeat one that ran, so
+// only a request without a key is certain not to have run.
+func (h *Handler) refusalBeforeClaim(r *http.Request, kind Type, status int) refusal {
 	ran := RanNo
 	if r.Header.Get(HeaderIdempotencyKey) != "" {
 		ran = RanUnknown
@@ -49,18 +49,18 @@
 	return refusal{kind: kind, status: status, ran: ran}
 }
 
-// serve runs a request that needs no claim.
-func (h *Handler) serve(ctx context.Context, w http.ResponseWriter, c *call) {
-	ans, p := h.run(ctx, c)
+// serveUnclaimed serves a request that needs no claim.
+func (h *Handler) serveUnclaimed(ctx context.Context, w http.ResponseWriter, c *call) {
+	res, p := h.runAttempts(ctx, c)
 	if p != nil {
-		h.refuse(w, c, *p)
+		h.writeRefusal(w, c, *p)
 		return
 	}
-	h.deliver(w, c, ans)
+	h.writeResponse(w, c, res)
 }
 
-// run makes attempts until there is an answer or the final refusal.
-func (h *Handler) run(ctx context.Context, c *call) (*answer, *refusal) {
+// runAttempts makes attempts until there is a response or a final refusal.
+func (h *Handler) runAttempts(ctx context.Context, c *call) (*response, *refusal) {
 	table := h.opts.Routes()
 	if table.closed {
 		return nil, &refusal{kind: TypeNotReady, status: http.StatusServiceUnavailable, ran: c.ran()}
@@ -74,38 +74,39 @@
 	for attempts := 1; ; attempts++ {
 		s, refused := g.acquire(ctx, c.admission(), avoid)
 		if s == nil {
-			return nil, c.notAdmitted(ctx, g, refused)
+			return nil, c.admissionRefusal(ctx, g, refused)
 		}
-		ans, err := h.attempt(c, s)
+		res, err := h.attempt(c, s)
 		if err == nil {
-			return ans, nil
+			return res, nil
 		}
 		avoid = s.endpoint.Instance
-		if !h.again(ctx, g, c, err, attempts) {
-			return nil, c.failed(g, err)
+		if !h.awaitRetry(ctx, g, c, err, attempts) {
+			return nil, c.attemptRefusal(g, err)
 		}
 	}
 }
 
 func (c *call) admission() admission.Request {
 	return admission.Request{
-		Caller: c.caller, Kind: c.treat.kind, Urgent: c.treat.urgent,
+		Caller: c.caller, Kind: c.policy.kind, Urgent: c.policy.urgent,
 		Arrived: c.arrived, Deadline: c.deadline,
 	}
 }
 
-// again decides about another attempt, and waits for its time.
-func (h *Handler) again(ctx context.Context, g *gate, c *call, err error, attempts int) bool {
+// awaitRetry reports whether to make another attempt, after waiting for the
+// backoff.
+func (h *Handler) awaitRetry(ctx context.Context, g *gate, c *call, err error, attempts int) bool {
 	notRun := provesNotRun(err)
-	c.maybe = c.maybe || !notRun
+	c.mayHaveRun = c.mayHaveRun || !notRun
 	wait, ok := g.nextRetry(retry.Failure{
-		NotRun: notRun, Idempotent: c.treat.idempotent, Attempts: attempts,
-		Deadline: c.deadline, Estimate: g.estimate(c.treat.kind),
+		NotRun: notRun, Idempotent: c.policy.idempotent, Attempts: attempts,
+		Deadline: c.deadline, Estimate: g.estimate(c.policy.kind),
 	})
 	if !ok {
 		return false
 	}
-	h.metrics.retries(c.service)
+	h.metrics.countRetry(c.service)
 	select {
 	case <-time.After(wait):
 		return true
@@ -115,19 +116,19 @@
 }
 
 func (c *call) ran() Ran {
-	if c.maybe {
+	if c.mayHaveRun {
 		return RanUnknown
 	}
 	return RanNo
 }
 
-// notAdmitted is the refusal of a request that got no slot.
-func (c *call) notAdmitted(ctx context.Context, g *gate, r *admission.Refusal) *refusal {
+// admissionRefusal returns the refusal of a request that got no slot.
+func (c *call) admissionRefusal(ctx context.Context, g *gate, r *admission.Refusal) *refusal {
 	p := &refusal{kind: TypeDeadline, status: http.StatusServiceUnavailable, ran: c.ran()}
 	switch {
 	case r == nil:
 		p.cause = ctx.Err()
-		p.retry = g.advice()
+		p.retry = g.retryAfter()
 	case r.Reason != admission.ReasonTooLate:
 		p.kind, p.detail, p.retry = TypeOverload, string(r.Reason), r.RetryAfter
 	default:
@@ -136,9 +137,9 @@
 	return p
 }
 
-// failed is the refusal after the last attempt.
-func (c *call) failed(g *gate, err error) *refusal {
-	p := &refusal{kind: TypeEndpointFailed, status: http.StatusBadGateway, ran: c.ran(), cause: err, retry: g.advice()}
+// attemptRefusal returns the refusal after the last attempt.
+func (c *call) attemptRefusal(g *gate, err error) *refusal {
+	p := &refusal{kind: TypeEndpointFailed, status: http.StatusBadGateway, ran: c.ran(), cause: err, retry: g.retryAfter()}
 	switch {
 	case errors.HasType(err, (*AnswerTimeoutError)(nil)):
 		p.kind, p.status = TypeEndpointTimeout, http.StatusGatewayTimeout
@@ -148,103 +149,103 @@
 	return p
 }
 
-// deliver passes an answer on.
-func (h *Handler) deliver(w http.ResponseWriter, c *call, ans *answer) {
-	if ans.rest != nil && ans.rest.resp.ContentLength < 0 && !c.chunks {
-		h.withhold(w, c, ans.rest)
+// writeResponse forwards a response to the caller.
+func (h *Handler) writeResponse(w http.ResponseWriter, c *call, res *response) {
+	if res.stream != nil && res.stream.resp.ContentLength < 0 && !c.acceptsChunked {
+		h.refuseUnframed(w, c, res.stream)
 		return
 	}
 	c.outcome = outcomeAnswered
 	out := w.Header()
-	stripHop(ans.header)
-	for name, values := range ans.header {
+	removeHopByHopHeaders(res.header)
+	for name, values := range res.header {
 		out[name] = values
 	}
 	out.Set(HeaderRequestID, c.id)
-	if ans.rest == nil && c.method != http.MethodHead && len(ans.body) > 0 {
-		out.Set("Content-Length", strconv.Itoa(len(ans.body)))
+	if res.stream == nil && c.method != http.MethodHead && len(res.body) > 0 {
+		out.Set("Content-Length", strconv.Itoa(len(res.body)))
 	}
-	boundReading(w)
-	w.WriteHeader(ans.status)
-	_, writeErr := w.Write(ans.body)
-	if ans.rest != nil {
-		h.stream(w, c, ans.rest, writeErr)
+	limitWriteTime(w)
+	w.WriteHeader(res.status)
+	_, writeErr := w.Write(res.body)
+	if res.stream != nil {
+		h.stream(w, c, res.stream, writeErr)
 	}
 }
 
-// withhold refuses to pass on a long answer without a length to a caller of
-// HTTP/1.0, as some balancers are.
+// refuseUnframed refuses to forward a large response without a length to an
+// HTTP/1.0 caller, as some load balancers are.
 //
-// Failure: such an answer ends with the caller's connection. Symptom: half a
-// report that looks complete, if the endpoint breaks off. The request has run,
-// and the refusal says so.
-func (h *Handler) withhold(w http.ResponseWriter, c *call, r *rest) {
+// The end of such a response would be marked only by closing the caller's
+// connection, so a response that the endpoint broke off would look complete.
+// The refusal states that the request has run.
+func (h *Handler) refuseUnframed(w http.ResponseWriter, c *call, r *responseStream) {
 	r.conn.close()
-	r.slot.release(resultOfStatus(r.resp.StatusCode), r.took)
-	h.finish(c, answeredTooLarge)
-	h.refuse(w, c, refusal{kind: TypeNeedsHTTP11, status: http.StatusBadGateway, ran: RanYes})
+	r.slot.release(resultOfStatus(r.resp.StatusCode), r.latency)
+	h.finish(c, resultAnswerTooLarge)
+	h.writeRefusal(w, c, refusal{kind: TypeNeedsHTTP11, status: http.StatusBadGateway, ran: RanYes})
 }
 
-// readingLimit is how long a caller may take to read an answer that holds no
-// endpoint's slot: a quarter of a megabyte at the most, of which the sockets
-// take much at once. Slow lines get through in that time.
-const readingLimit = 15 * time.Second
+// writeTimeout is how long a caller may take to read a response that holds no
+// endpoint slot. Such a response is at most 256 KiB, much of which fits in
+// socket buffers, so slow connections complete in time.
+const writeTimeout = 15 * time.Second
 
-// boundReading ends the connection of a caller that does not read its answer.
-//
-// Failure: the caller hangs, or has gone without a word. Symptom: its goroutine
-// and connection stay for ever, and a planned stop waits for them.
-func boundReading(w http.ResponseWriter) {
-	_ = http.NewResponseController(w).SetWriteDeadline(time.Now().Add(readingLimit)) // not supported by test recorders
+// limitWriteTime closes the connection of a caller that does not read its
+// response. A caller that hangs or disappears silently would otherwise hold its
+// goroutine and connection forever and block a graceful shutdown.
+func limitWriteTime(w http.ResponseWriter) {
+	_ = http.NewResponseController(w).SetWriteDeadline(time.Now().Add(writeTimeout)) // not supported by test recorders
 }
 
-// writeGrace is how long past the deadline a caller may take to read.
+// writeGrace is how long past the deadline a caller may take to read a streamed
+// response.
 const writeGrace = time.Second
 
-// stream passes the rest of an answer on as it comes.
+// stream forwards the remainder of a response as it arrives.
 //
-// Failure: the endpoint's connection breaks half-way. Symptom: a report that
-// looks complete and is not. Aborting the handler closes the caller's
-// connection before the last chunk or the promised length, so that every HTTP
-// client reports an error.
-func (h *Handler) stream(w http.ResponseWriter, c *call, r *rest, writeErr error) {
+// If the endpoint's connection breaks, the partial response must not look
+// complete. Aborting the handler closes the caller's connection before the last
+// chunk or the declared length, so every HTTP client reports an error.
+func (h *Handler) stream(w http.ResponseWriter, c *call, r *responseStream, writeErr error) {
 	// A caller that stops reading would hold the endpoint's slot.
 	_ = http.NewResponseController(w).SetWriteDeadline(c.deadline.Add(writeGrace)) // not supported by test recorders
 	var readErr error
 	if writeErr == nil {
-		readErr, writeErr = copyRest(w, r.resp.Body)
+		readErr, writeErr = copyStream(w, r.resp.Body)
 	}
 	if readErr != nil || writeErr != nil {
 		r.conn.close()
 	} else {
-		h.recycle(r.slot, r.conn, r.resp)
+		h.keepOrClose(r.slot, r.conn, r.resp)
 	}
 	if readErr != nil {
-		r.slot.release(resultOf(readErr), r.took)
-		h.cut(c, r, readErr)
+		r.slot.release(resultOfError(readErr), r.latency)
+		h.abortTruncated(c, r, readErr)
 	}
-	r.slot.release(resultOfStatus(r.resp.StatusCode), r.took)
+	r.slot.release(resultOfStatus(r.resp.StatusCode), r.latency)
 	if c.claim != nil {
-		// The endpoint has answered; that the caller went away changes nothing.
-		h.finish(c, answeredTooLarge)
+		// The endpoint has responded, even if the caller has disconnected.
+		h.finish(c, resultAnswerTooLarge)
 	}
 	if writeErr != nil {
 		panic(http.ErrAbortHandler)
 	}
 }
 
-// cut ends a call whose answer broke after its head was passed on.
-func (h *Handler) cut(c *call, r *rest, err error) {
-	c.outcome = outcomeCut
-	h.opts.Log.Warn("answer cut short", "request_id", c.id, "instance", r.slot.endpoint.Instance, "cause", err.Error())
+// abortTruncated ends a call whose response broke off after its head was
+// forwarded.
+func (h *Handler) abortTruncated(c *call, r *responseStream, err error) {
+	c.outcome = outcomeTruncated
+	h.opts.Log.Warn("response truncated", "request_id", c.id, "instance", r.slot.endpoint.Instance, "cause", err.Error())
 	if c.claim != nil {
-		h.finish(c, outcomeLost)
+		h.finish(c, resultUnknown)
 	}
 	panic(http.ErrAbortHandler)
 }
 
-// copyRest tells reading errors from writing errors.
-func copyRest(w io.Writer, r io.Reader) (readErr, writeErr error) {
+// copyStream returns read errors and write errors separately.
+func copyStream(w io.Writer, r io.Reader) (readErr, writeErr error) {
 	buf := make([]byte, 32<<10)
 	for {
 		n, err := r.Read(buf)
--- a/internal/dispatch/suite_test.go
+++ b/internal/dispatch/suite_test.go
@@ -25,7 +25,7 @@
 	RunSpecs(t, "dispatch")
 }
 
-// worker is an endpoint that counts what it runs. Its run function gets the
+// worker is a test endpoint that counts the requests it runs. run gets the
 // connection once a whole request has been read, and may misbehave on it; it
 // returns false to close the connection.
 type worker struct {
@@ -35,7 +35,7 @@
 	identity atomic.Pointer[health]
 	run      func(n int64, req *http.Request, body []byte, out net.Conn) bool
 	listener net.Listener
-	// healthAnswers is how often a health check is answered.
+	// healthAnswers is the number of responses sent to each health check.
 	healthAnswers atomic.Int64
 }
 
@@ -78,8 +78,8 @@
 		}
 		if req.URL.Path == "/healthz" {
 			b, _ := json.Marshal(w.identity.Load())
-			one := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(b), b)
-			_, _ = io.WriteString(c, strings.Repeat(one, int(w.healthAnswers.Load())))
+			response := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(b), b)
+			_, _ = io.WriteString(c, strings.Repeat(response, int(w.healthAnswers.Load())))
 			continue
 		}
 		if !w.run(w.runs.Add(1), req, body, c) {
@@ -88,7 +88,8 @@
 	}
 }
 
-// reply writes a whole answer. header is raw lines, each ended by CRLF.
+// reply writes a complete response. header is raw lines, each terminated by
+// CRLF.
 func reply(c net.Conn, status int, header, body string) {
 	fmt.Fprintf(c, "HTTP/1.1 %d X\r\n%sContent-Length: %d\r\n\r\n%s", status, header, len(body), body)
 }
@@ -98,7 +99,7 @@
 	return true
 }
 
-var tabs = manifest.Service{
+var tabsService = manifest.Service{
 	Name: "tabs", Pool: "tabs",
 	Classes: []manifest.Class{
 		{Name: "charge", Methods: []string{"POST"}, PathPrefix: "/charge", DeadlineMillis: 3000},
@@ -106,7 +107,7 @@
 	},
 }
 
-// entry is a handler with its route table.
+// entry is a Handler with its route table, behind a test server.
 type entry struct {
 	*Handler
 	table  atomic.Pointer[RouteTable]
@@ -124,20 +125,20 @@
 }
 
 func (e *entry) publish(endpoints ...Endpoint) {
-	e.table.Store(NewRouteTable(1, []manifest.Service{tabs}, map[string][]Endpoint{"tabs": endpoints}))
+	e.table.Store(NewRouteTable(1, []manifest.Service{tabsService}, map[string][]Endpoint{"tabs": endpoints}))
 	if e.Handler != nil {
 		e.RoutesChanged()
 	}
 }
 
-// outcome is what a caller sees.
+// outcome is what a caller observes.
 type outcome struct {
-	status  int
-	header  http.Header
-	body    string
-	problem Problem
-	closes  bool // the connection ends with this answer
-	err     error
+	status          int
+	header          http.Header
+	body            string
+	problem         Problem
+	connectionClose bool // the response announces the end of the connection
+	err             error
 }
 
 func (e *entry) do(method, path, body string, header ...string) outcome {
@@ -152,7 +153,7 @@
 	}
 	defer resp.Body.Close()
 	b, err := io.ReadAll(resp.Body)
-	out := outcome{status: resp.StatusCode, header: resp.Header, body: string(b), closes: resp.Close, err: err}
+	out := outcome{status: resp.StatusCode, header: resp.Header, body: string(b), connectionClose: resp.Close, err: err}
 	if resp.Header.Get("Content-Type") == ProblemContentType {
 		Expect(json.Unmarshal(b, &out.problem)).To(Succeed())
 		Expect(resp.Header.Get("Retry-After")).NotTo(BeEmpty())
@@ -160,14 +161,14 @@
 	return out
 }
 
-// deadAddr is an address at which nothing listens.
-func deadAddr() string {
+// unusedAddr returns an address on which nothing listens.
+func unusedAddr() string {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	Expect(err).NotTo(HaveOccurred())
 	defer l.Close()
 	return l.Addr().String()
 }
 
-const short = 5 * time.Second
+const eventuallyTimeout = 5 * time.Second
 
 var _ idempotency.Claims = (*fakeClaims)(nil)
