--- a/internal/dispatch/pick/leastloaded.go
+++ b/internal/dispatch/pick/leastloaded.go
@@ -7,55 +7,55 @@
 
 // Limits of LeastLoaded.
 const (
-	// slowStartTime is how long an endpoint takes to full use after its
-	// return. A fresh process has cold caches; the full share at once would
+	// slowStartTime is how long an endpoint's share of traffic ramps up after
+	// its return. A fresh process has cold caches; a full share at once would
 	// make it slow and have it ejected again.
 	slowStartTime = 5 * time.Second
-	// slowStartFloor is the part of its slots that it is given at first while
-	// others have room.
+	// slowStartFloor is the initial fraction of its slots that the endpoint
+	// gets while others have free slots.
 	slowStartFloor = 0.1
-	// stallFactor times the pool's mean latency without any answer, while
-	// requests are in flight, marks an endpoint as stalled. Ten leaves room
-	// for a class of long requests.
+	// stallFactor times the pool's mean latency without any response, while
+	// requests are in flight, marks an endpoint as stalled. A factor of ten
+	// allows for a class of long requests.
 	stallFactor = 10
-	// stallFloor keeps a pool of very fast answers from calling a pause of
-	// the scheduler or of a garbage collection a stall.
+	// stallFloor prevents a scheduler or garbage collector pause in a pool with
+	// very fast responses from being taken for a stall.
 	stallFloor = 100 * time.Millisecond
-	// latencyWeight is the weight of a new sample in moving averages: about
-	// the last ten count.
+	// latencyWeight is the weight of a new sample in the moving average, so
+	// that roughly the last ten samples count.
 	latencyWeight = 0.2
 )
 
-// LeastLoaded compares two endpoints picked at random and takes the one with
-// less load on its slots.
+// LeastLoaded draws two endpoints at random and picks the one with the lower
+// load relative to its slots.
 //
-// Load: skewed and bursty demand from many entries, each of which sees only
-// its own part. Harm prevented: the least loaded of all would send every entry
-// to the same endpoint at once; round robin goes on feeding a slow one. Two
-// choices avoid both, and need no more than local counts.
+// Load: skewed and bursty demand from many entries, each of which sees only its
+// own part. Picking the least loaded of all endpoints would make every entry
+// pick the same one at once, and round robin keeps feeding a slow one. Two
+// random choices avoid both and need only local counts.
 type LeastLoaded struct {
-	zone    string
-	rnd     *rand.Rand
-	states  map[string]*state
-	order   []*state // the endpoints in use, in the order of the last Set
-	free    []*state // scratch of Pick
-	total   int
-	latency time.Duration // moving average over the pool
-	started bool
+	zone        string
+	rnd         *rand.Rand
+	states      map[string]*state
+	order       []*state // the endpoints in use, in the order of the last Set
+	candidates  []*state // reused by Pick to avoid allocations
+	total       int
+	latency     time.Duration // moving average over the pool
+	initialized bool
 }
 
-// state is one endpoint's history.
+// state is what the picker tracks of one endpoint.
 type state struct {
 	Endpoint
-	present  bool
-	flight   int
-	progress time.Time // last answer, or start of the first request in flight
-	slowFrom time.Time // start of the slow start; zero for none
-	health   health
+	present      bool
+	inFlight     int
+	lastProgress time.Time // last end of a request, or start of the first in flight
+	slowStartAt  time.Time // zero if not in slow start
+	health       health
 }
 
 // NewLeastLoaded returns a picker for an entry in zone. seed makes its choices
-// repeatable.
+// reproducible.
 func NewLeastLoaded(zone string, seed uint64) *LeastLoaded {
 	return &LeastLoaded{
 		zone:   zone,
@@ -74,13 +74,13 @@
 		p.order = append(p.order, p.add(now, e))
 	}
 	for id, s := range p.states {
-		if !s.present && s.flight == 0 {
+		if !s.present && s.inFlight == 0 {
 			delete(p.states, id)
 		}
 	}
-	// Endpoints of the very first table start at full: an entry that has just
-	// started would otherwise refuse its callers for lack of slots.
-	p.started = p.started || len(endpoints) > 0
+	// Endpoints of the first route table skip the slow start: a newly started
+	// entry would otherwise refuse callers for lack of slots.
+	p.initialized = p.initialized || len(endpoints) > 0
 }
 
 func (p *LeastLoaded) add(now time.Time, e Endpoint) *state {
@@ -88,11 +88,11 @@
 	if s == nil || s.BootID != e.BootID {
 		fresh := &state{present: true}
 		if s != nil {
-			fresh.flight = s.flight
-			fresh.progress = s.progress
+			fresh.inFlight = s.inFlight
+			fresh.lastProgress = s.lastProgress
 		}
-		if p.started {
-			fresh.slowFrom = now
+		if p.initialized {
+			fresh.slowStartAt = now
 		}
 		s = fresh
 		p.states[e.Instance] = s
@@ -104,50 +104,51 @@
 
 // Pick implements Picker.
 func (p *LeastLoaded) Pick(now time.Time, avoid string) (string, bool) {
-	p.restore(now)
-	shun := p.shunStalled(now)
-	// Slow start holds an endpoint back only while others have room. After a
-	// maintenance wave most of a pool starts slowly at once: held to a tenth
-	// of its slots, the pool would refuse callers whom it could serve, which
-	// is worse for them than a cold endpoint.
-	if p.collect(now, avoid, shun, (*state).eased) || p.collect(now, avoid, shun, (*state).usable) {
-		return p.take(now, p.better(now)), true
+	p.restoreExpired(now)
+	excludeStalled := p.mayExcludeStalled(now)
+	// Slow start limits an endpoint only while others have free slots. After a
+	// maintenance wave most of a pool is in slow start at once; limited to a
+	// tenth of its slots, the pool would refuse callers that it could serve,
+	// which is worse for them than a cold endpoint.
+	if p.collectCandidates(now, avoid, excludeStalled, (*state).slowStartLimit) || p.collectCandidates(now, avoid, excludeStalled, (*state).slotLimit) {
+		return p.reserve(now, p.lessLoadedOfTwo(now)), true
 	}
 	s := p.states[avoid]
-	if s != nil && s.present && s.flight < s.usable(now) && !p.stalled(now, s) {
-		return p.take(now, s), true
+	if s != nil && s.present && s.inFlight < s.slotLimit(now) && !p.stalled(now, s) {
+		return p.reserve(now, s), true
 	}
 	return "", false
 }
 
-// collect lists the endpoints with room below limit; false if there are none.
-func (p *LeastLoaded) collect(now time.Time, avoid string, shun bool, limit func(*state, time.Time) int) bool {
-	p.free = p.free[:0]
+// collectCandidates lists the endpoints below limit and reports whether there
+// are any.
+func (p *LeastLoaded) collectCandidates(now time.Time, avoid string, excludeStalled bool, limit func(*state, time.Time) int) bool {
+	p.candidates = p.candidates[:0]
 	for _, s := range p.order {
-		if s.flight >= limit(s, now) || s.Instance == avoid || shun && p.stalled(now, s) {
+		if s.inFlight >= limit(s, now) || s.Instance == avoid || excludeStalled && p.stalled(now, s) {
 			continue
 		}
-		p.free = append(p.free, s)
+		p.candidates = append(p.candidates, s)
 	}
-	return len(p.free) > 0
+	return len(p.candidates) > 0
 }
 
-// better draws two of the free endpoints and returns the less loaded one.
-func (p *LeastLoaded) better(now time.Time) *state {
-	n := len(p.free)
+// lessLoadedOfTwo draws two of the candidates and returns the less loaded one.
+func (p *LeastLoaded) lessLoadedOfTwo(now time.Time) *state {
+	n := len(p.candidates)
 	if n == 1 {
-		return p.free[0]
+		return p.candidates[0]
 	}
 	i := p.rnd.IntN(n)
 	j := p.rnd.IntN(n - 1)
 	if j >= i {
 		j++
 	}
-	a, b := p.free[i], p.free[j]
+	a, b := p.candidates[i], p.candidates[j]
 	la, lb := p.load(now, a), p.load(now, b)
 	if la == lb {
-		// The own zone decides only between equals: half a millisecond saved
-		// is not worth one request more in an endpoint's queue.
+		// The entry's own zone only breaks ties: saving half a millisecond is
+		// not worth one more request in an endpoint's queue.
 		if b.Zone == p.zone && a.Zone != p.zone {
 			return b
 		}
@@ -159,32 +160,33 @@
 	return b
 }
 
-// load compares endpoints: the part of its slots that a request would fill.
-// Recent failures raise it, because an endpoint that fails at once is always
-// idle and would otherwise draw every request (it may still be in use where
-// the bound on ejections is reached).
+// load returns the fraction of its slots that an endpoint would use with one
+// more request. Recent failures raise it: an endpoint that fails immediately is
+// always idle and would otherwise attract every request. Such an endpoint may
+// still be in use because the number of ejections is bounded.
 func (p *LeastLoaded) load(now time.Time, s *state) float64 {
-	share := float64(s.Slots) * s.ramp(now)
-	return float64(s.flight+1) / share * float64(1+s.health.failures)
+	share := float64(s.Slots) * s.slowStartFraction(now)
+	return float64(s.inFlight+1) / share * float64(1+s.health.consecutiveFailures)
 }
 
-// stalled tells whether an endpoint has given no answer for long.
+// stalled reports whether an endpoint has not responded for long.
 //
-// Load: an endpoint or a zone vanishes without closing its connections.
-// Harm prevented: requests go on filling its slots until the first ones reach
-// their deadline, seconds later; with this it swallows only those of the first
-// moments. Any end of a request there ends the state.
+// Load: an endpoint or a zone disappears without closing its connections.
+// Requests would fill its slots until the first ones reach their deadline,
+// seconds later; excluding stalled endpoints limits the loss to the requests of
+// the first moments. The end of any request there clears the state.
 func (p *LeastLoaded) stalled(now time.Time, s *state) bool {
-	if s.flight == 0 || p.latency == 0 {
+	if s.inFlight == 0 || p.latency == 0 {
 		return false
 	}
-	return now.Sub(s.progress) > max(stallFactor*p.latency, stallFloor)
+	return now.Sub(s.lastProgress) > max(stallFactor*p.latency, stallFloor)
 }
 
-// shunStalled tells whether stalled endpoints are left out. They are under the
-// same bound as ejections: where most endpoints stall, the cause is not theirs.
-func (p *LeastLoaded) shunStalled(now time.Time) bool {
-	n := p.ejected()
+// mayExcludeStalled reports whether stalled endpoints are excluded. They count
+// towards the bound on ejections: if most endpoints stall, the cause lies
+// elsewhere.
+func (p *LeastLoaded) mayExcludeStalled(now time.Time) bool {
+	n := p.ejectedCount()
 	for _, s := range p.order {
 		if !s.health.ejected && p.stalled(now, s) {
 			n++
@@ -193,11 +195,11 @@
 	return n <= maxEjected(len(p.order))
 }
 
-func (p *LeastLoaded) take(now time.Time, s *state) string {
-	if s.flight == 0 {
-		s.progress = now
+func (p *LeastLoaded) reserve(now time.Time, s *state) string {
+	if s.inFlight == 0 {
+		s.lastProgress = now
 	}
-	s.flight++
+	s.inFlight++
 	p.total++
 	return s.Instance
 }
@@ -205,29 +207,29 @@
 // Done implements Picker.
 func (p *LeastLoaded) Done(now time.Time, instance string, sample Sample) {
 	s := p.states[instance]
-	if s == nil || s.flight == 0 {
+	if s == nil || s.inFlight == 0 {
 		return
 	}
-	s.flight--
+	s.inFlight--
 	p.total--
-	s.progress = now
+	s.lastProgress = now
 	if !s.present {
-		if s.flight == 0 {
+		if s.inFlight == 0 {
 			delete(p.states, instance)
 		}
 		return
 	}
 	if sample.Result == ResultOK {
-		p.latency = average(p.latency, sample.Latency)
+		p.latency = movingAverage(p.latency, sample.Latency)
 	}
 	s.health.record(sample)
-	p.judge(now, s)
+	p.ejectIfOutlier(now, s)
 }
 
 // InFlight implements Picker.
 func (p *LeastLoaded) InFlight(instance string) int {
 	if s := p.states[instance]; s != nil {
-		return s.flight
+		return s.inFlight
 	}
 	return 0
 }
@@ -238,8 +240,8 @@
 		return
 	}
 	for id, s := range p.states {
-		if s.flight > 0 {
-			f(id, s.flight)
+		if s.inFlight > 0 {
+			f(id, s.inFlight)
 		}
 	}
 }
@@ -249,45 +251,47 @@
 
 // Slots implements Picker.
 func (p *LeastLoaded) Slots(now time.Time) int {
-	p.restore(now)
+	p.restoreExpired(now)
 	n := 0
 	for _, s := range p.order {
-		n += s.usable(now)
+		n += s.slotLimit(now)
 	}
 	return n
 }
 
-// usable is how many requests may be in flight to s.
-func (s *state) usable(time.Time) int {
+// slotLimit returns how many requests may be in flight to s.
+func (s *state) slotLimit(time.Time) int {
 	if s.health.ejected {
 		return 0
 	}
 	return max(0, s.Slots)
 }
 
-// eased is usable, less what slow start leaves to others.
-func (s *state) eased(now time.Time) int {
-	full := s.usable(now)
+// slowStartLimit returns how many requests may be in flight to s while other
+// endpoints have free slots: slotLimit, reduced during slow start.
+func (s *state) slowStartLimit(now time.Time) int {
+	full := s.slotLimit(now)
 	if full == 0 {
 		return 0
 	}
-	return max(1, int(float64(full)*s.ramp(now)))
+	return max(1, int(float64(full)*s.slowStartFraction(now)))
 }
 
-// ramp is the part of its slots that an endpoint in slow start is given.
-func (s *state) ramp(now time.Time) float64 {
-	if s.slowFrom.IsZero() {
+// slowStartFraction returns the fraction of its slots that an endpoint gets
+// during slow start, and 1 otherwise.
+func (s *state) slowStartFraction(now time.Time) float64 {
+	if s.slowStartAt.IsZero() {
 		return 1
 	}
-	part := float64(now.Sub(s.slowFrom)) / float64(slowStartTime)
+	part := float64(now.Sub(s.slowStartAt)) / float64(slowStartTime)
 	if part >= 1 {
-		s.slowFrom = time.Time{}
+		s.slowStartAt = time.Time{}
 		return 1
 	}
 	return max(part, slowStartFloor)
 }
 
-func average(old, sample time.Duration) time.Duration {
+func movingAverage(old, sample time.Duration) time.Duration {
 	if old == 0 {
 		return sample
 	}
--- a/internal/dispatch/pick/pick.go
+++ b/internal/dispatch/pick/pick.go
@@ -1,59 +1,60 @@
-// Package pick chooses the endpoint that gets a request. It is pure: no
-// sockets, no clock, its randomness is seeded by the caller.
-//
-// A picker is owned by one lock or goroutine; it does no locking of its own.
+// Package pick chooses the endpoint that gets a request. Its inputs are a
+// pool's endpoints, the results of finished attempts, the current time and a
+// random seed; it does no I/O and reads no clock. internal/dispatch uses one
+// Picker per pool and calls it under the pool's lock, because a Picker does no
+// locking itself; internal/measure/load runs it in simulations.
 package pick
 
 import "time"
 
-// Endpoint is what a picker knows of one endpoint.
+// Endpoint describes an endpoint to a Picker.
 type Endpoint struct {
 	Instance string
-	// BootID changes at every boot of the instance.
+	// BootID changes with every boot of the instance.
 	BootID string
 	Zone   string
-	// Slots is the number of requests that this entry may have in flight to
-	// the endpoint now.
+	// Slots is the number of requests that this entry may currently have in
+	// flight to the endpoint.
 	Slots int
 }
 
-// Result is how an attempt ended, as far as the endpoint's health goes.
+// Result is the outcome of an attempt as evidence of the endpoint's health.
 type Result uint8
 
 // Results of an attempt.
 const (
-	// ResultOK: a complete answer came back.
+	// ResultOK: a complete response was received.
 	ResultOK Result = iota + 1
-	// ResultFailed: no connection, a broken answer or a server error.
+	// ResultFailed: no connection, an incomplete response or a server error.
 	ResultFailed
-	// ResultTimeout: no whole answer before the deadline.
+	// ResultTimeout: no complete response before the deadline.
 	ResultTimeout
-	// ResultRefused: the endpoint said that it did not run the request.
+	// ResultRefused: the endpoint stated that it did not run the request.
 	ResultRefused
-	// ResultNone: the attempt says nothing about the endpoint.
+	// ResultNone: the attempt is no evidence about the endpoint.
 	ResultNone
 )
 
-// Sample is one finished attempt.
+// Sample is a finished attempt.
 type Sample struct {
 	Result Result
 	// Latency is the time from the pick to the end of the attempt.
 	Latency time.Duration
-	// Expected is the usual latency of the request's class; 0 if unknown. The
-	// ratio of the two compares endpoints fairly when long and short work are
-	// mixed.
+	// Expected is the usual latency of the request's class; 0 if unknown.
+	// Latency relative to Expected allows a fair comparison of endpoints that
+	// run long and short requests.
 	Expected time.Duration
 }
 
-// Picker chooses endpoints and counts what is in flight to them.
+// Picker chooses endpoints and counts the requests in flight to them.
 type Picker interface {
-	// Set replaces the endpoints. One that is left out gets no new request;
-	// what is in flight to it goes on being counted.
+	// Set replaces the endpoints. A removed endpoint gets no new requests;
+	// those in flight to it are still counted.
 	Set(now time.Time, endpoints []Endpoint)
-	// Pick reserves a slot, at another endpoint than avoid where there is one.
-	// It returns false where no slot is free.
+	// Pick reserves a slot, preferring endpoints other than avoid. It returns
+	// false if no slot is free.
 	Pick(now time.Time, avoid string) (instance string, ok bool)
-	// Done gives the slot back.
+	// Done releases the slot.
 	Done(now time.Time, instance string, s Sample)
 	// InFlight returns how many requests are in flight to an instance.
 	InFlight(instance string) int
@@ -61,49 +62,49 @@
 	EachInFlight(f func(instance string, n int))
 	// Total returns how many requests are in flight to all instances.
 	Total() int
-	// Slots returns how many requests may be in flight to the endpoints that
-	// are used at present.
+	// Slots returns how many requests may be in flight to the endpoints
+	// currently in use.
 	Slots(now time.Time) int
 }
 
-// RoundRobin is the baseline: each endpoint in turn that has a free slot,
-// whatever its health.
+// RoundRobin is the baseline: it uses each endpoint with a free slot in turn,
+// regardless of its health.
 type RoundRobin struct {
 	endpoints []Endpoint
 	next      int
-	flight    map[string]int
+	inFlight  map[string]int
 	total     int
 }
 
 // NewRoundRobin returns an empty RoundRobin.
-func NewRoundRobin() *RoundRobin { return &RoundRobin{flight: map[string]int{}} }
+func NewRoundRobin() *RoundRobin { return &RoundRobin{inFlight: map[string]int{}} }
 
 // Set implements Picker.
 func (p *RoundRobin) Set(_ time.Time, endpoints []Endpoint) { p.endpoints = endpoints }
 
 // Pick implements Picker.
 func (p *RoundRobin) Pick(_ time.Time, avoid string) (string, bool) {
-	second := ""
+	fallback := ""
 	for range p.endpoints {
 		e := p.endpoints[p.next%len(p.endpoints)]
 		p.next++
-		if p.flight[e.Instance] >= e.Slots {
+		if p.inFlight[e.Instance] >= e.Slots {
 			continue
 		}
 		if e.Instance == avoid {
-			second = e.Instance
+			fallback = e.Instance
 			continue
 		}
-		return p.take(e.Instance), true
+		return p.reserve(e.Instance), true
 	}
-	if second != "" {
-		return p.take(second), true
+	if fallback != "" {
+		return p.reserve(fallback), true
 	}
 	return "", false
 }
 
-func (p *RoundRobin) take(instance string) string {
-	p.flight[instance]++
+func (p *RoundRobin) reserve(instance string) string {
+	p.inFlight[instance]++
 	p.total++
 	return instance
 }
@@ -111,18 +112,18 @@
 // Done implements Picker.
 func (p *RoundRobin) Done(_ time.Time, instance string, _ Sample) {
 	p.total--
-	p.flight[instance]--
-	if p.flight[instance] == 0 {
-		delete(p.flight, instance)
+	p.inFlight[instance]--
+	if p.inFlight[instance] == 0 {
+		delete(p.inFlight, instance)
 	}
 }
 
 // InFlight implements Picker.
-func (p *RoundRobin) InFlight(instance string) int { return p.flight[instance] }
+func (p *RoundRobin) InFlight(instance string) int { return p.inFlight[instance] }
 
 // EachInFlight implements Picker.
 func (p *RoundRobin) EachInFlight(f func(string, int)) {
-	for id, n := range p.flight {
+	for id, n := range p.inFlight {
 		if n > 0 {
 			f(id, n)
 		}
--- a/internal/dispatch/pick/pick_test.go
+++ b/internal/dispatch/pick/pick_test.go
@@ -30,15 +30,15 @@
 	return p
 }
 
-// fail lets an endpoint fail as often as it takes.
-func fail(p *LeastLoaded, now time.Time, instance string) {
+// failUntilEjected records enough consecutive failures to eject an endpoint.
+func failUntilEjected(p *LeastLoaded, now time.Time, instance string) {
 	for range failuresToEject {
-		p.take(now, p.states[instance])
+		p.reserve(now, p.states[instance])
 		p.Done(now, instance, Sample{Result: ResultFailed})
 	}
 }
 
-var _ = Describe("least loaded of two", func() {
+var _ = Describe("the least-loaded picker", func() {
 	It("uses every slot and no more", func() {
 		p := newPicker(3, 2)
 		for range 6 {
@@ -51,14 +51,14 @@
 		Expect(p.InFlight("w0")).To(Equal(2))
 	})
 
-	It("prefers its zone only between equals", func() {
+	It("prefers its own zone only to break ties", func() {
 		p := newPicker(2, 8)
 		first, _ := p.Pick(start, "")
 		second, _ := p.Pick(start, "")
 		Expect([]string{first, second}).To(Equal([]string{"w0", "w1"}))
 	})
 
-	It("avoids the endpoint that has just failed, if there is another", func() {
+	It("avoids the given endpoint if there is another", func() {
 		p := newPicker(2, 8)
 		for range 8 {
 			id, _ := p.Pick(start, "w0")
@@ -69,10 +69,10 @@
 		Expect(id).To(Equal("w0"))
 	})
 
-	// An instance is removed with requests in flight to it. It gets nothing
-	// new, its requests go on being counted, and its slots are not lost if it
-	// comes back meanwhile.
-	It("counts what is in flight to a removed endpoint", func() {
+	// An instance is removed while requests are in flight to it. It gets no new
+	// requests, its requests in flight are still counted, and they still occupy
+	// slots if it returns in the meantime.
+	It("counts the requests in flight to a removed endpoint", func() {
 		p := newPicker(1, 2)
 		id, _ := p.Pick(start, "")
 		p.Set(start, nil)
@@ -88,63 +88,63 @@
 })
 
 var _ = Describe("outlier ejection", func() {
-	It("leaves out what fails, and brings it back slowly", func() {
+	It("ejects a failing endpoint and returns it with a slow start", func() {
 		p := newPicker(4, 8)
-		fail(p, start, "w0")
+		failUntilEjected(p, start, "w0")
 		Expect(p.Ejected()).To(Equal([]string{"w0"}))
 		Expect(p.Slots(start)).To(Equal(24))
 		back := start.Add(ejectBase)
-		Expect(p.Slots(back)).To(Equal(32), "slow start holds back only while others have room")
-		Expect(p.states["w0"].eased(back)).To(Equal(1))
-		Expect(p.states["w0"].eased(back.Add(slowStartTime / 2))).To(Equal(4))
-		Expect(p.states["w0"].eased(back.Add(slowStartTime))).To(Equal(8))
+		Expect(p.Slots(back)).To(Equal(32), "slow start limits an endpoint only while others have free slots")
+		Expect(p.states["w0"].slowStartLimit(back)).To(Equal(1))
+		Expect(p.states["w0"].slowStartLimit(back.Add(slowStartTime / 2))).To(Equal(4))
+		Expect(p.states["w0"].slowStartLimit(back.Add(slowStartTime))).To(Equal(8))
 	})
 
-	It("doubles the time for one that fails again", func() {
+	It("doubles the duration for an endpoint that fails again", func() {
 		p := newPicker(4, 8)
-		fail(p, start, "w0")
+		failUntilEjected(p, start, "w0")
 		now := start.Add(ejectBase)
-		p.restore(now)
-		fail(p, now, "w0")
-		p.restore(now.Add(2*ejectBase - 1))
+		p.restoreExpired(now)
+		failUntilEjected(p, now, "w0")
+		p.restoreExpired(now.Add(2*ejectBase - 1))
 		Expect(p.Ejected()).To(HaveLen(1))
-		p.restore(now.Add(2 * ejectBase))
+		p.restoreExpired(now.Add(2 * ejectBase))
 		Expect(p.Ejected()).To(BeEmpty())
 	})
 
-	// Everything fails: a shared database is down. Ejecting what fails would
-	// leave no endpoint at all, and callers would be refused long after the
-	// database is back.
-	It("never leaves out more than half", func() {
+	// Everything fails because a shared database is down. Ejecting every
+	// failing endpoint would leave none, and callers would be refused long
+	// after the database has recovered.
+	It("never ejects more than half of the endpoints", func() {
 		p := newPicker(5, 8)
 		for i := range 5 {
-			fail(p, start, fmt.Sprint("w", i))
+			failUntilEjected(p, start, fmt.Sprint("w", i))
 		}
 		Expect(p.Ejected()).To(HaveLen(2))
 	})
 
 	// Under overload requests are sent with little time left and time out. The
 	// endpoints are healthy and needed.
-	It("does not blame an endpoint for a timeout that was too short", func() {
+	It("does not count a timeout against the endpoint if too little time was left", func() {
 		p := newPicker(4, 8)
 		for range 20 {
-			p.take(start, p.states["w0"])
+			p.reserve(start, p.states["w0"])
 			p.Done(start, "w0", Sample{Result: ResultTimeout, Latency: 20 * time.Millisecond, Expected: 50 * time.Millisecond})
 		}
 		Expect(p.Ejected()).To(BeEmpty())
 		for range failuresToEject {
-			p.take(start, p.states["w0"])
+			p.reserve(start, p.states["w0"])
 			p.Done(start, "w0", Sample{Result: ResultTimeout, Latency: time.Second, Expected: 50 * time.Millisecond})
 		}
 		Expect(p.Ejected()).To(HaveLen(1))
 	})
 
-	// A host vanishes without a sign. Its requests hang until their deadline;
-	// meanwhile nothing more may be sent there.
-	It("sends nothing more to an endpoint that has stalled", func() {
+	// A host disappears silently. Its requests hang until their deadline;
+	// nothing more may be sent there in the meantime.
+	It("sends nothing more to a stalled endpoint", func() {
 		p := newPicker(4, 8)
 		p.latency = 20 * time.Millisecond
-		p.take(start, p.states["w0"])
+		p.reserve(start, p.states["w0"])
 		later := start.Add(time.Second)
 		for range 24 {
 			id, ok := p.Pick(later, "")
--- a/internal/dispatch/pick/slowstart_test.go
+++ b/internal/dispatch/pick/slowstart_test.go
@@ -9,10 +9,10 @@
 	"cyclamenwheel/internal/dispatch/pick"
 )
 
-// A maintenance wave brings most of a pool back within seconds, so that all of
-// it is in slow start. Callers must be able to use every slot: held to a tenth
-// of them, they were refused as overload by a pool that was idle.
-func TestSlowStartGivesWayWhereNobodyElseHasRoom(t *testing.T) {
+// A maintenance wave returns most of a pool within seconds, so all of it is in
+// slow start. Every slot must be usable: limited to a tenth of its slots, an
+// idle pool refused callers for overload.
+func TestSlowStartDoesNotLimitPoolAsAWhole(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Unix(1000, 0)
 	p := pick.NewLeastLoaded("z", 1)
@@ -27,9 +27,9 @@
 	g.Expect(ok).To(BeFalse())
 }
 
-// One endpoint of three comes back. Until it has warmed up, the others take
-// what they have room for.
-func TestSlowStartHoldsOneEndpointBack(t *testing.T) {
+// One of three endpoints returns. Until it has warmed up, the others take as
+// many requests as they have slots for.
+func TestSlowStartLimitsReturningEndpoint(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Unix(1000, 0)
 	p := pick.NewLeastLoaded("z", 1)
--- a/internal/dispatch/retry/retry.go
+++ b/internal/dispatch/retry/retry.go
@@ -1,9 +1,12 @@
 // Package retry decides whether a failed attempt is followed by another, and
-// when. It is pure: time and randomness are passed in.
+// after what delay. Its inputs are the failure, the recent successes and
+// retries, the current time and a random seed; it reads no clock.
+// internal/dispatch asks one Policy per pool after each failed attempt, under
+// the pool's lock, and internal/measure/load runs it in simulations.
 //
-// Load: an endpoint or a zone is lost and many requests fail together. Harm
-// prevented: retries that multiply the load on what is left until that fails
-// too, and a request that runs twice.
+// Load: an endpoint or a zone is lost and many requests fail together.
+// Unlimited retries would multiply the load on the remaining endpoints until
+// they fail too, and a retried request might run twice.
 package retry
 
 import (
@@ -13,51 +16,51 @@
 
 // Limits of retries.
 const (
-	// Part of recent successes that may be retries: attempts stay within 1.1
-	// times the requests.
+	// Part is the allowed ratio of retries to recent successes, which keeps
+	// attempts within 1.1 times the requests.
 	Part = 0.1
-	// MinPerWindow lets an entry with next to no traffic retry at all. One a
-	// second is no storm, whatever fails.
+	// MinPerWindow allows retries at an entry with very little traffic. One per
+	// second cannot cause a retry storm.
 	MinPerWindow = 1
 	// Window is the time over which successes and retries are counted.
 	Window = time.Second
-	// BackoffBase and BackoffCap bound the wait before a retry. Ten
-	// milliseconds let a restarted listener come back; a quarter of a second
-	// is still small against deadlines of seconds.
+	// BackoffBase and BackoffCap bound the delay before a retry. Ten
+	// milliseconds let a restarted listener come back; a quarter of a second is
+	// still small compared to deadlines of seconds.
 	BackoffBase = 10 * time.Millisecond
 	BackoffCap  = 250 * time.Millisecond
-	// MaxAttempts bounds the attempts of one request: past the third its
-	// failure is not by chance.
+	// MaxAttempts bounds the attempts of one request: a third failure is
+	// unlikely to be chance.
 	MaxAttempts = 3
 )
 
-// Failure is what is known of a failed attempt.
+// Failure describes a failed attempt.
 type Failure struct {
-	// NotRun: it is proved that the request did not run.
+	// NotRun: the request provably did not run.
 	NotRun bool
-	// Idempotent: the class allows the request to run again.
+	// Idempotent: the class allows the request to run more than once.
 	Idempotent bool
-	// Attempts made so far, the failed one included.
+	// Attempts made so far, including the failed one.
 	Attempts int
 	Deadline time.Time
-	// Estimate is how long another attempt is expected to take.
+	// Estimate is the expected duration of another attempt.
 	Estimate time.Duration
 }
 
-// Policy decides about retries. An implementation is owned by one lock.
+// Policy decides on retries. Calls must be serialized by the caller.
 type Policy interface {
-	// Success counts a request that was answered.
+	// Success counts a request that got a response.
 	Success(now time.Time)
-	// Next returns how long to wait before the next attempt, or false where
-	// there is to be none. A granted retry is counted as used.
+	// Next returns the delay before the next attempt, or false if there is
+	// none. A granted retry counts as used.
 	Next(now time.Time, f Failure) (wait time.Duration, ok bool)
 }
 
-// safe holds for every policy, the baseline included: a request that may have
-// run is not sent again unless it is idempotent.
-func (f Failure) safe() bool { return f.NotRun || f.Idempotent }
+// retryIsSafe applies to every policy, including the baseline: a request that
+// may have run is not sent again unless it is idempotent.
+func (f Failure) retryIsSafe() bool { return f.NotRun || f.Idempotent }
 
-// Fixed is the baseline: up to MaxAttempts at a fixed interval.
+// Fixed is the baseline: up to MaxAttempts with a fixed delay.
 type Fixed struct{ Wait time.Duration }
 
 // Success implements Policy.
@@ -65,19 +68,19 @@
 
 // Next implements Policy.
 func (p Fixed) Next(_ time.Time, f Failure) (time.Duration, bool) {
-	return p.Wait, f.safe() && f.Attempts < MaxAttempts
+	return p.Wait, f.retryIsSafe() && f.Attempts < MaxAttempts
 }
 
-// Budget grants retries as a part of recent successes, so that they vanish
-// when most requests fail: then the cause is not one endpoint, and sending
-// more does not help.
+// Budget grants retries in proportion to recent successes. When most requests
+// fail, the cause is not a single endpoint and retries do not help, so almost
+// none are granted.
 type Budget struct {
 	rnd       *rand.Rand
 	successes window
 	retries   window
 }
 
-// NewBudget returns a Budget. seed makes its backoff repeatable.
+// NewBudget returns a Budget. seed makes its backoff reproducible.
 func NewBudget(seed uint64) *Budget {
 	return &Budget{rnd: rand.New(rand.NewPCG(seed, seed))}
 }
@@ -87,39 +90,39 @@
 
 // Next implements Policy.
 func (b *Budget) Next(now time.Time, f Failure) (time.Duration, bool) {
-	if !f.safe() || f.Attempts >= MaxAttempts {
+	if !f.retryIsSafe() || f.Attempts >= MaxAttempts {
 		return 0, false
 	}
 	wait := b.backoff(f.Attempts)
 	if now.Add(wait + f.Estimate).After(f.Deadline) {
 		return 0, false
 	}
-	// The successes of a little less than the window pay for the retries of a
-	// little more than it: the bound holds over any second, not only over
-	// those that begin with a bucket.
-	allowed := max(MinPerWindow, int(Part*float64(b.successes.sum(now, buckets-1))))
-	if b.retries.sum(now, buckets+1) >= allowed {
+	// Successes are counted over slightly less than the window and retries over
+	// slightly more, so that the bound holds over any second and not only over
+	// those that start with a bucket.
+	allowed := max(MinPerWindow, int(Part*float64(b.successes.sum(now, bucketCount-1))))
+	if b.retries.sum(now, bucketCount+1) >= allowed {
 		return 0, false
 	}
 	b.retries.add(now)
 	return wait, true
 }
 
-// backoff is drawn from the whole range up to the exponential bound (full
-// jitter): requests that failed together do not come back together.
+// backoff returns a random delay up to the exponential bound (full jitter), so
+// that requests that failed together are not retried together.
 func (b *Budget) backoff(attempts int) time.Duration {
 	bound := min(BackoffBase<<min(attempts, 10), BackoffCap)
 	return time.Duration(b.rnd.Int64N(int64(bound)))
 }
 
 const (
-	buckets     = 20
-	bucketWidth = Window / buckets
+	bucketCount = 20
+	bucketWidth = Window / bucketCount
 )
 
 // window counts events in buckets of bucketWidth.
 type window struct {
-	slots [buckets + 1]struct {
+	counters [bucketCount + 1]struct {
 		index int64
 		count int
 	}
@@ -127,18 +130,18 @@
 
 func (w *window) add(now time.Time) {
 	i := now.UnixNano() / int64(bucketWidth)
-	s := &w.slots[i%int64(len(w.slots))]
+	s := &w.counters[i%int64(len(w.counters))]
 	if s.index != i {
 		s.index, s.count = i, 0
 	}
 	s.count++
 }
 
-// sum counts the newest n buckets, the one in progress included.
+// sum counts the newest n buckets, including the current one.
 func (w *window) sum(now time.Time, n int) int {
 	i := now.UnixNano() / int64(bucketWidth)
 	total := 0
-	for _, s := range w.slots {
+	for _, s := range w.counters {
 		if s.index > i-int64(n) && s.index <= i {
 			total += s.count
 		}
--- a/internal/dispatch/retry/retry_test.go
+++ b/internal/dispatch/retry/retry_test.go
@@ -20,8 +20,8 @@
 }
 
 var _ = Describe("the retry budget", func() {
-	// Half of all requests fail for ten seconds. Without a budget the rest of
-	// the pool would get their retries on top of its own load.
+	// Half of all requests fail for ten seconds. Without a budget the remaining
+	// endpoints would get their retries on top of their own load.
 	It("keeps attempts within 1.1 times requests in any second", func() {
 		b := NewBudget(1)
 		var granted []time.Time
@@ -46,7 +46,7 @@
 		}
 	})
 
-	It("allows one a second where there is next to no traffic", func() {
+	It("allows one retry per second with very little traffic", func() {
 		b := NewBudget(1)
 		_, first := b.Next(start, failure())
 		_, second := b.Next(start.Add(500*time.Millisecond), failure())
@@ -54,7 +54,7 @@
 		Expect([]bool{first, second, third}).To(Equal([]bool{true, false, true}))
 	})
 
-	DescribeTable("grants nothing", func(change func(*Failure)) {
+	DescribeTable("grants no retry", func(change func(*Failure)) {
 		f := failure()
 		change(&f)
 		_, ok := NewBudget(1).Next(start, f)
@@ -62,10 +62,10 @@
 	},
 		Entry("to a charge that may have run", func(f *Failure) { f.NotRun = false }),
 		Entry("past the deadline", func(f *Failure) { f.Deadline, f.Estimate = start.Add(time.Millisecond), time.Second }),
-		Entry("without end", func(f *Failure) { f.Attempts = MaxAttempts }),
+		Entry("beyond MaxAttempts", func(f *Failure) { f.Attempts = MaxAttempts }),
 	)
 
-	It("draws the wait from the whole range", func() {
+	It("draws the delay from the whole range", func() {
 		b := NewBudget(1)
 		low, high := time.Hour, time.Duration(0)
 		for range 1000 {
