--- a/internal/slots/baseline.go
+++ b/internal/slots/baseline.go
@@ -1,10 +1,10 @@
 package slots
 
-// OwnCount is the baseline: an entry looks only at its own requests in flight
-// and takes all slots of an instance for its own.
+// OwnCount is the baseline: an entry considers only its own requests in flight
+// and uses all slots of every instance.
 type OwnCount struct{ slots map[string]int }
 
-// NewOwnCount returns the baseline for the given instances.
+// NewOwnCount returns an OwnCount for the given instances.
 func NewOwnCount(instances []Instance) *OwnCount {
 	b := &OwnCount{slots: map[string]int{}}
 	for _, i := range instances {
@@ -13,5 +13,6 @@
 	return b
 }
 
-// Allowed returns how many requests may be in flight to an instance from here.
+// Allowed returns how many requests this entry may have in flight to an
+// instance.
 func (b *OwnCount) Allowed(instance string) int { return b.slots[instance] }
--- a/internal/slots/loans.go
+++ b/internal/slots/loans.go
@@ -6,45 +6,46 @@
 	"slices"
 )
 
-// keptIdle is what an entry without any demand keeps of a pool: its next request
-// should not have to wait for a loan to come back.
-const keptIdle = 1
+// minDemand is the least demand assumed for an entry and pool, so that the next
+// request of an idle entry does not have to wait until a loan is returned.
+const minDemand = 1
 
-// rebalance sets what is lent of one pool.
+// rebalance adjusts the loans of one pool.
 //
-// Slots are called back only for somebody who lacks them: a loan costs two
-// heartbeats to make and two to end, during which nobody uses the slot.
+// Slots are recalled only if another entry, or this one, lacks them: a loan
+// takes two heartbeats to make and two to end, during which nobody uses the
+// slot.
 func (s *Sharer) rebalance(pool string) {
 	list := s.claimants(pool)
-	plan := loans(list, s.self)
+	plan := planLoans(list, s.self)
 	current := map[string]int{}
-	lacking, out := 0, 0
+	shortfall, lentTotal := 0, 0
 	for _, borrower := range s.borrowers() {
 		current[borrower] = s.lentTo(pool, borrower)
-		out += current[borrower]
-		lacking += max(0, plan[borrower]-current[borrower])
+		lentTotal += current[borrower]
+		shortfall += max(0, plan[borrower]-current[borrower])
 	}
-	owned, level := s.own(list)
-	lacking += min(level, owned) - (owned - out)
+	staticShare, fairShare := s.ownShare(list)
+	shortfall += min(fairShare, staticShare) - (staticShare - lentTotal)
 	for _, borrower := range s.borrowers() {
-		n := min(lacking, current[borrower]-plan[borrower])
+		n := min(shortfall, current[borrower]-plan[borrower])
 		if n > 0 {
 			s.recall(pool, borrower, n)
-			lacking -= n
+			shortfall -= n
 		}
 	}
-	room := s.room(pool)
+	free := s.freeCapacity(pool)
 	for _, borrower := range s.borrowers() {
-		if s.listening(borrower) {
-			s.offerMore(borrower, plan[borrower]-current[borrower], room)
+		if s.isResponsive(borrower) {
+			s.increaseLoans(borrower, plan[borrower]-current[borrower], free)
 		}
 	}
 }
 
-// borrowers are the other members.
+// borrowers returns the other members.
 func (s *Sharer) borrowers() []string {
 	var out []string
-	for _, name := range s.base.members {
+	for _, name := range s.acked.members {
 		if name != s.self {
 			out = append(out, name)
 		}
@@ -52,106 +53,108 @@
 	return out
 }
 
-// own finds this entry's static share and fair level.
-func (s *Sharer) own(list []claimant) (owned, level int) {
+// ownShare returns this entry's static share and fair share.
+func (s *Sharer) ownShare(list []claimant) (staticShare, fairShare int) {
 	for _, c := range list {
 		if c.name == s.self {
-			return c.owned, c.level
+			return c.staticShare, c.fairShare
 		}
 	}
 	return 0, 0
 }
 
-func (s *Sharer) listening(name string) bool {
+func (s *Sharer) isResponsive(name string) bool {
 	p := s.peers[name]
-	return p != nil && p.heard
+	return p != nil && p.responsive
 }
 
-// claimants lists the entries that take part. A silent one keeps its static
-// share and is left out: it can neither be asked to lend nor be heard to give
-// anything back.
+// claimants lists the entries that take part in the division. An unresponsive
+// entry keeps its static share and is left out: it can neither be asked to lend
+// nor confirm that it returned anything.
 func (s *Sharer) claimants(pool string) []claimant {
 	var out []claimant
-	owned := s.ownedIn(pool)
-	for _, name := range s.base.members {
+	shares := s.staticTotals(pool)
+	for _, name := range s.acked.members {
 		c := claimant{name: name}
 		switch {
 		case name == s.self:
-			c.wanted = max(s.demand[pool], keptIdle)
-		case s.listening(name):
-			c.wanted = max(s.peers[name].demand[pool], keptIdle)
+			c.demand = max(s.demand[pool], minDemand)
+		case s.isResponsive(name):
+			c.demand = max(s.peers[name].demand[pool], minDemand)
 		default:
 			continue
 		}
-		c.owned = owned[name]
+		c.staticShare = shares[name]
 		out = append(out, c)
 	}
-	fill(out)
+	assignFairShares(out)
 	return out
 }
 
-// ownedIn adds up each member's static shares of a pool.
-func (s *Sharer) ownedIn(pool string) map[string]int {
-	if sum, ok := s.owned[pool]; ok {
+// staticTotals adds up each member's static shares of a pool.
+func (s *Sharer) staticTotals(pool string) map[string]int {
+	if sum, ok := s.poolShares[pool]; ok {
 		return sum
 	}
 	sum := map[string]int{}
 	for _, i := range s.pools[pool] {
-		for member, n := range s.base.shares(i.ID, i.Slots) {
+		for member, n := range s.acked.shares(i.ID, i.Slots) {
 			sum[member] += n
 		}
 	}
-	s.owned[pool] = sum
+	s.poolShares[pool] = sum
 	return sum
 }
 
-// spare is what can be lent of an instance.
-type spare struct {
+// freeSlots is the number of slots of an instance that can be lent.
+type freeSlots struct {
 	instance string
 	free     int
 }
 
-// room lists what this entry has left of its static shares, not counting what
-// it uses at present.
-func (s *Sharer) room(pool string) []spare {
-	var out []spare
+// freeCapacity lists the unlent slots of this entry's static shares that it
+// does not use at present.
+func (s *Sharer) freeCapacity(pool string) []freeSlots {
+	var out []freeSlots
 	for _, i := range s.pools[pool] {
-		free := s.static(i.ID) - s.reservedOf(i.ID)
+		free := s.staticShare(i.ID) - s.reservedSlots(i.ID)
 		free = min(free, s.Allowed(i.ID)-s.inFlight[i.ID])
-		out = append(out, spare{instance: i.ID, free: free})
+		out = append(out, freeSlots{instance: i.ID, free: free})
 	}
 	return out
 }
 
-// lentTo counts what a borrower has or is about to get of a pool.
+// lentTo returns how many slots of a pool are lent to a borrower or planned for
+// it.
 func (s *Sharer) lentTo(pool, borrower string) int {
 	n := 0
 	for _, i := range s.pools[pool] {
 		if l := s.lent[i.ID][borrower]; l != nil {
-			n += l.next
+			n += l.planned
 		}
 	}
 	return n
 }
 
-// offerMore sets n more slots aside, one at a time of the instance with most
-// left, so that the borrower's requests spread like the lender's.
-func (s *Sharer) offerMore(borrower string, n int, room []spare) {
+// increaseLoans reserves n more slots for the borrower, each from the instance
+// with the most free slots, so that the borrower's requests spread like the
+// lender's.
+func (s *Sharer) increaseLoans(borrower string, n int, free []freeSlots) {
 	for range max(n, 0) {
-		if len(room) == 0 {
+		if len(free) == 0 {
 			return
 		}
 		best := 0
-		for i := range room {
-			if room[i].free > room[best].free {
+		for i := range free {
+			if free[i].free > free[best].free {
 				best = i
 			}
 		}
-		if room[best].free <= 0 {
+		if free[best].free <= 0 {
 			return
 		}
-		room[best].free--
-		s.loanOf(borrower, room[best].instance).next++
+		free[best].free--
+		s.loanOf(borrower, free[best].instance).planned++
 	}
 }
 
@@ -167,61 +170,63 @@
 	return byBorrower[borrower]
 }
 
-// recall lowers loans by n in all, the largest first. What was set aside and
-// not yet offered goes first: nobody has to confirm that.
+// recall lowers loans by n slots in total, the largest first. Slots reserved
+// but not yet offered are taken first, because no confirmation is needed for
+// them.
 func (s *Sharer) recall(pool, borrower string, n int) {
 	for range n {
 		var best *loan
 		for _, i := range s.pools[pool] {
 			l := s.lent[i.ID][borrower]
-			if l != nil && l.next > 0 && (best == nil || l.before(best)) {
+			if l != nil && l.planned > 0 && (best == nil || l.recalledBefore(best)) {
 				best = l
 			}
 		}
 		if best == nil {
 			return
 		}
-		best.lower()
+		best.decrement()
 	}
 }
 
-func (l *loan) before(other *loan) bool {
+func (l *loan) recalledBefore(other *loan) bool {
 	return cmp.Or(
-		cmp.Compare(other.next-other.level, l.next-l.level),
-		cmp.Compare(other.next, l.next),
+		cmp.Compare(other.planned-other.level, l.planned-l.level),
+		cmp.Compare(other.planned, l.planned),
 	) < 0
 }
 
-func (l *loan) lower() {
-	if l.next > l.level {
-		l.next--
+func (l *loan) decrement() {
+	if l.planned > l.level {
+		l.planned--
 		return
 	}
 	l.offer(l.level - 1)
 }
 
-// OnPeer takes over what another entry says. Anything of another membership
-// version than the one in force here is left alone: it will be said again.
+// OnPeer applies a message from another entry. Loans and confirmations of a
+// different membership version are ignored; peers repeat them with every
+// heartbeat.
 func (s *Sharer) OnPeer(from string, m PeerShare) {
-	if m.To != s.self || !slices.Contains(s.base.members, from) {
+	if m.To != s.self || !slices.Contains(s.acked.members, from) {
 		return
 	}
-	s.peers[from] = &peer{demand: maps.Clone(m.Demand), heard: true}
-	if m.Membership != s.base.version || len(s.pending) > 0 {
+	s.peers[from] = &peer{demand: maps.Clone(m.Demand), responsive: true}
+	if m.Membership != s.acked.version || len(s.pending) > 0 {
 		return
 	}
 	for _, l := range m.Lends {
-		s.borrow(from, l)
+		s.applyLend(from, l)
 	}
 	for _, h := range m.Held {
-		s.confirm(from, h)
+		s.applyHeld(from, h)
 	}
 }
 
-// borrow goes by a newer level. It may be used at once where it is higher,
-// because the lender has shrunk first; where it is lower, what is in use stays
-// counted until SetInFlight sees it gone.
-func (s *Sharer) borrow(from string, l Lend) {
+// applyLend adopts a newer level. A higher level may be used at once, because
+// the lender has reduced its own use first. After a lower one, the slots in use
+// are still counted until SetInFlight shows that they are free.
+func (s *Sharer) applyLend(from string, l Lend) {
 	if s.borrowed[l.Instance] == nil {
 		s.borrowed[l.Instance] = map[string]*holding{}
 	}
@@ -234,32 +239,33 @@
 		return
 	}
 	h.version, h.level = l.Version, l.Slots
-	h.used = max(h.used, h.level)
+	h.inUse = max(h.inUse, h.level)
 }
 
-// confirm takes slots back that the borrower no longer uses. Only an answer to
-// the newest version counts: the borrower may yet receive it otherwise, and
-// grow to its level.
-func (s *Sharer) confirm(from string, h Held) {
+// applyHeld takes back slots that the borrower no longer uses. Only a
+// confirmation of the newest version counts: otherwise the borrower might still
+// receive that version and increase its use to the new level.
+func (s *Sharer) applyHeld(from string, h Held) {
 	l := s.lent[h.Instance][from]
 	if l == nil || h.Version != l.version {
 		return
 	}
-	// The least counts: an answer that was overtaken says more than is used.
-	l.out = min(l.out, max(h.Slots, l.level))
+	// Take the minimum: an older confirmation may arrive last and report more
+	// than is in use.
+	l.maxInUse = min(l.maxInUse, max(h.Slots, l.level))
 }
 
-// PeerSilent tells that a peer has missed its heartbeats. Nothing more is lent
-// to it; what it has borrowed stays counted as in use.
+// PeerSilent marks a peer that has missed its heartbeats. Nothing more is lent
+// to it; its existing loans still count as in use.
 func (s *Sharer) PeerSilent(name string) {
 	if p := s.peers[name]; p != nil {
-		p.heard = false
+		p.responsive = false
 	}
 }
 
-// Outgoing returns what is to be said to a peer.
+// Outgoing returns the message for a peer.
 func (s *Sharer) Outgoing(to string) PeerShare {
-	m := PeerShare{To: to, Membership: s.base.version, Demand: maps.Clone(s.demand)}
+	m := PeerShare{To: to, Membership: s.acked.version, Demand: maps.Clone(s.demand)}
 	maps.DeleteFunc(m.Demand, func(_ string, n int) bool { return n == 0 })
 	for id, byBorrower := range s.lent {
 		if l := byBorrower[to]; l != nil && l.version > 0 {
@@ -268,7 +274,7 @@
 	}
 	for id, byLender := range s.borrowed {
 		if h := byLender[to]; h != nil {
-			m.Held = append(m.Held, Held{Version: h.version, Instance: id, Slots: h.used})
+			m.Held = append(m.Held, Held{Version: h.version, Instance: id, Slots: h.inUse})
 		}
 	}
 	slices.SortFunc(m.Lends, func(a, b Lend) int { return cmp.Compare(a.Instance, b.Instance) })
--- a/internal/slots/messages.go
+++ b/internal/slots/messages.go
@@ -1,56 +1,59 @@
-// Package slots divides the slots of each endpoint among the entries. It is a
-// pure state machine: its inputs are membership, instances, demand, what is in
-// flight, and what peers say on their heartbeats.
+// Package slots divides the slots of each endpoint among the entries: each
+// entry has a static share of every endpoint and lends the slots that it does
+// not need. It is a state machine whose inputs are the membership, the
+// instances, the entry's demand and requests in flight, and the peers'
+// heartbeat messages; it does no I/O. The entry's control loop (internal/entry)
+// calls it once per heartbeat and applies the resulting limits to traffic;
+// internal/measure runs it in measurements.
 //
-// Load: the balancer in front of the entries spreads callers unevenly, one
-// entry may get half of them. Harm prevented: entries that each look only at
-// their own requests overrun an endpoint's slots together; entries that each
-// keep to a fixed share refuse callers while slots lie idle elsewhere.
+// Load: the load balancer in front of the entries distributes callers unevenly;
+// one entry may get half of them. If each entry considered only its own
+// requests, all of them together would exceed an endpoint's slots. With fixed
+// shares, an entry would refuse callers while other entries' slots are idle.
 //
-// Every entry has a static share of each endpoint and lends what it does not
-// need. Messages state levels, not steps, so that one that is lost, late,
-// repeated or out of order does no harm: a lender counts a slot as gone before
-// it offers it, and as back only once the borrower has confirmed that.
+// Messages carry levels and not increments, so lost, late, repeated or
+// reordered messages do no harm: a lender stops using a slot before it offers
+// it, and uses it again only after the borrower has confirmed its return.
 package slots
 
-// PeerShare is what one entry tells another on each heartbeat.
+// PeerShare is the message from one entry to another on each heartbeat.
 type PeerShare struct {
-	// To is the entry that it is meant for.
+	// To is the intended recipient.
 	To string `cbor:"1,keyasint"`
 	// Membership is the newest membership version that the sender knows to be
-	// acknowledged by all. Loans hold within one version only.
+	// acknowledged by all. Loans are valid within one version only.
 	Membership uint64 `cbor:"2,keyasint"`
-	// Demand is the number of requests in flight and waiting, by pool.
+	// Demand is the number of slots that the sender could use, by pool.
 	Demand map[string]int `cbor:"3,keyasint,omitempty"`
-	// Lends are all loans that the sender has ever made to the receiver within
-	// this membership version, those taken back included.
+	// Lends are all loans from the sender to the receiver within this
+	// membership version, including those that have been recalled.
 	Lends []Lend `cbor:"4,keyasint,omitempty"`
-	// Held answers the receiver's own Lends.
+	// Held confirms the receiver's own Lends.
 	Held []Held `cbor:"5,keyasint,omitempty"`
 }
 
-// Lend is the level of one loan.
+// Lend is the current level of one loan.
 type Lend struct {
-	// Version grows with each change of the level.
+	// Version increases with each change of the level.
 	Version  uint64 `cbor:"1,keyasint"`
 	Instance string `cbor:"2,keyasint"`
-	// Slots that the borrower may use.
+	// Slots is the number of slots that the borrower may use.
 	Slots int `cbor:"3,keyasint"`
 }
 
-// Held confirms a level.
+// Held confirms the level of a loan.
 type Held struct {
-	// Version of the Lend that the borrower goes by.
+	// Version is the version of the Lend that the borrower has adopted.
 	Version  uint64 `cbor:"1,keyasint"`
 	Instance string `cbor:"2,keyasint"`
-	// Slots that the borrower still uses or may use: more than was lent while
-	// requests on slots that were called back are still in flight. For one
+	// Slots is the number of slots that the borrower may still be using. It
+	// exceeds the level while requests on recalled slots are in flight. For one
 	// version it never grows.
 	Slots int `cbor:"3,keyasint"`
 }
 
-// Instance is one endpoint's instance. The number of slots of an instance is
-// taken as fixed while it serves.
+// Instance is one endpoint's instance. Its number of slots is assumed to be
+// constant while it serves.
 type Instance struct {
 	ID    string
 	Slots int
--- a/internal/slots/meter.go
+++ b/internal/slots/meter.go
@@ -5,35 +5,37 @@
 	"time"
 )
 
-// Meter averages a count over time, for use as an entry's demand.
+// Meter averages the number of slots that an entry could use, which serves as
+// its demand.
 //
-// The mean and not the peak: a pool's requests come at random, and an entry
-// that keeps slots for its peaks lends next to nothing while another refuses
-// callers. What comes above the mean waits a moment in the queue, which counts
-// and so raises the next reading.
+// It uses the mean and not the peak: requests of a pool arrive at random, and
+// an entry that reserves slots for its peaks lends almost nothing while another
+// entry refuses callers. Requests above the mean wait briefly in the queue,
+// which counts as demand and so raises the next reading.
 type Meter struct {
 	start, last time.Time
-	count       float64
-	area        float64 // count times seconds since start
-	mean        float64 // over about the last second
-	known       bool    // mean has had a first reading
+	load        float64
+	loadSeconds float64 // integral of load over time since start
+	mean        float64 // moving average, mostly of the last second
+	hasMean     bool    // false until the first reading
 }
 
-// readWeight is the weight of a reading in the mean. At ten heartbeats a
-// second the last second counts most: shorter, and loans are recalled and made
-// again with every chance variation.
-const readWeight = 0.1
+// meanWeight is the weight of a reading in the mean. At ten heartbeats per
+// second the last second dominates. Over a shorter time, random variation would
+// cause loans to be recalled and made again.
+const meanWeight = 0.1
 
-// clearTime is within what time a queue should be cleared. Counting each
-// waiting request as a slot wanted would have an entry keep more slots than it
-// uses only to have no queue, while another one refuses callers.
-const clearTime = 500 * time.Millisecond
+// queueClearTime is the time within which a queue should be cleared. If each
+// waiting request counted as one slot of demand, an entry would reserve more
+// slots than it uses just to have no queue, while another entry refuses
+// callers.
+const queueClearTime = 500 * time.Millisecond
 
-// Set tells what is in flight from now on, and how much work waits, as the sum
-// of expected service times.
+// Set records the number of requests in flight from now on, and the work
+// waiting in the queue as the sum of expected service times.
 func (m *Meter) Set(now time.Time, inFlight int, waiting time.Duration) {
 	m.advance(now)
-	m.count = float64(inFlight) + float64(waiting)/float64(clearTime)
+	m.load = float64(inFlight) + float64(waiting)/float64(queueClearTime)
 }
 
 func (m *Meter) advance(now time.Time) {
@@ -41,26 +43,26 @@
 		m.start, m.last = now, now
 	}
 	if now.After(m.last) {
-		m.area += m.count * now.Sub(m.last).Seconds()
+		m.loadSeconds += m.load * now.Sub(m.last).Seconds()
 		m.last = now
 	}
 }
 
-// Refused adds the work of a request that was refused for lack of slots. An
-// entry that refuses much has a short queue, and would otherwise seem to want
-// little more than it has.
-func (m *Meter) Refused(service time.Duration) { m.area += service.Seconds() }
+// Refused adds the work of a request that was refused for lack of slots.
+// Otherwise an entry that refuses many requests, and so has a short queue,
+// would appear to need few more slots than it has.
+func (m *Meter) Refused(service time.Duration) { m.loadSeconds += service.Seconds() }
 
-// Read returns the mean, rounded up. It is called once for each heartbeat.
+// Read returns the mean, rounded up. It is called once per heartbeat.
 func (m *Meter) Read(now time.Time) int {
 	m.advance(now)
 	if span := m.last.Sub(m.start).Seconds(); span > 0 {
-		weight := readWeight
-		if !m.known {
-			weight, m.known = 1, true
+		weight := meanWeight
+		if !m.hasMean {
+			weight, m.hasMean = 1, true
 		}
-		m.mean += weight * (m.area/span - m.mean)
-		m.start, m.area = m.last, 0
+		m.mean += weight * (m.loadSeconds/span - m.mean)
+		m.start, m.loadSeconds = m.last, 0
 	}
 	return int(math.Ceil(m.mean))
 }
--- a/internal/slots/meter_test.go
+++ b/internal/slots/meter_test.go
@@ -17,8 +17,8 @@
 		Expect(m.Read(start.Add(time.Second))).To(Equal(2))
 	})
 
-	// An entry whose queue is kept short under overload refuses most of its
-	// callers. It must still be seen to want many slots.
+	// An entry that keeps its queue short under overload refuses most callers.
+	// Its demand must still be high.
 	It("counts waiting and refused work", func() {
 		var m Meter
 		m.Set(start, 4, 500*time.Millisecond)
--- a/internal/slots/static.go
+++ b/internal/slots/static.go
@@ -7,22 +7,22 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// membership is one version of who shares.
+// membership is one version of the set of entries that share slots.
 type membership struct {
 	version uint64
 	members []string // sorted
 }
 
-// shares divides an instance's slots evenly. What is left over goes to the
-// first members in rendezvous order, which differs from instance to instance,
-// so that no member has more overall.
+// shares divides an instance's slots evenly. The remainder goes to the first
+// members in rendezvous order, which differs between instances, so that no
+// member is favored overall.
 func (m membership) shares(instance string, slots int) map[string]int {
 	n := len(m.members)
 	out := make(map[string]int, n)
 	if n == 0 {
 		return out
 	}
-	for i, member := range m.order(instance) {
+	for i, member := range m.rendezvousOrder(instance) {
 		out[member] = slots / n
 		if i < slots%n {
 			out[member]++
@@ -31,11 +31,11 @@
 	return out
 }
 
-// order returns the members by their weight for an instance.
-func (m membership) order(instance string) []string {
+// rendezvousOrder returns the members sorted by their weight for an instance.
+func (m membership) rendezvousOrder(instance string) []string {
 	weights := make(map[string]uint64, len(m.members))
 	for _, member := range m.members {
-		weights[member] = weight(member, instance)
+		weights[member] = rendezvousWeight(member, instance)
 	}
 	out := slices.Clone(m.members)
 	slices.SortFunc(out, func(a, b string) int {
@@ -44,7 +44,7 @@
 	return out
 }
 
-func weight(member, instance string) uint64 {
+func rendezvousWeight(member, instance string) uint64 {
 	d := xxhash.New()
 	_, _ = d.WriteString(member) // a hash's Write never fails
 	_, _ = d.WriteString("\x00")
