--- a/internal/dispatch/attempt.go
+++ b/internal/dispatch/attempt.go
@@ -99,7 +99,7 @@
 	if errors.HasType(err, (*EndpointRefusedError)(nil)) {
 		return pick.ResultRefused
 	}
-	if errors.HasType(err, (*AnswerTimeoutError)(nil)) {
+	if errors.HasType(err, (*ResponseTimeoutError)(nil)) {
 		return pick.ResultTimeout
 	}
 	return pick.ResultFailed
--- a/internal/dispatch/conn.go
+++ b/internal/dispatch/conn.go
@@ -143,7 +143,7 @@
 		return &NotSentError{Instance: instance, Cause: err}
 	}
 	if errors.Is(err, os.ErrDeadlineExceeded) {
-		return &AnswerTimeoutError{Instance: instance}
+		return &ResponseTimeoutError{Instance: instance}
 	}
 	return &BrokenAnswerError{Instance: instance, Cause: err}
 }
--- a/internal/dispatch/errors.go
+++ b/internal/dispatch/errors.go
@@ -90,11 +90,11 @@
 // Unwrap returns the cause.
 func (e *BrokenAnswerError) Unwrap() error { return e.Cause }
 
-// AnswerTimeoutError reports that the deadline passed before the response was
+// ResponseTimeoutError reports that the deadline passed before the response was
 // complete.
-type AnswerTimeoutError struct{ Instance string }
+type ResponseTimeoutError struct{ Instance string }
 
-func (e *AnswerTimeoutError) Error() string {
+func (e *ResponseTimeoutError) Error() string {
 	return fmt.Sprintf("endpoint %s: no response before the deadline", e.Instance)
 }
 
