--- a/internal/dispatch/conn.go
+++ b/internal/dispatch/conn.go
@@ -145,7 +145,7 @@
 	if errors.Is(err, os.ErrDeadlineExceeded) {
 		return &ResponseTimeoutError{Instance: instance}
 	}
-	return &BrokenAnswerError{Instance: instance, Cause: err}
+	return &IncompleteResponseError{Instance: instance, Cause: err}
 }
 
 // openAndEmpty reports whether an idle connection is still open and has no data
@@ -231,7 +231,7 @@
 	}
 	body, err := io.ReadAll(io.LimitReader(resp.Body, maxHealthBody+1))
 	if err != nil || len(body) > maxHealthBody {
-		return &BrokenAnswerError{Instance: e.Instance, Cause: err}
+		return &IncompleteResponseError{Instance: e.Instance, Cause: err}
 	}
 	if resp.StatusCode != http.StatusOK || resp.Close {
 		return &UnhealthyError{Instance: e.Instance, Status: resp.StatusCode}
--- a/internal/dispatch/errors.go
+++ b/internal/dispatch/errors.go
@@ -76,19 +76,19 @@
 	return fmt.Sprintf("endpoint %s: unsolicited data on the connection", e.Instance)
 }
 
-// BrokenAnswerError reports that at least part of a request was sent and no
+// IncompleteResponseError reports that at least part of a request was sent and no
 // complete response was received.
-type BrokenAnswerError struct {
+type IncompleteResponseError struct {
 	Instance string
 	Cause    error
 }
 
-func (e *BrokenAnswerError) Error() string {
+func (e *IncompleteResponseError) Error() string {
 	return fmt.Sprintf("endpoint %s: incomplete response: %v", e.Instance, e.Cause)
 }
 
 // Unwrap returns the cause.
-func (e *BrokenAnswerError) Unwrap() error { return e.Cause }
+func (e *IncompleteResponseError) Unwrap() error { return e.Cause }
 
 // ResponseTimeoutError reports that the deadline passed before the response was
 // complete.
