--- a/internal/dispatch/conn.go
+++ b/internal/dispatch/conn.go
@@ -244,7 +244,7 @@
 		return err
 	}
 	if !c.openAndEmpty() { // would be taken for the response to the next request
-		return &UnaskedAnswerError{Instance: e.Instance}
+		return &UnsolicitedDataError{Instance: e.Instance}
 	}
 	c.confirmedAt, c.acceptingAt = checkedAt, checkedAt
 	return nil
--- a/internal/dispatch/errors.go
+++ b/internal/dispatch/errors.go
@@ -69,10 +69,10 @@
 	return fmt.Sprintf("endpoint %s: refusal carries no request ID", e.Instance)
 }
 
-// UnaskedAnswerError reports unsolicited data on a connection.
-type UnaskedAnswerError struct{ Instance string }
+// UnsolicitedDataError reports unsolicited data on a connection.
+type UnsolicitedDataError struct{ Instance string }
 
-func (e *UnaskedAnswerError) Error() string {
+func (e *UnsolicitedDataError) Error() string {
 	return fmt.Sprintf("endpoint %s: unsolicited data on the connection", e.Instance)
 }
 
