--- a/internal/dispatch/attempt.go
+++ b/internal/dispatch/attempt.go
@@ -145,7 +145,7 @@
 	}
 	chunked := len(resp.TransferEncoding) > 0
 	if resp.ContentLength < 0 && !chunked && resp.Body != http.NoBody {
-		return &UnframedAnswerError{Instance: instance}
+		return &UnframedResponseError{Instance: instance}
 	}
 	return nil
 }
--- a/internal/dispatch/errors.go
+++ b/internal/dispatch/errors.go
@@ -98,11 +98,11 @@
 	return fmt.Sprintf("endpoint %s: no response before the deadline", e.Instance)
 }
 
-// UnframedAnswerError reports a response with neither a length nor chunks,
+// UnframedResponseError reports a response with neither a length nor chunks,
 // whose end cannot be distinguished from a lost connection.
-type UnframedAnswerError struct{ Instance string }
+type UnframedResponseError struct{ Instance string }
 
-func (e *UnframedAnswerError) Error() string {
+func (e *UnframedResponseError) Error() string {
 	return fmt.Sprintf("endpoint %s: response has neither length nor chunks", e.Instance)
 }
 
