--- a/internal/dispatch/attempt.go
+++ b/internal/dispatch/attempt.go
@@ -138,7 +138,7 @@
 func verifyResponse(c *call, instance string, resp *http.Response) error {
 	got := resp.Header.Get(HeaderRequestID)
 	if got != "" && got != c.attempt {
-		return &CrossedAnswerError{Instance: instance, Want: c.attempt, Got: got}
+		return &MismatchedResponseError{Instance: instance, Want: c.attempt, Got: got}
 	}
 	if resp.StatusCode == http.StatusServiceUnavailable && resp.Header.Get(HeaderNotRun) == "true" {
 		return refusalError(instance, got != "")
--- a/internal/dispatch/errors.go
+++ b/internal/dispatch/errors.go
@@ -106,14 +106,14 @@
 	return fmt.Sprintf("endpoint %s: response has neither length nor chunks", e.Instance)
 }
 
-// CrossedAnswerError reports a response that belongs to another request.
-type CrossedAnswerError struct {
+// MismatchedResponseError reports a response that belongs to another request.
+type MismatchedResponseError struct {
 	Instance string
 	Want     string
 	Got      string
 }
 
-func (e *CrossedAnswerError) Error() string {
+func (e *MismatchedResponseError) Error() string {
 	return fmt.Sprintf("endpoint %s: response to request %q, want %q", e.Instance, e.Got, e.Want)
 }
 
