--- a/internal/dispatch/attempt.go
+++ b/internal/dispatch/attempt.go
@@ -158,7 +158,7 @@
 // and run twice.
 func refusalError(instance string, namesRequest bool) error {
 	if !namesRequest {
-		return &UnnamedRefusalError{Instance: instance}
+		return &UnidentifiedRefusalError{Instance: instance}
 	}
 	return &EndpointRefusedError{Instance: instance}
 }
--- a/internal/dispatch/errors.go
+++ b/internal/dispatch/errors.go
@@ -61,11 +61,11 @@
 	return fmt.Sprintf("endpoint %s: refused without running the request", e.Instance)
 }
 
-// UnnamedRefusalError reports that the endpoint stated that it did not run a
+// UnidentifiedRefusalError reports that the endpoint stated that it did not run a
 // request without giving the request's ID.
-type UnnamedRefusalError struct{ Instance string }
+type UnidentifiedRefusalError struct{ Instance string }
 
-func (e *UnnamedRefusalError) Error() string {
+func (e *UnidentifiedRefusalError) Error() string {
 	return fmt.Sprintf("endpoint %s: refusal carries no request ID", e.Instance)
 }
 
