--- a/internal/dispatch/conn.go
+++ b/internal/dispatch/conn.go
@@ -133,7 +133,7 @@
 			break
 		}
 	}
-	return nil, &InterimAnswersError{Limit: maxInterimResponses}
+	return nil, &TooManyInterimResponsesError{Limit: maxInterimResponses}
 }
 
 // classifyError distinguishes requests that were not sent from those that may
--- a/internal/dispatch/errors.go
+++ b/internal/dispatch/errors.go
@@ -124,10 +124,10 @@
 	return fmt.Sprintf("response head larger than %d bytes", e.Limit)
 }
 
-// InterimAnswersError reports that an endpoint sent too many 1xx responses.
-type InterimAnswersError struct{ Limit int }
+// TooManyInterimResponsesError reports that an endpoint sent too many 1xx responses.
+type TooManyInterimResponsesError struct{ Limit int }
 
-func (e *InterimAnswersError) Error() string {
+func (e *TooManyInterimResponsesError) Error() string {
 	return fmt.Sprintf("more than %d interim (1xx) responses", e.Limit)
 }
 
