--- a/internal/dispatch/conn.go
+++ b/internal/dispatch/conn.go
@@ -67,7 +67,7 @@
 
 func (l *limitedReader) Read(p []byte) (int, error) {
 	if l.remaining <= 0 {
-		return 0, &HeadTooLargeError{Limit: maxResponseHead}
+		return 0, &ResponseHeadTooLargeError{Limit: maxResponseHead}
 	}
 	if int64(len(p)) > l.remaining {
 		p = p[:l.remaining]
--- a/internal/dispatch/errors.go
+++ b/internal/dispatch/errors.go
@@ -117,10 +117,10 @@
 	return fmt.Sprintf("endpoint %s: response to request %q, want %q", e.Instance, e.Got, e.Want)
 }
 
-// HeadTooLargeError reports that the head of a response exceeded the limit.
-type HeadTooLargeError struct{ Limit int64 }
+// ResponseHeadTooLargeError reports that the head of a response exceeded the limit.
+type ResponseHeadTooLargeError struct{ Limit int64 }
 
-func (e *HeadTooLargeError) Error() string {
+func (e *ResponseHeadTooLargeError) Error() string {
 	return fmt.Sprintf("response head larger than %d bytes", e.Limit)
 }
 
