--- a/internal/dispatch/retry/retry.go
+++ b/internal/dispatch/retry/retry.go
@@ -16,9 +16,9 @@
 
 // Limits of retries.
 const (
-	// Part is the allowed ratio of retries to recent successes, which keeps
+	// BudgetRatio is the allowed ratio of retries to recent successes, which keeps
 	// attempts within 1.1 times the requests.
-	Part = 0.1
+	BudgetRatio = 0.1
 	// MinPerWindow allows retries at an entry with very little traffic. One per
 	// second cannot cause a retry storm.
 	MinPerWindow = 1
@@ -100,7 +100,7 @@
 	// Successes are counted over slightly less than the window and retries over
 	// slightly more, so that the bound holds over any second and not only over
 	// those that start with a bucket.
-	allowed := max(MinPerWindow, int(Part*float64(b.successes.sum(now, bucketCount-1))))
+	allowed := max(MinPerWindow, int(BudgetRatio*float64(b.successes.sum(now, bucketCount-1))))
 	if b.retries.sum(now, bucketCount+1) >= allowed {
 		return 0, false
 	}
