--- a/internal/slots/loans.go
+++ b/internal/slots/loans.go
@@ -226,7 +226,7 @@
 // applyLend adopts a newer level. A higher level may be used at once, because
 // the lender has reduced its own use first. After a lower one, the slots in use
 // are still counted until SetInFlight shows that they are free.
-func (s *Sharer) applyLend(from string, l Lend) {
+func (s *Sharer) applyLend(from string, l LoanLevel) {
 	if s.borrowed[l.Instance] == nil {
 		s.borrowed[l.Instance] = map[string]*holding{}
 	}
@@ -269,7 +269,7 @@
 	maps.DeleteFunc(m.Demand, func(_ string, n int) bool { return n == 0 })
 	for id, byBorrower := range s.lent {
 		if l := byBorrower[to]; l != nil && l.version > 0 {
-			m.Lends = append(m.Lends, Lend{Version: l.version, Instance: id, Slots: l.level})
+			m.Lends = append(m.Lends, LoanLevel{Version: l.version, Instance: id, Slots: l.level})
 		}
 	}
 	for id, byLender := range s.borrowed {
@@ -277,7 +277,7 @@
 			m.Held = append(m.Held, Held{Version: h.version, Instance: id, Slots: h.inUse})
 		}
 	}
-	slices.SortFunc(m.Lends, func(a, b Lend) int { return cmp.Compare(a.Instance, b.Instance) })
+	slices.SortFunc(m.Lends, func(a, b LoanLevel) int { return cmp.Compare(a.Instance, b.Instance) })
 	slices.SortFunc(m.Held, func(a, b Held) int { return cmp.Compare(a.Instance, b.Instance) })
 	return m
 }
--- a/internal/slots/messages.go
+++ b/internal/slots/messages.go
@@ -27,13 +27,13 @@
 	Demand map[string]int `cbor:"3,keyasint,omitempty"`
 	// Lends are all loans from the sender to the receiver within this
 	// membership version, including those that have been recalled.
-	Lends []Lend `cbor:"4,keyasint,omitempty"`
+	Lends []LoanLevel `cbor:"4,keyasint,omitempty"`
 	// Held confirms the receiver's own Lends.
 	Held []Held `cbor:"5,keyasint,omitempty"`
 }
 
-// Lend is the current level of one loan.
-type Lend struct {
+// LoanLevel is the current level of one loan.
+type LoanLevel struct {
 	// Version increases with each change of the level.
 	Version  uint64 `cbor:"1,keyasint"`
 	Instance string `cbor:"2,keyasint"`
