--- a/internal/slots/loans.go
+++ b/internal/slots/loans.go
@@ -245,7 +245,7 @@
 // applyHeld takes back slots that the borrower no longer uses. Only a
 // confirmation of the newest version counts: otherwise the borrower might still
 // receive that version and increase its use to the new level.
-func (s *Sharer) applyHeld(from string, h Held) {
+func (s *Sharer) applyHeld(from string, h LoanConfirmation) {
 	l := s.lent[h.Instance][from]
 	if l == nil || h.Version != l.version {
 		return
@@ -274,10 +274,10 @@
 	}
 	for id, byLender := range s.borrowed {
 		if h := byLender[to]; h != nil {
-			m.Held = append(m.Held, Held{Version: h.version, Instance: id, Slots: h.inUse})
+			m.Held = append(m.Held, LoanConfirmation{Version: h.version, Instance: id, Slots: h.inUse})
 		}
 	}
 	slices.SortFunc(m.Lends, func(a, b LoanLevel) int { return cmp.Compare(a.Instance, b.Instance) })
-	slices.SortFunc(m.Held, func(a, b Held) int { return cmp.Compare(a.Instance, b.Instance) })
+	slices.SortFunc(m.Held, func(a, b LoanConfirmation) int { return cmp.Compare(a.Instance, b.Instance) })
 	return m
 }
--- a/internal/slots/messages.go
+++ b/internal/slots/messages.go
@@ -29,7 +29,7 @@
 	// membership version, including those that have been recalled.
 	Lends []LoanLevel `cbor:"4,keyasint,omitempty"`
 	// Held confirms the receiver's own Lends.
-	Held []Held `cbor:"5,keyasint,omitempty"`
+	Held []LoanConfirmation `cbor:"5,keyasint,omitempty"`
 }
 
 // LoanLevel is the current level of one loan.
@@ -41,8 +41,8 @@
 	Slots int `cbor:"3,keyasint"`
 }
 
-// Held confirms the level of a loan.
-type Held struct {
+// LoanConfirmation confirms the level of a loan.
+type LoanConfirmation struct {
 	// Version is the version of the Lend that the borrower has adopted.
 	Version  uint64 `cbor:"1,keyasint"`
 	Instance string `cbor:"2,keyasint"`
