--- a/internal/slots/loans.go
+++ b/internal/slots/loans.go
@@ -216,17 +216,17 @@
 		return
 	}
 	for _, l := range m.Lends {
-		s.applyLend(from, l)
+		s.applyLoanLevel(from, l)
 	}
 	for _, h := range m.Held {
-		s.applyHeld(from, h)
+		s.applyConfirmation(from, h)
 	}
 }
 
-// applyLend adopts a newer level. A higher level may be used at once, because
+// applyLoanLevel adopts a newer level. A higher level may be used at once, because
 // the lender has reduced its own use first. After a lower one, the slots in use
 // are still counted until SetInFlight shows that they are free.
-func (s *Sharer) applyLend(from string, l LoanLevel) {
+func (s *Sharer) applyLoanLevel(from string, l LoanLevel) {
 	if s.borrowed[l.Instance] == nil {
 		s.borrowed[l.Instance] = map[string]*holding{}
 	}
@@ -242,10 +242,10 @@
 	h.inUse = max(h.inUse, h.level)
 }
 
-// applyHeld takes back slots that the borrower no longer uses. Only a
+// applyConfirmation takes back slots that the borrower no longer uses. Only a
 // confirmation of the newest version counts: otherwise the borrower might still
 // receive that version and increase its use to the new level.
-func (s *Sharer) applyHeld(from string, h LoanConfirmation) {
+func (s *Sharer) applyConfirmation(from string, h LoanConfirmation) {
 	l := s.lent[h.Instance][from]
 	if l == nil || h.Version != l.version {
 		return
--- a/internal/slots/messages.go
+++ b/internal/slots/messages.go
@@ -43,7 +43,7 @@
 
 // LoanConfirmation confirms the level of a loan.
 type LoanConfirmation struct {
-	// Version is the version of the Lend that the borrower has adopted.
+	// Version is the version of the LoanLevel that the borrower has adopted.
 	Version  uint64 `cbor:"1,keyasint"`
 	Instance string `cbor:"2,keyasint"`
 	// Slots is the number of slots that the borrower may still be using. It
