--- a/internal/dispatch/handler_test.go
+++ b/internal/dispatch/handler_test.go
@@ -198,7 +198,7 @@
 		conn, err := net.Dial("tcp", e.server.Listener.Addr().String())
 		Expect(err).NotTo(HaveOccurred())
 		defer conn.Close()
-		Expect(conn.SetDeadline(time.Now().Add(eventuallyTimeout))).To(Succeed())
+		Expect(conn.SetDeadline(time.Now().Add(testTimeout))).To(Succeed())
 		_, err = io.WriteString(conn, "GET /tabs/x HTTP/1.0\r\n\r\n")
 		Expect(err).NotTo(HaveOccurred())
 		resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
@@ -395,7 +395,7 @@
 		e := newEntry(Options{}, w1.Endpoint)
 		first := make(chan int, 1)
 		go func() { first <- e.do("POST", "/tabs/charge", "5").status }()
-		Eventually(started, eventuallyTimeout).Should(BeClosed())
+		Eventually(started, testTimeout).Should(BeClosed())
 		e.publish(w2.Endpoint)
 		Expect(e.InFlight("w1")).To(Equal(1))
 		for range 10 {
@@ -403,7 +403,7 @@
 		}
 		Expect(w2.runs.Load()).To(Equal(int64(10)))
 		close(hold)
-		Eventually(first, eventuallyTimeout).Should(Receive(Equal(200)))
+		Eventually(first, testTimeout).Should(Receive(Equal(200)))
 		Expect(e.InFlight("w1")).To(BeZero())
 	})
 
@@ -449,7 +449,7 @@
 		e := newEntry(Options{Claims: claims}, w.Endpoint)
 		first := make(chan int, 1)
 		go func() { first <- e.do("GET", "/tabs/x", "").status }()
-		Eventually(started, eventuallyTimeout).Should(BeClosed())
+		Eventually(started, testTimeout).Should(BeClosed())
 		out := e.do("POST", "/tabs/charge", "5", HeaderDeadline, "300", HeaderIdempotencyKey, "k")
 		Expect(out.status).To(Equal(503))
 		Expect(out.problem.Ran).To(Equal(RanNo))
@@ -457,7 +457,7 @@
 		Expect(claims.outcomes()).To(Equal([]idempotency.Outcome{idempotency.OutcomeNotRun}))
 		Expect(e.InFlight("w1")).To(Equal(1))
 		close(hold)
-		Eventually(first, eventuallyTimeout).Should(Receive(Equal(200)))
+		Eventually(first, testTimeout).Should(Receive(Equal(200)))
 		Expect(w.runs.Load()).To(Equal(int64(1)))
 	})
 })
@@ -497,7 +497,7 @@
 		conn, err := net.Dial("tcp", e.server.Listener.Addr().String())
 		Expect(err).NotTo(HaveOccurred())
 		defer conn.Close()
-		Expect(conn.SetDeadline(time.Now().Add(eventuallyTimeout))).To(Succeed())
+		Expect(conn.SetDeadline(time.Now().Add(testTimeout))).To(Succeed())
 		_, err = io.WriteString(conn, "POST "+path+" HTTP/1.1\r\nHost: e\r\n"+header+"\r\n"+sent)
 		Expect(err).NotTo(HaveOccurred())
 		resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
@@ -527,7 +527,7 @@
 		e := newEntry(Options{}, w.Endpoint)
 		first := make(chan int, 1)
 		go func() { first <- e.do("POST", "/tabs/charge", "5").status }()
-		Eventually(started, eventuallyTimeout).Should(BeClosed())
+		Eventually(started, testTimeout).Should(BeClosed())
 		cancelled, cancel := context.WithCancel(context.Background())
 		cancel()
 		var timeout *DrainTimeoutError
@@ -538,7 +538,7 @@
 		Expect(out.problem.Ran).To(Equal(RanNo))
 		close(hold)
 		Expect(e.Drain(context.Background())).To(Succeed())
-		Eventually(first, eventuallyTimeout).Should(Receive(Equal(200)))
+		Eventually(first, testTimeout).Should(Receive(Equal(200)))
 	})
 
 	// The entry is about to stop while callers still use their connections.
--- a/internal/dispatch/suite_test.go
+++ b/internal/dispatch/suite_test.go
@@ -169,6 +169,6 @@
 	return l.Addr().String()
 }
 
-const eventuallyTimeout = 5 * time.Second
+const testTimeout = 5 * time.Second
 
 var _ idempotency.Claims = (*fakeClaims)(nil)
