--- a/internal/placement/baseline.go
+++ b/internal/placement/baseline.go
@@ -1,8 +1,9 @@
 package placement
 
-// FirstFit is the baseline that Estimating is measured beside: declared sizes,
-// jobs in the order in which the manifest has them, each task on the first
-// worker with room, and neither urgent lane nor quarantine.
+// FirstFit is the baseline that Estimating is compared with. It uses declared
+// sizes, takes jobs in the order of the manifest and puts each task on the
+// first worker with enough free capacity. It neither prefers urgent tasks nor
+// quarantines workers.
 type FirstFit struct{}
 
 // Decide implements Placer.
@@ -10,24 +11,24 @@
 	in.Sizer = Declared{}
 	in.Limits.UrgentReserve = -1
 	r := newRound(in)
-	r.takeStock()
+	r.bookTasks()
 	for _, j := range r.jobs {
 		r.placeFirstFit(j)
 	}
 	return r.output()
 }
 
-func (r *round) placeFirstFit(j *jobWork) {
-	done := r.in.History.job(*j.spec).Done
+func (r *round) placeFirstFit(j *jobState) {
+	done := r.in.History.jobHistory(*j.spec).Done
 	for index := range j.spec.Tasks {
-		if j.taken[index] || done[index] {
+		if j.occupied[index] || done[index] {
 			continue
 		}
-		i := j.pool.forNormal.find(j.size, 0, nil)
+		i := j.pool.normalFree.find(j.size, 0, nil)
 		if i < 0 {
-			r.wait(j, 1, ReasonNoRoom)
+			r.addWaiting(j, 1, ReasonNoRoom)
 			continue
 		}
-		r.start(j, index, i, ReasonWanted)
+		r.startTask(j, index, i, ReasonWanted)
 	}
 }
--- a/internal/placement/decide_property_test.go
+++ b/internal/placement/decide_property_test.go
@@ -12,7 +12,7 @@
 	"cyclamenwheel/internal/pools"
 )
 
-// drawJobs draws jobs that are new in a generation of the manifest.
+// drawJobs draws the jobs that a generation of the manifest adds.
 func drawJobs(t *rapid.T, generation int) []manifest.Job {
 	var jobs []manifest.Job
 	for i := range rapid.IntRange(1, 8).Draw(t, "jobs") {
@@ -28,9 +28,9 @@
 	return jobs
 }
 
-// publish drops some jobs, changes the number of tasks of others and adds new
+// publish removes some jobs, changes the number of tasks of others and adds new
 // ones.
-func (b *bench) publish(t *rapid.T, generation int) {
+func (b *testPool) publish(t *rapid.T, generation int) {
 	var kept []manifest.Job
 	for _, j := range b.in.Manifest.Pools[0].Jobs {
 		if rapid.Bool().Draw(t, "keep") {
@@ -41,8 +41,9 @@
 	b.in.Manifest.Pools[0].Jobs = append(kept, drawJobs(t, generation)...)
 }
 
-// checkRoom holds what runs against workers, quotas and indices.
-func (b *bench) checkRoom(t *rapid.T) {
+// checkInvariants fails if a worker is overfilled or not serving, a team
+// exceeds its quota, or an index runs twice or is not wanted.
+func (b *testPool) checkInvariants(t *rapid.T) {
 	cores, memory := map[string]float64{}, map[string]int{}
 	team := map[string]float64{}
 	index := map[string]bool{}
@@ -53,32 +54,32 @@
 		team[j.Team] += j.Cores
 		key := fmt.Sprint(task.Job, "/", task.Index)
 		if index[key] || task.Index >= j.Tasks {
-			t.Fatalf("index %s runs twice or isn't wanted", key)
+			t.Fatalf("index %s runs twice or is not wanted", key)
 		}
 		index[key] = true
 	}
 	for _, inst := range b.in.Instances {
 		if cores[inst.ID] > inst.Cores+1e-6 || memory[inst.ID] > inst.MemoryMB {
-			t.Fatalf("%s overfilled", inst.ID)
+			t.Fatalf("%s is filled beyond its capacity", inst.ID)
 		}
 		if inst.Phase != pools.PhaseServing && cores[inst.ID] > 0 {
-			t.Fatalf("%s isn't serving", inst.ID)
+			t.Fatalf("%s has tasks but is not serving", inst.ID)
 		}
 	}
 	for _, q := range b.in.Manifest.Teams {
 		if team[q.Name] > q.Cores+1e-6 {
-			t.Fatalf("team %s above its quota", q.Name)
+			t.Fatalf("team %s exceeds its quota", q.Name)
 		}
 	}
 }
 
-var _ = Describe("Any jobs", func() {
-	// Jobs come and go, workers drain and are lost, tasks fail. A task that ran
-	// twice would be a second work order; a worker filled above its memory would
-	// kill its tasks.
-	It("keep within workers and quotas, and run each index once", func() {
+var _ = Describe("Placement of random jobs", func() {
+	// Jobs are added and removed, workers drain and are lost, tasks fail. An
+	// index that ran twice would duplicate a work order; tasks on a worker
+	// filled beyond its memory would be killed.
+	It("never exceeds workers or quotas and runs each index at most once", func() {
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
-			b := newBench(rapid.IntRange(1, 12).Draw(t, "workers"), drawJobs(t, 0)...)
+			b := newTestPool(rapid.IntRange(1, 12).Draw(t, "workers"), drawJobs(t, 0)...)
 			b.in.Manifest.Teams = []manifest.Team{{Name: "t", Cores: 30, MemoryMB: 100_000}}
 			for generation := range 8 {
 				for _, inst := range b.in.Instances {
@@ -87,9 +88,9 @@
 					}).Draw(t, "phase")
 				}
 				b.round()
-				b.checkRoom(t)
-				victim := rapid.IntRange(0, 4).Draw(t, "victim")
-				b.end(platform.TaskFailed, func(task placement.Task) bool { return task.Index%5 == victim })
+				b.checkInvariants(t)
+				failedIndex := rapid.IntRange(0, 4).Draw(t, "victim")
+				b.end(platform.TaskFailed, func(task placement.Task) bool { return task.Index%5 == failedIndex })
 				if rapid.Bool().Draw(t, "publish") {
 					b.publish(t, generation+1)
 				}
@@ -97,9 +98,9 @@
 		})
 	})
 
-	It("are placed urgent ones first: no urgent task waits where normal ones could go", func() {
+	It("places all urgent tasks that fit when normal tasks are displaced", func() {
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
-			b := newBench(4, job("bulk", 64, 1))
+			b := newTestPool(4, job("bulk", 64, 1))
 			b.round()
 			cores := rapid.IntRange(1, 8).Draw(t, "cores")
 			urgent := job("urgent", rapid.IntRange(1, 4*(16/cores)).Draw(t, "tasks"), float64(cores))
@@ -114,7 +115,7 @@
 				}
 			}
 			if n != urgent.Tasks {
-				t.Fatalf("%d of %d urgent tasks run after two rounds", n, urgent.Tasks)
+				t.Fatalf("only %d of %d urgent tasks run after two rounds", n, urgent.Tasks)
 			}
 		})
 	})
--- a/internal/placement/decide_test.go
+++ b/internal/placement/decide_test.go
@@ -12,14 +12,14 @@
 	"cyclamenwheel/internal/pools"
 )
 
-// bench is a pool of workers whose tasks a spec ends as it likes.
-type bench struct {
+// testPool is one pool of workers; the test decides which tasks end and how.
+type testPool struct {
 	in   placement.Input
 	next int
 }
 
-func newBench(workers int, jobs ...manifest.Job) *bench {
-	b := &bench{}
+func newTestPool(workers int, jobs ...manifest.Job) *testPool {
+	b := &testPool{}
 	b.in.History = &placement.History{}
 	b.in.NowMillis = 1_000_000
 	b.in.Manifest = &manifest.Manifest{Pools: []manifest.Pool{{Name: "a", Jobs: jobs}}}
@@ -32,8 +32,8 @@
 	return b
 }
 
-// round decides, and carries the decision out: stops end at once.
-func (b *bench) round() placement.Output {
+// round makes a decision and applies it; stopped tasks end at once.
+func (b *testPool) round() placement.Output {
 	b.in.NowMillis += 1000
 	out := placement.Decide(b.in)
 	for _, s := range out.Stops {
@@ -49,7 +49,7 @@
 	return out
 }
 
-func (b *bench) remove(id string) {
+func (b *testPool) remove(id string) {
 	for i, t := range b.in.Tasks {
 		if t.ID == id {
 			b.in.Tasks = append(b.in.Tasks[:i], b.in.Tasks[i+1:]...)
@@ -58,8 +58,8 @@
 	}
 }
 
-// end reports that all tasks that match have ended.
-func (b *bench) end(state platform.TaskState, match func(placement.Task) bool) int {
+// end ends all tasks for which match returns true and returns their number.
+func (b *testPool) end(state platform.TaskState, match func(placement.Task) bool) int {
 	n := 0
 	for i := len(b.in.Tasks) - 1; i >= 0; i-- {
 		t := b.in.Tasks[i]
@@ -75,7 +75,7 @@
 	return n
 }
 
-func (b *bench) job(name string) manifest.Job {
+func (b *testPool) job(name string) manifest.Job {
 	for _, j := range b.in.Manifest.Pools[0].Jobs {
 		if j.Name == name {
 			return j
@@ -89,8 +89,8 @@
 }
 
 var _ = Describe("Placing tasks", func() {
-	It("spreads a job over racks and then rests", func() {
-		b := newBench(16, job("j", 4, 2))
+	It("spreads a job over racks and then makes no further decisions", func() {
+		b := newTestPool(16, job("j", 4, 2))
 		racks := map[string]bool{}
 		for _, p := range b.round().Places {
 			racks[p.Instance[:2]+fmt.Sprint(p.Instance[2:] >= "08")] = true
@@ -100,7 +100,7 @@
 	})
 
 	It("stops all tasks of a cancelled job in one batch", func() {
-		b := newBench(16, job("j", 100, 1), job("k", 4, 1))
+		b := newTestPool(16, job("j", 100, 1), job("k", 4, 1))
 		b.round()
 		b.in.Manifest.Pools[0].Jobs = b.in.Manifest.Pools[0].Jobs[1:]
 		out := b.round()
@@ -109,21 +109,21 @@
 	})
 
 	It("sets aside a job that fits no worker, with its reason", func() {
-		b := newBench(4, job("huge", 2, 17), job("j", 1, 1))
+		b := newTestPool(4, job("huge", 2, 17), job("j", 1, 1))
 		out := b.round()
 		Expect(out.SetAside).To(ConsistOf(placement.SetAside{Pool: "a", Job: "huge", Reason: placement.ReasonFitsNoWorker}))
 		Expect(out.Places).To(HaveLen(1))
 	})
 
-	// One worker fails every task within a second and is thus always free. Without
-	// a quarantine it would get the next task each time, and jobs would fail for
-	// as long as it is in the pool.
-	It("quarantines a worker that fails all, with few tasks spent", func() {
+	// All tasks on one worker fail within a second, so it is always free.
+	// Without a quarantine it would get the next task each time, and tasks
+	// would fail for as long as it is in the pool.
+	It("quarantines a worker on which all tasks fail, after few failures", func() {
 		var jobs []manifest.Job
 		for i := range 20 {
 			jobs = append(jobs, job(fmt.Sprintf("j%d", i), 4, 1))
 		}
-		b := newBench(8, jobs...)
+		b := newTestPool(8, jobs...)
 		failed := 0
 		for range 60 {
 			b.round()
@@ -136,8 +136,8 @@
 		}))
 	})
 
-	It("sets aside a job that fails on healthy workers, with few tasks spent", func() {
-		b := newBench(8, job("ok", 16, 1), job("bad", 1, 1))
+	It("sets aside a job that fails on healthy workers, after few failures", func() {
+		b := newTestPool(8, job("ok", 16, 1), job("bad", 1, 1))
 		failed := 0
 		for range 200 {
 			b.round()
@@ -150,7 +150,7 @@
 	})
 
 	It("displaces the fewest normal tasks for urgent ones when the pool is full", func() {
-		b := newBench(4, job("bulk", 100, 2))
+		b := newTestPool(4, job("bulk", 100, 2))
 		b.in.Limits.UrgentReserve = -1
 		b.round()
 		Expect(b.in.Tasks).To(HaveLen(32))
@@ -161,10 +161,10 @@
 		Expect(b.round().Places).To(ContainElement(HaveField("Job", "urgent")))
 	})
 
-	It("holds a team to its quota and sets aside what can never be within it", func() {
+	It("limits a team to its quota and sets aside a job whose task alone exceeds it", func() {
 		j, k := job("j", 10, 2), job("k", 1, 8)
 		j.Team, k.Team = "t", "t"
-		b := newBench(8, j, k)
+		b := newTestPool(8, j, k)
 		b.in.Manifest.Teams = []manifest.Team{{Name: "t", Cores: 7, MemoryMB: 65536}}
 		out := b.round()
 		Expect(out.Places).To(HaveLen(3))
@@ -172,11 +172,11 @@
 		Expect(out.SetAside).To(ConsistOf(placement.SetAside{Pool: "a", Job: "k", Reason: placement.ReasonQuotaNever}))
 	})
 
-	// A worker is told to drain. Its task has been asked to stop and still runs
-	// for a while. Started elsewhere before it has ended, it would run twice: a
-	// second work order.
+	// A worker drains. Its task is being stopped but still runs for a while. If
+	// it were started elsewhere before that, it would run twice and duplicate a
+	// work order.
 	It("doesn't start a task again before its predecessor has ended", func() {
-		b := newBench(4, job("j", 1, 1))
+		b := newTestPool(4, job("j", 1, 1))
 		b.round()
 		b.in.Tasks[0].Stopping = true
 		out := b.round()
@@ -187,9 +187,9 @@
 	})
 
 	// Two planners placed the same index, one of them before a pause. The later
-	// one is stopped, whatever order the tasks are listed in.
+	// task is stopped, whatever the order of the list.
 	It("stops the later of two tasks of one index", func() {
-		b := newBench(4, job("j", 1, 1))
+		b := newTestPool(4, job("j", 1, 1))
 		b.in.Tasks = []placement.Task{
 			{ID: "late", Job: "j", Instance: "w01", StartedMillis: 2},
 			{ID: "early", Job: "j", Instance: "w00", StartedMillis: 1},
@@ -198,8 +198,8 @@
 			placement.Stop{Task: "late", Job: "j", Reason: placement.ReasonDuplicate}))
 	})
 
-	It("waits longer after each failure, and tries with one task", func() {
-		b := newBench(8, job("j", 10, 1))
+	It("backs off after a failure and then starts one task at a time", func() {
+		b := newTestPool(8, job("j", 10, 1))
 		b.round()
 		b.end(platform.TaskFailed, func(t placement.Task) bool { return t.Index < 2 })
 		b.in.Tasks = nil
@@ -209,8 +209,8 @@
 		Expect(b.round().Places).To(BeEmpty())
 	})
 
-	It("keeps room for urgent tasks, and counts those that run towards it", func() {
-		b := newBench(10, job("bulk", 200, 1))
+	It("reserves capacity for urgent tasks and counts running ones towards the reserve", func() {
+		b := newTestPool(10, job("bulk", 200, 1))
 		b.in.Limits.UrgentReserve = 0.1
 		b.in.NowMillis += 60_000
 		for i := range b.in.Instances {
@@ -227,6 +227,6 @@
 		Expect(out.Stops).To(BeEmpty())
 		Expect(out.Places).To(HaveLen(2))
 		b.end(platform.TaskDone, func(t placement.Task) bool { return t.Job == "bulk" && t.Index < 16 })
-		Expect(b.round().Places).To(HaveLen(16), "no more is kept than a tenth")
+		Expect(b.round().Places).To(HaveLen(16), "no more than a tenth is reserved")
 	})
 })
--- a/internal/placement/estimate.go
+++ b/internal/placement/estimate.go
@@ -9,27 +9,29 @@
 )
 
 const (
-	// minSamples is how many reports an estimate needs. With fewer, the
-	// highest of them is no guide to the quantile.
+	// minSamples is how many reports an estimate needs. With fewer, the highest
+	// of them says little about the quantile.
 	minSamples = 8
-	// maxSamples is how many of the latest reports are kept of a job. They
-	// bound memory at tens of thousands of jobs and let old ones go.
+	// maxSamples is how many of a job's latest reports are kept. It bounds
+	// memory at tens of thousands of jobs and drops outdated reports.
 	maxSamples = 64
-	// coresQuantile: a task that is short of cores runs slower, so one in ten
-	// may be.
+	// coresQuantile may be exceeded by one report in ten: a task that is short
+	// of cores only runs slower.
 	coresQuantile = 0.90
-	// memoryQuantile: a task that is short of memory is killed.
+	// memoryQuantile is higher because a task that is short of memory is
+	// killed.
 	memoryQuantile = 0.98
-	// coresMargin and memoryMargin are held above the quantile.
+	// coresMargin and memoryMargin are the factors applied to the quantiles.
 	coresMargin  = 1.10
 	memoryMargin = 1.15
-	// warmUpMillis: reports of a task's first seconds show it loading.
+	// warmUpMillis: reports from a task's first seconds are ignored because
+	// they show it loading.
 	warmUpMillis = 10_000
-	// maxLagFactor bounds what the lag correction may add: a short burst is
-	// not a trend.
+	// maxLagFactor bounds the correction for the report lag, because a short
+	// burst is not a trend.
 	maxLagFactor = 1.5
-	// minCores and minMemoryMB keep an idle job from being estimated at
-	// nothing, which would pile any number of its tasks on one worker.
+	// minCores and minMemoryMB are lower bounds: an idle job estimated at zero
+	// would have any number of its tasks placed on one worker.
 	minCores    = 0.05
 	minMemoryMB = 32
 )
@@ -46,7 +48,7 @@
 	Size(job manifest.Job) Size
 }
 
-// Declared takes declared sizes as they are.
+// Declared uses the declared sizes unchanged.
 type Declared struct{}
 
 // Size implements Sizer.
@@ -54,14 +56,15 @@
 	return Size{Cores: job.Cores, MemoryMB: job.MemoryMB, Accelerators: job.Accelerators}
 }
 
-// Estimator estimates from reported usage.
+// Estimator estimates sizes from reported usage. The zero value is ready for
+// use.
 //
-// Load: jobs whose declared sizes are far from the truth, mostly too large,
-// sometimes too small. Harm prevented: workers that are full on paper and idle
-// in fact, or that are killed for want of memory. A report is as old as its
-// lag; a task that was growing has grown on meanwhile, so the trend between its
-// last two reports is carried forward over the lag. Until enough reports are
-// in, the declared size stands.
+// Load: jobs whose declared sizes are far from their usage, mostly too large,
+// sometimes too small. Trusting those sizes leaves workers fully booked but
+// idle, or gets tasks killed for lack of memory. A report is as old as its lag,
+// and a growing task has grown further since, so the trend between its last two
+// reports is extrapolated over the lag. Until there are enough reports, the
+// declared size is used.
 type Estimator struct {
 	jobs map[string]*jobSamples
 }
@@ -72,7 +75,7 @@
 	memory []float64
 	next   int
 	last   map[string]sample
-	// size is the estimate of all samples so far.
+	// size is the estimate from the present samples, valid while cached is set.
 	size   Size
 	cached bool
 }
@@ -83,7 +86,7 @@
 	asOfMillis    int64
 }
 
-// Observe takes in a worker's report of a running task.
+// Observe adds a worker's report of a running task.
 func (e *Estimator) Observe(job manifest.Job, r platform.TaskReport, startedMillis, nowMillis int64) {
 	if r.State != platform.TaskRunning || r.AsOfMillis < startedMillis+warmUpMillis {
 		return
@@ -105,7 +108,8 @@
 	j.add(cores, memory)
 }
 
-// carryForward extends the trend between two reports over the lag.
+// carryForward extrapolates the trend between two reports over the lag, given
+// as a multiple of the time between them.
 func carryForward(before, now, lag float64) float64 {
 	if now <= before {
 		return now
@@ -137,14 +141,14 @@
 	j.next = (j.next + 1) % maxSamples
 }
 
-// End forgets a task that has ended.
+// End drops the last report of a task that has ended.
 func (e *Estimator) End(job, task string) {
 	if j := e.jobs[job]; j != nil {
 		delete(j.last, task)
 	}
 }
 
-// Forget drops what is known of jobs that no manifest names any more.
+// Forget drops the samples of all jobs for which keep returns false.
 func (e *Estimator) Forget(keep func(job string) bool) {
 	for name := range e.jobs {
 		if !keep(name) {
@@ -173,7 +177,8 @@
 	return j.size
 }
 
-// quantile is the smallest value that at least a part q of all don't exceed.
+// quantile returns the smallest value that at least a share q of all values
+// don't exceed.
 func quantile(values []float64, q float64) float64 {
 	sorted := slices.Sorted(slices.Values(values))
 	return sorted[int(math.Ceil(q*float64(len(sorted))))-1]
--- a/internal/placement/estimate_test.go
+++ b/internal/placement/estimate_test.go
@@ -31,7 +31,7 @@
 		Expect(e.Size(declared).MemoryMB).To(Equal(115))
 	})
 
-	It("takes a high quantile, so that the few large tasks count", func() {
+	It("uses a high quantile, so that the few large tasks count", func() {
 		e := &placement.Estimator{}
 		for i := range 20 {
 			cores := 1.0
@@ -43,19 +43,19 @@
 		Expect(e.Size(declared).Cores).To(BeNumerically("~", 4.4, 1e-9))
 	})
 
-	// Reports are 30 s old, and the tasks grow by 10 MB a second. A placement on
-	// what was reported fills the worker with memory that is no longer free, and
-	// the worker kills a task.
-	It("carries growth forward over the lag", func() {
+	// Reports are 30 s old and the tasks grow by 10 MB/s. Placement by the
+	// reported usage would fill a worker with memory that is no longer free,
+	// and the worker would kill a task.
+	It("extrapolates growth over the lag", func() {
 		e := &placement.Estimator{}
 		for i := range 8 {
 			e.Observe(declared, report(i, 1, 1000, 60_000), 0, 90_000)
 			e.Observe(declared, report(i, 1, 1100, 70_000), 0, 100_000)
 		}
-		Expect(e.Size(declared).MemoryMB).To(Equal(1610), "1100 and 30 s at 10 MB/s, with the margin")
+		Expect(e.Size(declared).MemoryMB).To(Equal(1610), "1100 MB plus 30 s at 10 MB/s, with the margin")
 	})
 
-	It("leaves out a task's first seconds and repeated reports", func() {
+	It("ignores a task's first seconds and repeated reports", func() {
 		e := &placement.Estimator{}
 		for i := range 8 {
 			e.Observe(declared, report(i, 0, 1, 5_000), 0, 60_000)
@@ -66,7 +66,7 @@
 		Expect(e.Size(declared).Cores).To(Equal(8.0))
 	})
 
-	It("starts anew when the job is published changed", func() {
+	It("discards the samples of a job that is published with a change", func() {
 		e := &placement.Estimator{}
 		for i := range 8 {
 			e.Observe(declared, report(i, 1, 100, 60_000), 0, 60_000)
--- a/internal/placement/fold.go
+++ b/internal/placement/fold.go
@@ -12,86 +12,89 @@
 
 // Reasons for rejecting records about tasks.
 const (
-	// ReasonIndexTaken marks a task whose index another task still holds.
+	// ReasonIndexTaken rejects a task whose index is still occupied by another
+	// task.
 	ReasonIndexTaken fold.Reason = "index_taken"
-	// ReasonNotServing marks a task for an instance that does not serve the
+	// ReasonNotServing rejects a task on an instance that does not serve the
 	// job's pool at this offset.
 	ReasonNotServing fold.Reason = "not_serving"
-	// ReasonUnknownJob marks a task of a job that the manifest in force does
-	// not have.
+	// ReasonUnknownJob rejects a task of a job that is not in the manifest in
+	// force.
 	ReasonUnknownJob fold.Reason = "unknown_job"
-	// ReasonNothingToDo marks a record in which no item took effect.
+	// ReasonNothingToDo rejects a record of which no item has an effect.
 	ReasonNothingToDo fold.Reason = "nothing_to_do"
 )
 
-// Tasks is the planner's record of one placement round. Each item is judged by
-// itself; the record is accepted if any item is.
+// Tasks is the planner's record of one placement round. Each item is accepted
+// or rejected on its own; the record is accepted if any item is.
 type Tasks struct {
 	Place []Placed `cbor:"1,keyasint,omitempty"`
 	Stop  []string `cbor:"2,keyasint,omitempty"`
 	End   []End    `cbor:"3,keyasint,omitempty"`
 }
 
-// Placed starts one task.
+// Placed is the placement of one task on an instance.
 type Placed struct {
 	ID       string `cbor:"1,keyasint"`
 	Job      string `cbor:"2,keyasint"`
 	Index    int    `cbor:"3,keyasint"`
 	Instance string `cbor:"4,keyasint"`
-	// Why is the reason given by the planner.
+	// Why is the planner's reason for the placement.
 	Why Reason `cbor:"5,keyasint"`
-	// Cores, MemoryMB and Accelerators are what is set aside for it.
+	// Cores, MemoryMB and Accelerators are the capacity reserved for the task.
 	Cores        float64 `cbor:"6,keyasint"`
 	MemoryMB     int     `cbor:"7,keyasint"`
 	Accelerators int     `cbor:"8,keyasint,omitempty"`
 }
 
-// End records how a task ended, as the platform reported it.
+// End is the end of a task, with the final state that the platform reported.
 type End struct {
 	ID    string             `cbor:"1,keyasint"`
 	State platform.TaskState `cbor:"2,keyasint"`
 }
 
-// Held is one task as folded.
+// Held is a task in the folded state.
 type Held struct {
 	Placed
 	PlacedMillis int64 `cbor:"9,keyasint"`
 	Stopping     bool  `cbor:"10,keyasint,omitempty"`
 }
 
-// State is the folded tasks.
+// State is the folded state of all tasks.
 type State struct {
 	Tasks   map[string]Held `cbor:"1,keyasint" json:"tasks"`
 	History History         `cbor:"2,keyasint" json:"history"`
-	// Version is the offset of the newest change.
+	// Version is the offset of the latest change.
 	Version uint64 `cbor:"3,keyasint" json:"version"`
 
-	// holder is derived: which task holds an index of a job.
-	holder map[slot]string
+	// taskBySlot maps each index of a job to the id of the task that occupies
+	// it. It is derived from Tasks.
+	taskBySlot map[taskSlot]string
 }
 
-type slot struct {
+type taskSlot struct {
 	job   string
 	index int
 }
 
-func (s *State) derive() {
-	if s.holder != nil {
+func (s *State) indexSlots() {
+	if s.taskBySlot != nil {
 		return
 	}
-	s.holder = make(map[slot]string, len(s.Tasks))
+	s.taskBySlot = make(map[taskSlot]string, len(s.Tasks))
 	for id, t := range s.Tasks {
-		s.holder[slot{t.Job, t.Index}] = id
+		s.taskBySlot[taskSlot{t.Job, t.Index}] = id
 	}
 }
 
-// Apply folds one round of the planner. A task is accepted only on an instance
-// that serves the job's pool at this offset, and only while no other task holds
-// its index: a round planned before a drain or by a second planner can neither
-// start work on a leaving instance nor run an index twice.
+// Apply folds the record of one placement round. A task is accepted only on an
+// instance that serves the job's pool at this offset and only while no other
+// task occupies its index. A round planned before a drain, or by a second
+// planner, can therefore neither start a task on a leaving instance nor run an
+// index twice.
 func (s *State) Apply(m fold.Meta, rec Tasks, man *manifest.Manifest, instances map[string]*pools.Instance) fold.Verdict {
-	s.derive()
-	accepted, first := 0, fold.Reject(ReasonNothingToDo, "")
+	s.indexSlots()
+	accepted, firstRejection := 0, fold.Reject(ReasonNothingToDo, "")
 	jobs := man.JobsByName()
 	for _, e := range rec.End {
 		accepted += s.end(m, e, jobs, instances)
@@ -103,12 +106,12 @@
 		v := s.place(m, p, jobs, instances)
 		if v.Accepted {
 			accepted++
-		} else if first.Reason == ReasonNothingToDo {
-			first = v
+		} else if firstRejection.Reason == ReasonNothingToDo {
+			firstRejection = v
 		}
 	}
 	if accepted == 0 {
-		return first
+		return firstRejection
 	}
 	s.Version = m.Offset
 	return fold.Accept()
@@ -123,15 +126,15 @@
 	if in == nil || in.Phase != pools.PhaseServing || in.Pool != job.Pool {
 		return fold.Reject(ReasonNotServing, p.Instance)
 	}
-	key := slot{p.Job, p.Index}
-	if by, taken := s.holder[key]; taken {
+	key := taskSlot{p.Job, p.Index}
+	if by, taken := s.taskBySlot[key]; taken {
 		return fold.Reject(ReasonIndexTaken, by)
 	}
 	if s.Tasks == nil {
 		s.Tasks = make(map[string]Held)
 	}
 	s.Tasks[p.ID] = Held{Placed: p, PlacedMillis: m.TimeMillis}
-	s.holder[key] = p.ID
+	s.taskBySlot[key] = p.ID
 	return fold.Accept()
 }
 
@@ -151,7 +154,7 @@
 		return 0
 	}
 	delete(s.Tasks, e.ID)
-	delete(s.holder, slot{t.Job, t.Index})
+	delete(s.taskBySlot, taskSlot{t.Job, t.Index})
 	job, known := jobs[t.Job]
 	if !known {
 		return 1
@@ -164,8 +167,9 @@
 	return 1
 }
 
-// Forget drops the history of jobs and workers that are no more. It is folded
-// with every manifest, so that history is bounded by what is published.
+// Forget drops the history of jobs that the manifest doesn't have and of
+// instances that no longer exist. It is called for every folded manifest, which
+// bounds the history by the published jobs.
 func (s *State) Forget(man *manifest.Manifest, instances map[string]*pools.Instance) {
 	jobs := man.JobsByName()
 	s.History.Forget(
@@ -174,8 +178,8 @@
 	)
 }
 
-// Current returns the tasks in the form that Decide takes, ordered by id, with
-// the states last reported.
+// Current returns the tasks as input for Decide, ordered by id, with their last
+// reported states.
 func (s *State) Current(reported map[string]platform.TaskState) []Task {
 	out := make([]Task, 0, len(s.Tasks))
 	for _, id := range slices.Sorted(maps.Keys(s.Tasks)) {
--- a/internal/placement/place.go
+++ b/internal/placement/place.go
@@ -7,52 +7,53 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// place finds workers for the tasks that a job misses.
-func (r *round) place(j *jobWork) {
+// place places the missing tasks of a job.
+func (r *round) place(j *jobState) {
 	if j.setAside != "" {
 		return
 	}
-	limit, reason := r.allowance(j)
+	limit, reason := r.startLimit(j)
 	if n := len(j.pool.workers); n > 0 {
-		// Jobs begin at different workers, so that each has its own spread.
+		// Jobs start their search at different workers, so that each spreads
+		// over the pool in its own way.
 		j.cursor = int(xxhash.Sum64String(j.spec.Name) % uint64(n))
 	}
-	for done, index := range j.missing {
-		if done >= limit {
-			r.wait(j, len(j.missing)-done, reason)
+	for placed, index := range j.missing {
+		if placed >= limit {
+			r.addWaiting(j, len(j.missing)-placed, reason)
 			return
 		}
-		if why := r.placeOne(j, index); why != "" {
-			r.wait(j, len(j.missing)-done, why)
+		if why := r.placeTask(j, index); why != "" {
+			r.addWaiting(j, len(j.missing)-placed, why)
 			return
 		}
 	}
 }
 
-// allowance is how many tasks of a job may be started now, and what the rest
-// waits for.
+// startLimit returns how many tasks of a job may be started now and the reason
+// why the others wait.
 //
-// A job that has failed and never run well is tried with one task at a time,
-// and after a wait that doubles: started at full strength it would fail as
-// often as it has tasks before it is known to be broken.
-func (r *round) allowance(j *jobWork) (int, Reason) {
+// A job that has failed and never run well gets one task at a time, after a
+// backoff that doubles. If all its tasks were started, each of them would fail
+// before the job is recognized as broken.
+func (r *round) startLimit(j *jobState) (int, Reason) {
 	if len(j.pool.workers) == 0 {
 		return 0, ReasonNoWorkers
 	}
-	h := r.in.History.job(*j.spec)
+	h := r.in.History.jobHistory(*j.spec)
 	if h.Failures == 0 {
 		return len(j.missing), ""
 	}
 	if r.in.NowMillis < h.LastFailureMillis+backoff(h.Failures) {
 		return 0, ReasonBackoff
 	}
-	if h.Succeeded || r.ableJobs[j.spec.Name] {
+	if h.Succeeded || r.provenJobs[j.spec.Name] {
 		return len(j.missing), ""
 	}
 	return max(0, 1-j.running), ReasonBackoff
 }
 
-// backoff is the wait after the nth failure in a row.
+// backoff returns the backoff after the given number of failures in a row.
 func backoff(failures int) int64 {
 	wait := int64(backoffBaseMillis)
 	for range failures - 1 {
@@ -64,8 +65,8 @@
 	return wait
 }
 
-// placeOne places one task and returns why it couldn't.
-func (r *round) placeOne(j *jobWork, index int) Reason {
+// placeTask places one task; if it can't, it returns the reason.
+func (r *round) placeTask(j *jobState, index int) Reason {
 	team := r.teams[j.spec.Team]
 	if !team.allows(j.size) {
 		return ReasonTeamQuota
@@ -73,7 +74,7 @@
 	if limit := r.in.Limits.MaxPlaces; limit > 0 && len(r.out.Places) >= limit {
 		return ReasonRoundFull
 	}
-	i, reason := r.findRoom(j)
+	i, reason := r.findWorker(j)
 	if i < 0 {
 		if j.urgent() {
 			return r.displace(j)
@@ -81,13 +82,13 @@
 		return ReasonNoRoom
 	}
 	team.add(j.size)
-	r.start(j, index, i, reason)
+	r.startTask(j, index, i, reason)
 	return ""
 }
 
-func (r *round) findRoom(j *jobWork) (int, Reason) {
-	skip := r.skipper(j)
-	if i := j.pool.forNormal.find(j.size, j.cursor, skip); i >= 0 {
+func (r *round) findWorker(j *jobState) (int, Reason) {
+	skip := r.skipFailedWorkers(j)
+	if i := j.pool.normalFree.find(j.size, j.cursor, skip); i >= 0 {
 		if j.urgent() {
 			return i, ReasonUrgent
 		}
@@ -96,22 +97,23 @@
 	if !j.urgent() {
 		return -1, ""
 	}
-	return j.pool.forUrgent.find(j.size, j.cursor, skip), ReasonUrgentReserve
+	return j.pool.urgentFree.find(j.size, j.cursor, skip), ReasonUrgentReserve
 }
 
-// skipper leaves out the workers that the job has failed on.
-func (r *round) skipper(j *jobWork) func(int) bool {
-	failedOn := r.in.History.job(*j.spec).FailedOn
+// skipFailedWorkers returns a filter that excludes the workers on which the job
+// has failed, or nil if there are none.
+func (r *round) skipFailedWorkers(j *jobState) func(int) bool {
+	failedOn := r.in.History.jobHistory(*j.spec).FailedOn
 	if len(failedOn) == 0 {
 		return nil
 	}
 	return func(i int) bool { return slices.Contains(failedOn, j.pool.workers[i].inst.ID) }
 }
 
-func (r *round) start(j *jobWork, index, i int, reason Reason) {
+func (r *round) startTask(j *jobState, index, i int, reason Reason) {
 	w := j.pool.workers[i]
 	w.free = w.free.minus(j.size)
-	w.probes--
+	w.trialTasksLeft--
 	if reason == ReasonUrgentReserve {
 		w.reserve = Size{max(0, w.reserve.Cores-j.size.Cores), max(0, w.reserve.MemoryMB-j.size.MemoryMB), 0}
 	}
@@ -123,38 +125,40 @@
 	})
 }
 
-// displace makes room for an urgent task on one worker: where tasks are ending
-// already if that is enough, and else by stopping normal ones. The room is
-// claimed, and the task placed in a later round, once they have ended: started
-// before that it would be refused, or push its neighbours out of memory.
-func (r *round) displace(j *jobWork) Reason {
-	skip := r.skipper(j)
-	i := j.pool.withEnding.find(j.size, j.cursor, skip)
+// displace frees capacity for an urgent task on one worker: it chooses a worker
+// where tasks that are already ending free enough, or else stops normal tasks
+// on one. The capacity is claimed now and the task placed in a later round,
+// once those tasks have ended; started earlier, it would be rejected by the
+// worker or exhaust its memory and get other tasks killed.
+func (r *round) displace(j *jobState) Reason {
+	skip := r.skipFailedWorkers(j)
+	i := j.pool.freeAfterEnding.find(j.size, j.cursor, skip)
 	if i < 0 {
-		if i = j.pool.withNormal.find(j.size, j.cursor, skip); i < 0 {
+		if i = j.pool.freeAfterDisplacing.find(j.size, j.cursor, skip); i < 0 {
 			return ReasonNoRoom
 		}
 		r.stopVictims(j, j.pool.workers[i])
 	}
 	w := j.pool.workers[i]
-	w.claimed = w.claimed.plus(j.size)
+	w.claimedUrgent = w.claimedUrgent.plus(j.size)
 	j.pool.update(i)
 	r.teams[j.spec.Team].add(j.size)
-	r.wait(j, 1, ReasonDisplacing)
+	r.addWaiting(j, 1, ReasonDisplacing)
 	return ""
 }
 
-// stopVictims stops the fewest normal tasks whose room is enough: large ones
-// first and, among equals, the one started last, which loses the least work.
-func (r *round) stopVictims(j *jobWork, w *worker) {
+// stopVictims stops the fewest normal tasks that free enough capacity: the
+// largest first and, among equals, the one started last, which loses the least
+// work.
+func (r *round) stopVictims(j *jobState, w *worker) {
 	slices.SortStableFunc(w.victims, func(a, b victim) int {
 		return cmp.Or(-cmp.Compare(a.size.Cores, b.size.Cores), -cmp.Compare(a.startedMillis, b.startedMillis))
 	})
-	for len(w.victims) > 0 && !w.roomWithEnding().fits(j.size) {
+	for len(w.victims) > 0 && !w.freeForUrgentAfterEnding().fits(j.size) {
 		v := w.victims[0]
 		w.victims = w.victims[1:]
-		w.normal = w.normal.minus(v.size)
-		w.soon = w.soon.plus(v.size)
+		w.displaceable = w.displaceable.minus(v.size)
+		w.endingSize = w.endingSize.plus(v.size)
 		r.out.Stops = append(r.out.Stops, Stop{Task: v.id, Job: v.job, Reason: ReasonDisplaced})
 	}
 }
--- a/internal/placement/pool.go
+++ b/internal/placement/pool.go
@@ -7,27 +7,29 @@
 	"cyclamenwheel/internal/pools"
 )
 
-// worker is one worker of a pool in a round.
+// worker is the state of one worker in a round.
 type worker struct {
 	inst *pools.Instance
-	free room
-	// reserve is the part of free that normal tasks may not use.
+	free capacity
+	// reserve is the part of free that only urgent tasks may use.
 	reserve Size
-	// soon is the room of tasks that are ending, normal that of normal tasks
-	// that could be displaced.
-	soon    Size
-	normal  Size
-	victims []victim
-	// claimed is room that an urgent task waits for.
-	claimed Size
-	// A probing worker has run no task well yet: it gets no more tasks at a
-	// time than probes.
-	probing bool
-	probes  int
-	// doubtful: it has failed tasks already. Urgent ones pass over it as well
-	// once its probes are spent, but not over one that is merely new.
-	doubtful bool
-	closed   bool
+	// endingSize is the capacity of tasks that are ending, displaceable that of
+	// normal tasks, which urgent ones may displace. victims lists the latter.
+	endingSize   Size
+	displaceable Size
+	victims      []victim
+	// claimedUrgent is capacity that urgent tasks wait for; it is freed by
+	// ending tasks.
+	claimedUrgent Size
+	// An unproven worker has run no task well yet and gets at most
+	// trialTasksLeft more tasks.
+	unproven       bool
+	trialTasksLeft int
+	// hasFailures: tasks have failed on the unproven worker. Once its trial
+	// tasks are used up, it gets no urgent tasks either, unlike a worker that
+	// is merely new.
+	hasFailures  bool
+	inQuarantine bool
 }
 
 // victim is a normal task that an urgent one may displace.
@@ -37,23 +39,25 @@
 	startedMillis int64
 }
 
-// poolWork is one pool's part of a round.
-type poolWork struct {
+// poolState is the state of one pool in a round.
+type poolState struct {
 	name    string
 	workers []*worker
-	// index gives a worker's place in workers.
+	// index maps an instance id to its position in workers.
 	index map[string]int
-	// capacities are those of all the pool's workers, serving or not.
-	capacities []room
-	largest    room
-	// The trees hold, by worker: room for normal tasks, for urgent ones, the
-	// same with what is ending, and with all normal tasks displaced.
-	forNormal, forUrgent, withEnding, withNormal *tree
-}
-
-// order puts workers of different racks and zones next to each other, so that
-// a job that takes one worker after the other is spread over them.
-func (p *poolWork) order() {
+	// capacities holds the total capacity of each worker of the pool, serving
+	// or not.
+	capacities []capacity
+	largest    capacity
+	// The trees hold the free capacity of each worker: for normal tasks, for
+	// urgent tasks, for urgent tasks once the ending tasks have ended, and the
+	// same with all normal tasks displaced.
+	normalFree, urgentFree, freeAfterEnding, freeAfterDisplacing *capacityTree
+}
+
+// sortForSpread puts workers of different racks and zones next to each other,
+// so that a job placed on consecutive workers is spread over them.
+func (p *poolState) sortForSpread() {
 	slices.SortFunc(p.workers, func(a, b *worker) int {
 		return cmp.Or(cmp.Compare(a.inst.Zone, b.inst.Zone), cmp.Compare(a.inst.Rack, b.inst.Rack),
 			cmp.Compare(a.inst.ID, b.inst.ID))
@@ -79,8 +83,9 @@
 	}
 }
 
-// couldFit tells whether any worker of the pool is large enough when empty.
-func (p *poolWork) couldFit(s Size) bool {
+// fitsEmptyWorker reports whether any worker of the pool is large enough when
+// empty.
+func (p *poolState) fitsEmptyWorker(s Size) bool {
 	for _, c := range p.capacities {
 		if c.fits(s) {
 			return true
@@ -89,8 +94,8 @@
 	return false
 }
 
-// hold books a task on its worker.
-func (p *poolWork) hold(t *Task, j *jobWork, size Size, ending bool) {
+// addTask subtracts a task's size from the free capacity of its worker.
+func (p *poolState) addTask(t *Task, j *jobState, size Size, ending bool) {
 	if p == nil {
 		return
 	}
@@ -100,12 +105,12 @@
 	}
 	w := p.workers[i]
 	w.free = w.free.minus(size)
-	w.probes--
+	w.trialTasksLeft--
 	switch {
 	case ending:
-		w.soon = w.soon.plus(size)
+		w.endingSize = w.endingSize.plus(size)
 	case j != nil && !j.urgent():
-		w.normal = w.normal.plus(size)
+		w.displaceable = w.displaceable.plus(size)
 		w.victims = append(w.victims, victim{t.ID, t.Job, size, t.StartedMillis})
 	}
 }
@@ -118,43 +123,44 @@
 	return Size{s.Cores - o.Cores, s.MemoryMB - o.MemoryMB, s.Accelerators - o.Accelerators}
 }
 
-// buildIndex lays the reserve out and builds the trees.
-func (p *poolWork) buildIndex(reserve float64, quarantined map[string]bool) {
+// buildIndex assigns the urgent reserve to workers and builds the trees.
+func (p *poolState) buildIndex(reserve float64, quarantined map[string]bool) {
 	for _, w := range p.workers {
-		w.closed = quarantined[w.inst.ID]
+		w.inQuarantine = quarantined[w.inst.ID]
 	}
-	p.layReserve(reserve)
-	build := func(f func(*worker) room) *tree {
-		rooms := make([]room, len(p.workers))
+	p.assignReserve(reserve)
+	build := func(f func(*worker) capacity) *capacityTree {
+		capacities := make([]capacity, len(p.workers))
 		for i, w := range p.workers {
-			rooms[i] = f(w)
+			capacities[i] = f(w)
 		}
-		return newTree(rooms)
+		return newCapacityTree(capacities)
 	}
-	p.forNormal, p.forUrgent = build((*worker).roomForNormal), build((*worker).roomForUrgent)
-	p.withEnding, p.withNormal = build((*worker).roomWithEnding), build((*worker).roomWithNormal)
+	p.normalFree, p.urgentFree = build((*worker).freeForNormal), build((*worker).freeForUrgent)
+	p.freeAfterEnding, p.freeAfterDisplacing = build((*worker).freeForUrgentAfterEnding), build((*worker).freeForUrgentAfterDisplacing)
 }
 
-// layReserve keeps a part of the pool's cores and memory free of normal tasks.
-// It is laid on the workers with the most room, whole ones as far as it goes:
-// the same part of every worker would be too small for any task. What urgent
-// tasks hold already is taken off, as that is what it is for; the resource that
-// they hold more of counts, as room that lacks one of the two is no use.
-func (p *poolWork) layReserve(part float64) {
+// assignReserve reserves a share of the pool's cores and memory for urgent
+// tasks. It reserves all free capacity of the workers with the most free cores
+// until the share is reached: an equal share of every worker would be too small
+// for any task. Capacity that urgent tasks already use is subtracted from the
+// share, by the resource of which they use the larger part, because capacity
+// that lacks either resource is useless.
+func (p *poolState) assignReserve(share float64) {
 	var total, urgent Size
 	for _, w := range p.workers {
 		total.Cores += w.inst.Cores
 		total.MemoryMB += w.inst.MemoryMB
-		held := Size{w.inst.Cores - w.free.cores, w.inst.MemoryMB - w.free.memoryMB, 0}
-		urgent = urgent.plus(held.minus(w.normal).minus(w.soon))
+		booked := Size{w.inst.Cores - w.free.cores, w.inst.MemoryMB - w.free.memoryMB, 0}
+		urgent = urgent.plus(booked.minus(w.displaceable).minus(w.endingSize))
 	}
 	used := max(urgent.Cores/max(total.Cores, 1), float64(urgent.MemoryMB)/float64(max(total.MemoryMB, 1)))
-	part = max(0, part-used)
-	left := Size{Cores: part * total.Cores, MemoryMB: int(part * float64(total.MemoryMB))}
-	byRoom := slices.Clone(p.workers)
-	slices.SortStableFunc(byRoom, func(a, b *worker) int { return -cmp.Compare(a.free.cores, b.free.cores) })
-	for _, w := range byRoom {
-		if w.closed || left.Cores <= 0 && left.MemoryMB <= 0 {
+	share = max(0, share-used)
+	left := Size{Cores: share * total.Cores, MemoryMB: int(share * float64(total.MemoryMB))}
+	byFreeCores := slices.Clone(p.workers)
+	slices.SortStableFunc(byFreeCores, func(a, b *worker) int { return -cmp.Compare(a.free.cores, b.free.cores) })
+	for _, w := range byFreeCores {
+		if w.inQuarantine || left.Cores <= 0 && left.MemoryMB <= 0 {
 			continue
 		}
 		w.reserve.Cores = max(0, min(left.Cores, w.free.cores))
@@ -163,48 +169,48 @@
 	}
 }
 
-func (w *worker) roomForNormal() room {
-	return roomIf(!w.closed && !w.spent(), w.unclaimed().minus(w.reserve))
+func (w *worker) freeForNormal() capacity {
+	return capacityIf(!w.inQuarantine && !w.trialExhausted(), w.unclaimed().minus(w.reserve))
 }
-func (w *worker) roomForUrgent() room { return w.urgentRoom(w.unclaimed()) }
-func (w *worker) roomWithEnding() room {
-	return w.urgentRoom(w.free.plus(w.soon).minus(w.claimed))
+func (w *worker) freeForUrgent() capacity { return w.usableByUrgent(w.unclaimed()) }
+func (w *worker) freeForUrgentAfterEnding() capacity {
+	return w.usableByUrgent(w.free.plus(w.endingSize).minus(w.claimedUrgent))
 }
-func (w *worker) roomWithNormal() room {
-	return w.urgentRoom(w.free.plus(w.soon).plus(w.normal).minus(w.claimed))
+func (w *worker) freeForUrgentAfterDisplacing() capacity {
+	return w.usableByUrgent(w.free.plus(w.endingSize).plus(w.displaceable).minus(w.claimedUrgent))
 }
 
-// unclaimed is the free room that will not be needed by urgent tasks that wait
-// for others to end.
-func (w *worker) unclaimed() room {
-	after := w.free.plus(w.soon).minus(w.claimed)
-	return room{
+// unclaimed returns the free capacity that urgent tasks waiting for others to
+// end will not need.
+func (w *worker) unclaimed() capacity {
+	after := w.free.plus(w.endingSize).minus(w.claimedUrgent)
+	return capacity{
 		min(w.free.cores, after.cores),
 		min(w.free.memoryMB, after.memoryMB),
 		min(w.free.accelerators, after.accelerators),
 	}
 }
 
-func (w *worker) urgentRoom(r room) room {
-	return roomIf(!w.closed && !(w.doubtful && w.spent()), r)
+func (w *worker) usableByUrgent(c capacity) capacity {
+	return capacityIf(!w.inQuarantine && !(w.hasFailures && w.trialExhausted()), c)
 }
 
-// spent tells whether a worker that has yet to run a task well has as many as
-// it may get until then.
-func (w *worker) spent() bool { return w.probing && w.probes <= 0 }
+// trialExhausted reports whether an unproven worker has as many tasks as it may
+// get until one has run well.
+func (w *worker) trialExhausted() bool { return w.unproven && w.trialTasksLeft <= 0 }
 
-func roomIf(open bool, r room) room {
+func capacityIf(open bool, c capacity) capacity {
 	if !open {
-		return nothing
+		return noCapacity
 	}
-	return r
+	return c
 }
 
-// update brings the trees up to date with a worker.
-func (p *poolWork) update(i int) {
+// update updates the trees with the state of the i-th worker.
+func (p *poolState) update(i int) {
 	w := p.workers[i]
-	p.forNormal.set(i, w.roomForNormal())
-	p.forUrgent.set(i, w.roomForUrgent())
-	p.withEnding.set(i, w.roomWithEnding())
-	p.withNormal.set(i, w.roomWithNormal())
+	p.normalFree.set(i, w.freeForNormal())
+	p.urgentFree.set(i, w.freeForUrgent())
+	p.freeAfterEnding.set(i, w.freeForUrgentAfterEnding())
+	p.freeAfterDisplacing.set(i, w.freeForUrgentAfterDisplacing())
 }
--- a/internal/placement/round.go
+++ b/internal/placement/round.go
@@ -9,50 +9,52 @@
 	"cyclamenwheel/internal/pools"
 )
 
-// jobWork is one job's part of a round.
-type jobWork struct {
+// jobState is the state of one job in a round.
+type jobState struct {
 	spec *manifest.Job
-	pool *poolWork
+	pool *poolState
 	size Size
-	// taken marks the indices that a task holds, ending ones included.
-	taken  map[int]bool
-	ending int
-	// running counts tasks that are not ending.
+	// occupied marks the indices that have a task, including one that is
+	// ending.
+	occupied map[int]bool
+	ending   int
+	// running counts the tasks that are not ending.
 	running  int
 	missing  []int
 	setAside Reason
 	cursor   int
 }
 
-func (j *jobWork) urgent() bool { return j.spec.Priority == manifest.PriorityUrgent }
+func (j *jobState) urgent() bool { return j.spec.Priority == manifest.PriorityUrgent }
 
-// round is the working state of one round.
+// round is the state of one placement round.
 type round struct {
 	in        Input
 	instances map[string]*pools.Instance
-	pools     []*poolWork
-	byPool    map[string]*poolWork
-	jobs      []*jobWork
-	byJob     map[string]*jobWork
-	teams     map[string]*teamUse
-	// ableWorkers and ableJobs have a task that has been running for a while.
-	ableWorkers map[string]bool
-	ableJobs    map[string]bool
-	quarantined map[string]bool
-	out         Output
-}
-
-// teamUse is what a team holds of its quota.
-type teamUse struct {
+	pools     []*poolState
+	byPool    map[string]*poolState
+	jobs      []*jobState
+	byJob     map[string]*jobState
+	teams     map[string]*teamUsage
+	// provenWorkers and provenJobs have a task that has been running for
+	// provenRunMillis.
+	provenWorkers map[string]bool
+	provenJobs    map[string]bool
+	quarantined   map[string]bool
+	out           Output
+}
+
+// teamUsage is a team's quota and how much of it is used.
+type teamUsage struct {
 	quota Size
 	used  Size
 }
 
-func (t *teamUse) allows(s Size) bool {
-	return t == nil || room{t.quota.Cores, t.quota.MemoryMB, t.quota.Accelerators}.minus(t.used).fits(s)
+func (t *teamUsage) allows(s Size) bool {
+	return t == nil || capacity{t.quota.Cores, t.quota.MemoryMB, t.quota.Accelerators}.minus(t.used).fits(s)
 }
 
-func (t *teamUse) add(s Size) {
+func (t *teamUsage) add(s Size) {
 	if t != nil {
 		t.used = Size{t.used.Cores + s.Cores, t.used.MemoryMB + s.MemoryMB, t.used.Accelerators + s.Accelerators}
 	}
@@ -63,17 +65,17 @@
 		in.History = &History{}
 	}
 	r := &round{
-		in:          in,
-		instances:   make(map[string]*pools.Instance, len(in.Instances)),
-		byPool:      map[string]*poolWork{},
-		byJob:       map[string]*jobWork{},
-		teams:       map[string]*teamUse{},
-		ableWorkers: map[string]bool{},
-		ableJobs:    map[string]bool{},
-		quarantined: map[string]bool{},
+		in:            in,
+		instances:     make(map[string]*pools.Instance, len(in.Instances)),
+		byPool:        map[string]*poolState{},
+		byJob:         map[string]*jobState{},
+		teams:         map[string]*teamUsage{},
+		provenWorkers: map[string]bool{},
+		provenJobs:    map[string]bool{},
+		quarantined:   map[string]bool{},
 	}
 	for _, t := range in.Manifest.Teams {
-		r.teams[t.Name] = &teamUse{quota: Size{t.Cores, t.MemoryMB, t.Accelerators}}
+		r.teams[t.Name] = &teamUsage{quota: Size{t.Cores, t.MemoryMB, t.Accelerators}}
 	}
 	for _, inst := range in.Instances {
 		r.instances[inst.ID] = inst
@@ -85,7 +87,7 @@
 func (r *round) addPools() {
 	for i := range r.in.Manifest.Pools {
 		spec := &r.in.Manifest.Pools[i]
-		r.byPool[spec.Name] = &poolWork{name: spec.Name, index: map[string]int{}}
+		r.byPool[spec.Name] = &poolState{name: spec.Name, index: map[string]int{}}
 		r.pools = append(r.pools, r.byPool[spec.Name])
 	}
 	for _, inst := range r.in.Instances {
@@ -98,7 +100,7 @@
 		}
 	}
 	for _, p := range r.pools {
-		p.order()
+		p.sortForSpread()
 	}
 	for i := range r.in.Manifest.Pools {
 		spec := &r.in.Manifest.Pools[i]
@@ -108,10 +110,10 @@
 	}
 }
 
-func (r *round) addJob(spec *manifest.Job, p *poolWork) {
-	j := &jobWork{spec: spec, pool: p, size: r.in.sizer().Size(*spec)}
-	// An estimate above the largest worker comes of its margin: the job did
-	// run on one.
+func (r *round) addJob(spec *manifest.Job, p *poolState) {
+	j := &jobState{spec: spec, pool: p, size: r.in.sizer().Size(*spec)}
+	// An estimate exceeds the largest worker only because of its margin: the
+	// job has run on one of the pool's workers.
 	if declared := (Declared{}).Size(*spec); j.size != declared && len(p.capacities) > 0 {
 		j.size.Cores = min(j.size.Cores, p.largest.cores)
 		j.size.MemoryMB = min(j.size.MemoryMB, p.largest.memoryMB)
@@ -120,25 +122,26 @@
 	r.byJob[spec.Name] = j
 }
 
-func capacityOf(inst *pools.Instance) room {
-	return room{inst.Cores, inst.MemoryMB, inst.Accelerators}
+func capacityOf(inst *pools.Instance) capacity {
+	return capacity{inst.Cores, inst.MemoryMB, inst.Accelerators}
 }
 
-// takeStock books every task on its worker and stops those that must end.
-func (r *round) takeStock() {
+// bookTasks subtracts every task from its worker's free capacity and stops the
+// tasks that must end.
+func (r *round) bookTasks() {
 	tasks := slices.Clone(r.in.Tasks)
 	slices.SortFunc(tasks, func(a, b Task) int {
 		return cmp.Or(cmp.Compare(a.StartedMillis, b.StartedMillis), cmp.Compare(a.ID, b.ID))
 	})
 	for i := range tasks {
-		r.book(&tasks[i])
+		r.bookTask(&tasks[i])
 	}
 	for _, p := range r.pools {
-		p.buildIndex(r.in.reserve(), r.quarantined)
+		p.buildIndex(r.in.urgentReserve(), r.quarantined)
 	}
 }
 
-func (r *round) book(t *Task) {
+func (r *round) bookTask(t *Task) {
 	if Ended(t.State) {
 		return
 	}
@@ -152,19 +155,19 @@
 	if j != nil {
 		size = j.size
 		r.teams[j.spec.Team].add(size)
-		r.holdIndex(j, t, ending)
+		r.occupyIndex(j, t, ending)
 	}
 	if inst := r.instances[t.Instance]; inst != nil {
-		r.byPool[inst.Pool].hold(t, j, size, ending)
+		r.byPool[inst.Pool].addTask(t, j, size, ending)
 	}
 }
 
-func (r *round) holdIndex(j *jobWork, t *Task, ending bool) {
+func (r *round) occupyIndex(j *jobState, t *Task, ending bool) {
 	if t.Index < j.spec.Tasks {
-		if j.taken == nil {
-			j.taken = make(map[int]bool, j.spec.Tasks)
+		if j.occupied == nil {
+			j.occupied = make(map[int]bool, j.spec.Tasks)
 		}
-		j.taken[t.Index] = true
+		j.occupied[t.Index] = true
 	}
 	if ending {
 		j.ending++
@@ -173,8 +176,8 @@
 	}
 }
 
-// stopReason tells why a task must end; empty if it need not. All tasks of a
-// job that the manifest no longer has get theirs in one round.
+// stopReason returns why a task must be stopped, or an empty reason. All tasks
+// of a job that the manifest no longer has are stopped in the same round.
 func (r *round) stopReason(t *Task) Reason {
 	j, inst := r.byJob[t.Job], r.instances[t.Instance]
 	switch {
@@ -184,49 +187,51 @@
 		return ReasonWorkerLost
 	case inst.Phase != pools.PhaseServing || inst.Pool != j.pool.name:
 		return ReasonWorkerLeaving
-	case j.taken[t.Index]:
+	case j.occupied[t.Index]:
 		return ReasonDuplicate
 	}
 	return ""
 }
 
-// queue orders the jobs that miss tasks: urgent ones first, then the largest
-// tasks, which find no room once small ones are spread over all workers.
-func (r *round) queue() []*jobWork {
-	var queue []*jobWork
+// queue returns the jobs that miss tasks: urgent ones first, then by decreasing
+// task size, because large tasks find no worker once small ones are spread over
+// all of them.
+func (r *round) queue() []*jobState {
+	var queue []*jobState
 	for _, j := range r.jobs {
-		done := r.in.History.job(*j.spec).Done
+		done := r.in.History.jobHistory(*j.spec).Done
 		for index := range j.spec.Tasks {
-			if !j.taken[index] && !done[index] {
+			if !j.occupied[index] && !done[index] {
 				j.missing = append(j.missing, index)
 			}
 		}
 		if j.ending > 0 {
-			r.wait(j, j.ending, ReasonEnding)
+			r.addWaiting(j, j.ending, ReasonEnding)
 		}
 		if len(j.missing) > 0 {
 			queue = append(queue, j)
 		}
 	}
-	slices.SortStableFunc(queue, func(a, b *jobWork) int {
+	slices.SortStableFunc(queue, func(a, b *jobState) int {
 		if a.urgent() != b.urgent() {
 			if a.urgent() {
 				return -1
 			}
 			return 1
 		}
-		return -cmp.Compare(a.share(), b.share())
+		return -cmp.Compare(a.largestShare(), b.largestShare())
 	})
 	return queue
 }
 
-// share is the largest part of the pool's largest worker that a task takes.
-func (j *jobWork) share() float64 {
+// largestShare returns the share of the pool's largest worker that a task
+// needs, by the resource of which it needs the larger part.
+func (j *jobState) largestShare() float64 {
 	l := j.pool.largest
 	return max(j.size.Cores/max(l.cores, 1), float64(j.size.MemoryMB)/float64(max(l.memoryMB, 1)))
 }
 
-func (r *round) wait(j *jobWork, tasks int, reason Reason) {
+func (r *round) addWaiting(j *jobState, tasks int, reason Reason) {
 	if n := len(r.out.Waiting); n > 0 {
 		if last := &r.out.Waiting[n-1]; last.Job == j.spec.Name && last.Reason == reason {
 			last.Tasks += tasks
@@ -240,7 +245,8 @@
 
 func (r *round) output() Output { return r.out }
 
-// proven tells whether a task has run long enough to vouch for its worker.
-func (r *round) proven(t *Task) bool {
-	return t.State == platform.TaskRunning && r.in.NowMillis-t.StartedMillis >= provenMillis
+// isProven reports whether a task has run long enough to show that its worker
+// and its job are healthy.
+func (r *round) isProven(t *Task) bool {
+	return t.State == platform.TaskRunning && r.in.NowMillis-t.StartedMillis >= provenRunMillis
 }
--- a/internal/placement/state.go
+++ b/internal/placement/state.go
@@ -1,4 +1,9 @@
-// Package placement decides which worker runs which task of a pool's jobs.
+// Package placement decides which worker runs which task of a pool's jobs,
+// which tasks are stopped, which workers are quarantined and which jobs are set
+// aside. Decide takes the manifest, the instances, the tasks that have not
+// ended, size estimates and the history of ended tasks; State folds the
+// resulting records. The planner calls Decide in its rounds, and package
+// fleetlog applies the records to State.
 package placement
 
 import (
@@ -8,21 +13,22 @@
 	"cyclamenwheel/internal/platform"
 )
 
-// Task is one placed task that has not ended, as far as is known.
+// Task is a placed task that is not known to have ended.
 type Task struct {
 	ID       string `json:"id"`
 	Job      string `json:"job"`
 	Index    int    `json:"index"`
 	Instance string `json:"instance"`
-	// State is what the platform last reported; empty where it has not yet.
+	// State is the last state that the platform reported; empty before the
+	// first report.
 	State platform.TaskState `json:"state"`
-	// StartedMillis is when it was placed.
+	// StartedMillis is the time at which the task was placed.
 	StartedMillis int64 `json:"started_ms"`
-	// Stopping: a stop has been asked for and the task has not ended yet.
+	// Stopping: a stop was requested and the task has not ended yet.
 	Stopping bool `json:"stopping"`
 }
 
-// Ended tells whether a state is final.
+// Ended reports whether a state is final.
 func Ended(s platform.TaskState) bool {
 	switch s {
 	case platform.TaskDone, platform.TaskFailed, platform.TaskStopped,
@@ -32,47 +38,48 @@
 	return false
 }
 
-// Limits of what History keeps. They only need to reach the thresholds at
-// which a job is set aside and a worker is quarantined.
+// Limits of the entries kept in History. They only need to reach the thresholds
+// at which a job is set aside and a worker is quarantined.
 const (
 	maxFailedWorkers = 8
 	maxFailedJobs    = 8
 )
 
-// History is what ended tasks have shown of jobs and workers. The zero value
-// is ready for use. It is folded from ended tasks and may be lost, except for
-// the indices done of jobs that end: a task that is done must not run again.
+// History is the evidence from ended tasks about jobs and workers. The zero
+// value is ready for use. It may be lost, except for the completed indices of
+// jobs with a duration, because a completed task must not run again.
 type History struct {
 	Jobs    map[string]JobHistory    `json:"jobs"`
 	Workers map[string]WorkerHistory `json:"workers"`
 }
 
-// JobHistory is what is known of one job.
+// JobHistory is the evidence about one job.
 type JobHistory struct {
-	// Spec is the job as it was when the failures were seen. Failures of
-	// another spec are forgotten: the operator may have mended the job.
+	// Spec is the job at the time of the failures. Failures of another spec
+	// don't count, as the operator may have fixed the job.
 	Spec manifest.Job `json:"spec"`
-	// Done holds the indices that ran to their end.
+	// Done holds the indices of completed tasks.
 	Done map[int]bool `json:"done"`
-	// FailedOn holds distinct workers that the job failed on since its last
-	// success.
+	// FailedOn holds the distinct workers on which the job has failed since its
+	// last success.
 	FailedOn []string `json:"failed_on"`
 	// Failures counts failures since the last success.
 	Failures int `json:"failures"`
-	// LastFailureMillis is the time of the last one.
+	// LastFailureMillis is the time of the last failure.
 	LastFailureMillis int64 `json:"last_failure_ms"`
-	// Succeeded: a task of the job has run well.
+	// Succeeded: a task of the job has completed.
 	Succeeded bool `json:"succeeded"`
 }
 
-// WorkerHistory is what is known of one worker since it booted.
+// WorkerHistory is the evidence about one worker since it booted.
 type WorkerHistory struct {
 	BootID string `json:"boot_id"`
-	// FailedJobs holds distinct jobs that failed on it since its last success.
+	// FailedJobs holds the distinct jobs that have failed on the worker since
+	// its last success.
 	FailedJobs []string `json:"failed_jobs"`
 	// LastFailureMillis is the time of the last failure.
 	LastFailureMillis int64 `json:"last_failure_ms"`
-	// Succeeded: a task has run well on it since it booted.
+	// Succeeded: a task has completed on the worker since it booted.
 	Succeeded bool `json:"succeeded"`
 }
 
@@ -87,22 +94,23 @@
 	AtMillis int64
 }
 
-// Observe takes in how a task ended. Tasks that were stopped, that lapsed or
-// that the worker refused for lack of room say nothing of job or worker.
+// Observe adds the end of a task. A task that was stopped, that lapsed or that
+// the worker rejected for lack of capacity is no evidence about its job or
+// worker.
 func (h *History) Observe(o Outcome) {
 	if h.Jobs == nil {
 		h.Jobs, h.Workers = map[string]JobHistory{}, map[string]WorkerHistory{}
 	}
 	switch o.State {
 	case platform.TaskDone:
-		h.succeed(o)
+		h.recordSuccess(o)
 	case platform.TaskFailed:
-		h.fail(o)
+		h.recordFailure(o)
 	}
 }
 
-func (h *History) succeed(o Outcome) {
-	j := h.job(o.Job)
+func (h *History) recordSuccess(o Outcome) {
+	j := h.jobHistory(o.Job)
 	j.Succeeded, j.FailedOn, j.Failures = true, nil, 0
 	if o.Job.DurationMillis > 0 {
 		if j.Done == nil {
@@ -111,25 +119,25 @@
 		j.Done[o.Index] = true
 	}
 	h.Jobs[o.Job.Name] = j
-	w := h.worker(o.Instance, o.BootID)
+	w := h.workerHistory(o.Instance, o.BootID)
 	w.Succeeded, w.FailedJobs = true, nil
 	h.Workers[o.Instance] = w
 }
 
-func (h *History) fail(o Outcome) {
-	j := h.job(o.Job)
+func (h *History) recordFailure(o Outcome) {
+	j := h.jobHistory(o.Job)
 	j.FailedOn = addDistinct(j.FailedOn, o.Instance, maxFailedWorkers)
 	j.Failures++
 	j.LastFailureMillis = o.AtMillis
 	h.Jobs[o.Job.Name] = j
-	w := h.worker(o.Instance, o.BootID)
+	w := h.workerHistory(o.Instance, o.BootID)
 	w.FailedJobs = addDistinct(w.FailedJobs, o.Job.Name, maxFailedJobs)
 	w.LastFailureMillis = o.AtMillis
 	h.Workers[o.Instance] = w
 }
 
-// job returns the history that still applies to a job.
-func (h *History) job(spec manifest.Job) JobHistory {
+// jobHistory returns a job's history, without the failures of another spec.
+func (h *History) jobHistory(spec manifest.Job) JobHistory {
 	spec.Tasks = 0
 	j := h.Jobs[spec.Name]
 	if j.Spec != spec {
@@ -138,8 +146,8 @@
 	return j
 }
 
-// worker returns the history that still applies to a worker.
-func (h *History) worker(instance, bootID string) WorkerHistory {
+// workerHistory returns a worker's history, which is empty after a reboot.
+func (h *History) workerHistory(instance, bootID string) WorkerHistory {
 	w := h.Workers[instance]
 	if w.BootID != bootID {
 		w = WorkerHistory{BootID: bootID}
@@ -147,8 +155,8 @@
 	return w
 }
 
-// Forget drops what is known of jobs that no manifest names any more and of
-// workers that the fleet no longer has.
+// Forget drops the history of jobs and workers for which keepJob and keepWorker
+// return false.
 func (h *History) Forget(keepJob, keepWorker func(string) bool) {
 	for name := range h.Jobs {
 		if !keepJob(name) {
--- a/internal/placement/tree.go
+++ b/internal/placement/tree.go
@@ -1,53 +1,54 @@
 package placement
 
-// room is free capacity.
-type room struct {
+// capacity is an amount of free or total resources.
+type capacity struct {
 	cores        float64
 	memoryMB     int
 	accelerators int
 }
 
-func (r room) fits(s Size) bool {
-	return r.cores >= s.Cores-coresEpsilon && r.memoryMB >= s.MemoryMB && r.accelerators >= s.Accelerators
+func (c capacity) fits(s Size) bool {
+	return c.cores >= s.Cores-coresEpsilon && c.memoryMB >= s.MemoryMB && c.accelerators >= s.Accelerators
 }
 
-func (r room) minus(s Size) room {
-	return room{r.cores - s.Cores, r.memoryMB - s.MemoryMB, r.accelerators - s.Accelerators}
+func (c capacity) minus(s Size) capacity {
+	return capacity{c.cores - s.Cores, c.memoryMB - s.MemoryMB, c.accelerators - s.Accelerators}
 }
 
-func (r room) plus(s Size) room {
-	return room{r.cores + s.Cores, r.memoryMB + s.MemoryMB, r.accelerators + s.Accelerators}
+func (c capacity) plus(s Size) capacity {
+	return capacity{c.cores + s.Cores, c.memoryMB + s.MemoryMB, c.accelerators + s.Accelerators}
 }
 
-func (r room) max(o room) room {
-	return room{max(r.cores, o.cores), max(r.memoryMB, o.memoryMB), max(r.accelerators, o.accelerators)}
+func (c capacity) max(o capacity) capacity {
+	return capacity{max(c.cores, o.cores), max(c.memoryMB, o.memoryMB), max(c.accelerators, o.accelerators)}
 }
 
-// coresEpsilon absorbs rounding, which else would refuse the last of ten tasks
-// of 1.6 cores on a worker of 16.
+// coresEpsilon absorbs rounding errors, which would otherwise reject the last
+// of ten tasks of 1.6 cores on a worker with 16.
 const coresEpsilon = 1e-6
 
-// tree finds a worker with enough room among many. Every node keeps the most of
-// each resource that a worker below it has free, so a search skips whole
-// branches that are too full and an update touches one branch.
-type tree struct {
+// capacityTree finds a worker with enough free capacity among many. Each node
+// holds, per resource, the maximum that any worker below it has free, so a
+// search skips branches without enough capacity and an update touches one
+// branch.
+type capacityTree struct {
 	leaves int
-	nodes  []room
+	nodes  []capacity
 }
 
-// nothing is less room than any task needs.
-var nothing = room{cores: -1, memoryMB: -1, accelerators: -1}
+// noCapacity is too small for any task.
+var noCapacity = capacity{cores: -1, memoryMB: -1, accelerators: -1}
 
-func newTree(rooms []room) *tree {
+func newCapacityTree(capacities []capacity) *capacityTree {
 	leaves := 1
-	for leaves < len(rooms) {
+	for leaves < len(capacities) {
 		leaves *= 2
 	}
-	t := &tree{leaves: leaves, nodes: make([]room, 2*leaves)}
+	t := &capacityTree{leaves: leaves, nodes: make([]capacity, 2*leaves)}
 	for i := range leaves {
-		t.nodes[leaves+i] = nothing
-		if i < len(rooms) {
-			t.nodes[leaves+i] = rooms[i]
+		t.nodes[leaves+i] = noCapacity
+		if i < len(capacities) {
+			t.nodes[leaves+i] = capacities[i]
 		}
 	}
 	for i := leaves - 1; i > 0; i-- {
@@ -56,25 +57,25 @@
 	return t
 }
 
-func (t *tree) set(i int, r room) {
+func (t *capacityTree) set(i int, c capacity) {
 	i += t.leaves
-	t.nodes[i] = r
+	t.nodes[i] = c
 	for i /= 2; i > 0; i /= 2 {
 		t.nodes[i] = t.nodes[2*i].max(t.nodes[2*i+1])
 	}
 }
 
-// find returns the first worker from start on, around the end, that has room
-// for s and that skip doesn't name; -1 where there is none.
-func (t *tree) find(s Size, start int, skip func(int) bool) int {
-	if i := t.findIn(1, 0, t.leaves, start, t.leaves, s, skip); i >= 0 {
+// find returns the first worker at or after start, wrapping around at the end,
+// that fits s and that skip doesn't exclude; -1 if there is none.
+func (t *capacityTree) find(s Size, start int, skip func(int) bool) int {
+	if i := t.findInNode(1, 0, t.leaves, start, t.leaves, s, skip); i >= 0 {
 		return i
 	}
-	return t.findIn(1, 0, t.leaves, 0, start, s, skip)
+	return t.findInNode(1, 0, t.leaves, 0, start, s, skip)
 }
 
-// findIn searches the node that covers [lo, hi) for workers in [from, to).
-func (t *tree) findIn(node, lo, hi, from, to int, s Size, skip func(int) bool) int {
+// findInNode searches the node that covers [lo, hi) for workers in [from, to).
+func (t *capacityTree) findInNode(node, lo, hi, from, to int, s Size, skip func(int) bool) int {
 	if hi <= from || lo >= to || !t.nodes[node].fits(s) {
 		return -1
 	}
@@ -85,8 +86,8 @@
 		return lo
 	}
 	mid := (lo + hi) / 2
-	if i := t.findIn(2*node, lo, mid, from, to, s, skip); i >= 0 {
+	if i := t.findInNode(2*node, lo, mid, from, to, s, skip); i >= 0 {
 		return i
 	}
-	return t.findIn(2*node+1, mid, hi, from, to, s, skip)
+	return t.findInNode(2*node+1, mid, hi, from, to, s, skip)
 }
