--- a/internal/pools/apply.go
+++ b/internal/pools/apply.go
@@ -4,22 +4,22 @@
 	"cyclamenwheel/internal/fold"
 )
 
-// Budgets tells what the manifest in force asks for.
+// Budgets gives access to the availability budgets of the manifest in force.
 type Budgets interface {
-	// MinAvailable is the strictest availability budget among the pool's
+	// MinAvailable returns the highest availability budget among the pool's
 	// services, 0 for a pool that the manifest does not have.
 	MinAvailable(pool string) int
 	// HasPool reports whether the manifest in force has the pool.
 	HasPool(pool string) bool
 }
 
-// Available returns how many of the pool's instances serve.
+// Available returns the number of serving instances of the pool.
 func (s *State) Available(pool string) int {
-	s.derive()
+	s.countAvailable()
 	return s.available[pool]
 }
 
-func (s *State) derive() {
+func (s *State) countAvailable() {
 	if s.available != nil {
 		return
 	}
@@ -31,10 +31,10 @@
 	}
 }
 
-// setPhase is the only place where a phase or a pool changes, which keeps the
-// derived counts true.
+// setPhase is the only function that changes a phase or a pool, which keeps the
+// derived counts correct.
 func (s *State) setPhase(in *Instance, pool string, phase Phase, offset uint64) {
-	s.derive()
+	s.countAvailable()
 	if in.Phase == PhaseServing {
 		s.available[in.Pool]--
 	}
@@ -45,8 +45,9 @@
 	s.Version = offset
 }
 
-// listed accepts facts from list version v unless newer ones were folded.
-func (s *State) listed(v uint64) fold.Verdict {
+// checkListVersion rejects a record taken from an older instance list than one
+// already folded; otherwise it stores the version.
+func (s *State) checkListVersion(v uint64) fold.Verdict {
 	if v < s.List {
 		return fold.Reject(ReasonOldFacts, "")
 	}
@@ -54,21 +55,21 @@
 	return fold.Accept()
 }
 
-// ApplySeen folds what the platform lists as live.
+// ApplySeen folds the instances that the platform lists as live.
 func (s *State) ApplySeen(m fold.Meta, rec Seen) fold.Verdict {
-	if v := s.listed(rec.List); !v.Accepted {
+	if v := s.checkListVersion(rec.List); !v.Accepted {
 		return v
 	}
 	changed := 0
 	for _, f := range rec.Facts {
-		if s.seen(m, f) {
+		if s.applyFact(m, f) {
 			changed++
 		}
 	}
-	return verdictOf(changed)
+	return verdictForChanges(changed)
 }
 
-func (s *State) seen(m fold.Meta, f Fact) bool {
+func (s *State) applyFact(m fold.Meta, f Fact) bool {
 	if f.ID == "" || f.BootID == "" {
 		return false
 	}
@@ -78,7 +79,7 @@
 			s.Instances = make(map[string]*Instance)
 		}
 		in = &Instance{ID: f.ID}
-		in.describe(f)
+		in.setAttributes(f)
 		s.Instances[f.ID] = in
 		s.setPhase(in, f.Pool, PhaseServing, m.Offset)
 		return true
@@ -86,24 +87,25 @@
 	if in.Phase != PhaseDown && in.BootID == f.BootID && in.Addr == f.Addr {
 		return false
 	}
-	in.describe(f)
+	in.setAttributes(f)
 	switch {
 	case in.Phase == PhaseDown && in.Operation == "":
 		s.setPhase(in, in.Pool, PhaseServing, m.Offset)
 	case in.Phase == PhaseDown && in.Operation == f.Operation:
-		s.finish(in, m.Offset)
+		s.finishOperation(in, m.Offset)
 	case in.Phase == PhaseDown:
-		s.resume(in, m.Offset)
+		s.resumeOperation(in, m.Offset)
 	default:
 		s.Version = m.Offset
 	}
 	return true
 }
 
-// resume puts an instance that was lost in the middle of an operation back to
-// it. The planner asks the platform again under the same operation id, so the
-// instance is in no doubt about its pool whichever way the first try ended.
-func (s *State) resume(in *Instance, offset uint64) {
+// resumeOperation returns an instance that was lost during an operation to that
+// operation. The planner requests it from the platform again under the same id,
+// so the instance ends in the right pool whether or not the first attempt took
+// effect.
+func (s *State) resumeOperation(in *Instance, offset uint64) {
 	phase := PhaseMoving
 	if in.Target == in.Pool {
 		phase = PhaseDraining
@@ -111,17 +113,18 @@
 	s.setPhase(in, in.Pool, phase, offset)
 }
 
-func (in *Instance) describe(f Fact) {
+func (in *Instance) setAttributes(f Fact) {
 	in.BootID, in.Addr = f.BootID, f.Addr
 	in.Zone, in.Rack = f.Zone, f.Rack
 	in.Cores, in.MemoryMB, in.Accelerators = f.Cores, f.MemoryMB, f.Accelerators
 	in.Slots, in.Connections = f.Slots, f.Connections
 }
 
-// ApplyDown folds losses. A loss is never refused: it is a fact, and counts
-// against the budget of whatever is begun later.
+// ApplyDown folds losses. Unless it is from an older list, a loss is never
+// rejected: it is a fact, and it counts against the budget of operations begun
+// later.
 func (s *State) ApplyDown(m fold.Meta, rec Down) fold.Verdict {
-	if v := s.listed(rec.List); !v.Accepted {
+	if v := s.checkListVersion(rec.List); !v.Accepted {
 		return v
 	}
 	changed := 0
@@ -134,12 +137,12 @@
 		s.setPhase(in, in.Pool, PhaseDown, m.Offset)
 		changed++
 	}
-	return verdictOf(changed)
+	return verdictForChanges(changed)
 }
 
 // ApplyForget folds the removal of instances that are down.
 func (s *State) ApplyForget(m fold.Meta, rec Forget) fold.Verdict {
-	if v := s.listed(rec.List); !v.Accepted {
+	if v := s.checkListVersion(rec.List); !v.Accepted {
 		return v
 	}
 	changed := 0
@@ -152,16 +155,16 @@
 		s.Version = m.Offset
 		changed++
 	}
-	return verdictOf(changed)
+	return verdictForChanges(changed)
 }
 
-// ApplyBegin folds the start of moves and drains. The verdict carries the
-// reason of the first item refused, if none was accepted.
+// ApplyBegin folds the start of moves and drains. If no item is accepted, the
+// verdict has the reason of the first rejected item.
 func (s *State) ApplyBegin(m fold.Meta, rec Begin, budgets Budgets) fold.Verdict {
 	accepted := 0
 	var first *fold.Verdict
 	for _, item := range rec.Items {
-		v := s.begin(m, item, budgets)
+		v := s.beginOperation(m, item, budgets)
 		if v.Accepted {
 			accepted++
 		} else if first == nil {
@@ -171,10 +174,10 @@
 	if accepted == 0 && first != nil {
 		return *first
 	}
-	return verdictOf(accepted)
+	return verdictForChanges(accepted)
 }
 
-func (s *State) begin(m fold.Meta, item BeginItem, budgets Budgets) fold.Verdict {
+func (s *State) beginOperation(m fold.Meta, item BeginItem, budgets Budgets) fold.Verdict {
 	in, ok := s.Instances[item.Instance]
 	switch {
 	case !ok:
@@ -186,9 +189,9 @@
 	case item.To != "" && !budgets.HasPool(item.To):
 		return fold.Reject(ReasonUnknownPool, item.To)
 	}
-	// The budget is checked here, at the record's place in the log, and not by
-	// the planner: two planners that each saw one instance to spare would
-	// otherwise both take one. Losses folded before this offset count.
+	// The budget is checked here, at the record's position in the log, and not
+	// by the planner: two planners that each saw one instance above the budget
+	// would otherwise both move one. Losses folded before this offset count.
 	if in.Pool != "" && s.Available(in.Pool)-1 < budgets.MinAvailable(in.Pool) {
 		return fold.Reject(fold.ReasonOverBudget, in.Pool)
 	}
@@ -203,13 +206,13 @@
 
 // ApplyCommit folds the end of moves and drains.
 func (s *State) ApplyCommit(m fold.Meta, rec Commit) fold.Verdict {
-	if v := s.listed(rec.List); !v.Accepted {
+	if v := s.checkListVersion(rec.List); !v.Accepted {
 		return v
 	}
 	accepted := 0
 	var first *fold.Verdict
 	for _, item := range rec.Items {
-		v := s.commit(m, item)
+		v := s.commitOperation(m, item)
 		if v.Accepted {
 			accepted++
 		} else if first == nil {
@@ -219,10 +222,10 @@
 	if accepted == 0 && first != nil {
 		return *first
 	}
-	return verdictOf(accepted)
+	return verdictForChanges(accepted)
 }
 
-func (s *State) commit(m fold.Meta, item CommitItem) fold.Verdict {
+func (s *State) commitOperation(m fold.Meta, item CommitItem) fold.Verdict {
 	in, ok := s.Instances[item.Instance]
 	switch {
 	case !ok:
@@ -233,18 +236,18 @@
 		return fold.Reject(ReasonOtherOperation, in.Operation)
 	}
 	in.BootID, in.Addr = item.BootID, item.Addr
-	s.finish(in, m.Offset)
+	s.finishOperation(in, m.Offset)
 	return fold.Accept()
 }
 
-func (s *State) finish(in *Instance, offset uint64) {
+func (s *State) finishOperation(in *Instance, offset uint64) {
 	pool := in.Target
 	in.Revision = max(in.Revision, in.TargetRevision)
 	in.Target, in.Operation, in.TargetRevision = "", "", 0
 	s.setPhase(in, pool, PhaseServing, offset)
 }
 
-func verdictOf(changed int) fold.Verdict {
+func verdictForChanges(changed int) fold.Verdict {
 	if changed == 0 {
 		return fold.Reject(ReasonNothingToDo, "")
 	}
--- a/internal/pools/decide.go
+++ b/internal/pools/decide.go
@@ -4,91 +4,91 @@
 	"cyclamenwheel/internal/manifest"
 )
 
-// DefaultMaxMovesInFlight bounds voluntary moves under way at a time. Each one
-// costs an acknowledgement of every entry and a reboot on the platform; sixteen
-// keep a change of 50 instances to a few rounds, without a badly chosen
-// manifest taking a fleet apart faster than an operator can read about it.
+// DefaultMaxMovesInFlight bounds concurrent voluntary moves. Each of them needs
+// an acknowledgement by every entry and a reboot by the platform. With 16, a
+// change of 50 instances takes a few rounds, and a bad manifest can't move a
+// whole fleet before an operator notices.
 const DefaultMaxMovesInFlight = 16
 
-// fillFactor times the bound is how many instances may be on their way from
-// the spares into pools: they serve nobody meanwhile, so what remains to be
-// protected is the platform, from rebooting a whole new fleet at once.
-const fillFactor = 16
+// spareMovesFactor times the bound on moves in flight is the bound on moves out
+// of the spares. Spares serve nobody, so this bound only protects the platform
+// from rebooting a whole new fleet at once.
+const spareMovesFactor = 16
 
-// MoveReason tells why an instance changes pool. Values are stable: they are
+// MoveReason is why an instance changes pool. The values are stable: they are
 // recorded with the move and shown by explain.
 type MoveReason string
 
-// Reasons of moves, in the order in which they are begun.
+// Reasons of moves. moveOrder has the order in which they begin.
 const (
-	// MoveReplaceLost fills the place of an instance that is down.
+	// MoveReplaceLost replaces an instance that is down.
 	MoveReplaceLost MoveReason = "replace_lost"
-	// MoveBelowBudget takes an instance from a pool that is above its budget to
-	// one that is below its own, where the fleet has none left.
+	// MoveBelowBudget moves an instance from a pool above its budget to one
+	// below its budget, when the fleet has no free instance left.
 	MoveBelowBudget MoveReason = "below_budget"
-	// MoveListedElsewhere brings an instance to the pool that lists its id.
+	// MoveListedElsewhere moves an instance to the pool that lists its id.
 	MoveListedElsewhere MoveReason = "listed_elsewhere"
-	// MovePoolShort fills a pool that has fewer instances than it should.
+	// MovePoolShort moves an instance to a pool that has fewer than it wants.
 	MovePoolShort MoveReason = "pool_short"
-	// MoveMakeRoom fills the place of an instance that another pool needs and
-	// that only this pool could give.
+	// MoveMakeRoom replaces an instance that this pool gives to another one
+	// which can use no free instance itself.
 	MoveMakeRoom MoveReason = "make_room"
-	// MovePoolOver takes an instance out of a pool that has too many or whose
-	// selector does not allow it, directly into a pool that is short.
+	// MovePoolOver moves an instance from a pool that has too many, or whose
+	// selector does not allow it, directly to a pool that is short.
 	MovePoolOver MoveReason = "pool_over"
-	// MoveReleaseToSpare takes an instance that no pool is short of to the
-	// spares.
+	// MoveReleaseToSpare moves an instance that no pool needs to the spares.
 	MoveReleaseToSpare MoveReason = "release_to_spare"
 )
 
-// Move is one change of pool.
+// Move is one instance's change of pool.
 type Move struct {
 	Instance string     `json:"instance"`
 	From     string     `json:"from"`
 	To       string     `json:"to"`
 	Reason   MoveReason `json:"reason"`
 	Detail   string     `json:"detail"`
-	// Revision is the maintenance revision of the pool moved to. The move
-	// reboots the instance anyway, and installing it then saves a drain.
+	// Revision is the maintenance revision of the target pool. The move reboots
+	// the instance anyway, so installing the revision then saves a drain.
 	Revision int `json:"revision"`
 }
 
-// WaitReason tells why a planned move is not begun yet.
+// WaitReason is why a planned move has not begun yet.
 type WaitReason string
 
 // Reasons to wait.
 const (
-	// WaitBudget: the pool moved from has no instance to spare now.
+	// WaitBudget: the source pool has no serving instance above its budget now.
 	WaitBudget WaitReason = "budget"
-	// WaitInFlight: as many moves as allowed are under way.
+	// WaitInFlight: the bound on moves in flight is reached.
 	WaitInFlight WaitReason = "moves_in_flight"
-	// WaitPhase: the instance is moving or draining and must finish first.
+	// WaitPhase: the instance is moving or draining and must finish that first.
 	WaitPhase WaitReason = "instance_busy"
 )
 
-// Wait is a move that is wanted but not begun in this round.
+// Wait is a planned move that does not begin in this round.
 type Wait struct {
 	Move   Move       `json:"move"`
 	Reason WaitReason `json:"reason"`
 }
 
-// ShortfallReason tells why a pool's need can't be met.
+// ShortfallReason is why a pool stays short of instances.
 type ShortfallReason string
 
 // Reasons of a shortfall.
 const (
 	// ShortNoInstance: the fleet has no instance left for the pool.
 	ShortNoInstance ShortfallReason = "no_instance_left"
-	// ShortSelector: instances are left, but the selector allows none of them.
+	// ShortSelector: the fleet has free instances, but the pool's selector
+	// allows none of them.
 	ShortSelector ShortfallReason = "selector_allows_none"
-	// ShortListedDown: instances that are listed by id are down. No other
-	// instance may stand in for a listed one.
+	// ShortListedDown: instances listed by id are down. No other instance may
+	// replace a listed one.
 	ShortListedDown ShortfallReason = "listed_instance_down"
-	// ShortListedUnknown: ids are listed that the fleet does not have.
+	// ShortListedUnknown: the fleet does not have instances listed by id.
 	ShortListedUnknown ShortfallReason = "listed_instance_unknown"
 )
 
-// Shortfall is a need that no move can meet.
+// Shortfall is a number of missing instances that no move can supply.
 type Shortfall struct {
 	Pool    string          `json:"pool"`
 	Missing int             `json:"missing"`
@@ -97,17 +97,17 @@
 
 // Limits bound one planning round.
 type Limits struct {
-	// MaxMovesInFlight bounds moves under way; 0 takes the default. Repairs
+	// MaxMovesInFlight bounds moves in flight; 0 selects the default. Repairs
 	// are exempt.
 	MaxMovesInFlight int
 }
 
-// Input is what moves are decided from.
+// Input is the input of a planning round.
 type Input struct {
 	Manifest  *manifest.Manifest
 	Instances []*Instance
-	// Extra is how many instances above its count a pool holds for now, as
-	// asked for by a maintenance wave.
+	// Extra is how many instances above its count each pool may hold for the
+	// time being, as requested by a maintenance wave.
 	Extra  map[string]int
 	Limits Limits
 }
@@ -116,20 +116,21 @@
 type Decision struct {
 	// Moves to begin now, in this order.
 	Moves []Move `json:"moves"`
-	// Waits are moves that are wanted and can't begin yet.
+	// Waits are planned moves that can't begin yet.
 	Waits []Wait `json:"waits"`
-	// Shortfalls are needs that no move can meet.
+	// Shortfalls are missing instances that no move can supply.
 	Shortfalls []Shortfall `json:"shortfalls"`
 }
 
-// Planner decides moves and the size of the spare. Shared is the one in use;
-// the others exist to be measured beside it.
+// Planner decides moves and the number of spares needed. Production uses
+// Shared; PerPool is a baseline for measurements.
 type Planner interface {
 	Decide(in Input) Decision
 	Spare(in Input) SpareNeed
 }
 
-// Shared keeps one spare for all pools and changes as little as it can.
+// Shared keeps one set of spares for all pools and moves as few instances as it
+// can.
 type Shared struct{}
 
 // Decide implements Planner.
@@ -138,29 +139,31 @@
 // Spare implements Planner.
 func (Shared) Spare(in Input) SpareNeed { return Spare(in) }
 
-// Decide plans the moves that bring the fleet to the manifest.
+// Decide plans the moves that bring the fleet to the state in the manifest.
 //
 // Load: a manifest that shifts a few instances among pools while others are
-// lost or under maintenance; at the most a whole fleet that has no pool yet.
-// Harm prevented: every move takes an instance out of service for a drain and
-// a reboot, so an instance that is right where it is stays there, and the
-// surplus of one pool goes straight to another that is short instead of by way
-// of the spares. The limits: a source pool never gets below its strictest
-// availability budget, counting what this round has begun; and voluntary moves
-// in flight are bounded. Neither delays a repair out of the spares, because a
-// spare serves nobody and the pool is already short.
+// lost or under maintenance; at the extreme, a whole fleet that has no pool
+// yet.
 //
-// The same input gives the same output, and once the moves are applied there
-// is nothing left to decide.
+// Every move takes an instance out of service for a drain and a reboot. An
+// instance that its pool needs therefore stays there, and the surplus of one
+// pool goes directly to another that is short instead of through the spares. A
+// source pool never drops below its highest availability budget, counting the
+// moves that this round begins, and voluntary moves in flight are bounded.
+// Neither limit delays a repair from the spares, because a spare serves nobody
+// and the pool is already short.
+//
+// The same input gives the same output, and once the moves are applied a
+// further call plans none.
 func Decide(in Input) Decision {
 	p := newPlan(in)
 	p.planListed()
-	p.planNeeds()
+	p.fillShortPools()
 	p.planReleases()
 	return p.decision()
 }
 
-// Budget is the strictest availability budget of each pool's services.
+// Budget returns the highest availability budget among each pool's services.
 func Budget(m *manifest.Manifest) map[string]int {
 	budget := make(map[string]int, len(m.Pools))
 	for _, s := range m.Services {
@@ -169,7 +172,7 @@
 	return budget
 }
 
-// Serving counts the instances of each pool that serve now.
+// Serving counts the serving instances of each pool.
 func Serving(instances []*Instance) map[string]int {
 	serving := map[string]int{}
 	for _, i := range instances {
@@ -180,7 +183,7 @@
 	return serving
 }
 
-// Leaving counts the moves out of each pool that a decision begins.
+// Leaving counts the moves out of each pool that the decision begins.
 func (d Decision) Leaving() map[string]int {
 	leaving := map[string]int{}
 	for _, m := range d.Moves {
--- a/internal/pools/decide_baseline.go
+++ b/internal/pools/decide_baseline.go
@@ -1,32 +1,32 @@
 package pools
 
-// PerPool is the baseline that Shared is measured beside: it plans from scratch
-// each time and holds spares for each pool on its own.
+// PerPool is the baseline that Shared is compared with: it plans from scratch
+// in every round and holds separate spares for each pool.
 type PerPool struct{}
 
-// Decide implements Planner. Pools are filled in the order of the manifest by
-// instances in the order of their ids, wherever those are now. Budgets and the
-// bound on moves in flight hold as they do for Shared.
+// Decide implements Planner. Pools are filled in the order of the manifest with
+// instances in the order of their ids, whichever pool those are in. Budgets and
+// the bound on moves in flight apply as in Shared.
 func (PerPool) Decide(in Input) Decision {
 	p := newPlan(in)
 	p.planListed()
 	for pool := range p.in.Manifest.Pools {
-		p.fillFromScratch(pool)
+		p.fillByID(pool)
 	}
 	for i := range p.instances {
-		if !p.held[i] && p.home[i] != noPool {
-			p.assign(i, noPool, MoveReleaseToSpare)
+		if !p.fixed[i] && p.home[i] != noPool {
+			p.planMove(i, noPool, MoveReleaseToSpare)
 		}
 	}
 	return p.decision()
 }
 
-func (p *plan) fillFromScratch(pool int) {
+func (p *plan) fillByID(pool int) {
 	v := &p.pools[pool]
 	if v.listed {
 		return
 	}
-	missing := v.want
+	missing := v.wanted
 	for i, inst := range p.instances {
 		if inst.Phase != PhaseServing && inst.Phase != PhaseDown && p.home[i] == pool {
 			missing--
@@ -36,13 +36,13 @@
 		if missing <= 0 {
 			return
 		}
-		if p.held[i] || !p.allows(pool, i) {
+		if p.fixed[i] || !p.allows(pool, i) {
 			continue
 		}
 		missing--
-		p.held[i] = true
+		p.fixed[i] = true
 		if p.home[i] != pool {
-			p.assign(i, pool, MovePoolShort)
+			p.planMove(i, pool, MovePoolShort)
 		}
 	}
 	if missing > 0 {
@@ -50,8 +50,8 @@
 	}
 }
 
-// Spare implements Planner. Each pool holds what it needs to survive its own
-// worst domain, and one at the least.
+// Spare implements Planner. Each pool holds what it needs to survive the loss
+// of its own worst domain, and at least one.
 func (PerPool) Spare(in Input) SpareNeed {
 	t := newSpareTally(in)
 	n := SpareNeed{Held: t.live[""], Worst: "each pool's own"}
--- a/internal/pools/decide_chain.go
+++ b/internal/pools/decide_chain.go
@@ -2,30 +2,31 @@
 
 import "slices"
 
-// link is how a pool was reached in the search for a chain: from gives an
-// instance to the pool that was reached before.
-type link struct {
-	taker    int
-	instance int
+// chainLink records how the search for a chain reached a pool: that pool can
+// give the instance to the recipient, which was reached before.
+type chainLink struct {
+	recipient int
+	instance  int
 }
 
-// fillByChain fills a pool that no free instance may join, by way of others: a
-// pool gives it an instance that both selectors allow, and takes another for
-// itself. The shortest chain is taken, as each link is one more move.
+// fillByChain fills a pool that no free instance may join by way of other
+// pools: a pool gives it an instance that both selectors allow and receives
+// another one in return. The shortest chain is used, as each link is one more
+// move.
 //
-// Load: selectors that overlap, such as one pool bound to a zone and another
-// that takes any instance. Harm prevented: the bound pool stays short although
-// the fleet has spares. Limit: once no chain is found from a pool, none can
-// arise in this round, neither for it nor for the pools that the search
-// reached, so each pool is searched in vain at the most once.
-func (p *plan) fillByChain(pool, until int) {
-	for p.pools[pool].need > until && !p.pools[pool].chainless {
-		p.chain(pool)
+// Load: overlapping selectors, such as one pool restricted to a zone and
+// another that accepts any instance. Without chains the restricted pool stays
+// short although the fleet has spares. Once no chain is found from a pool, none
+// can arise in this round, neither for it nor for the pools that the search
+// reached, so each pool is searched without success at most once.
+func (p *plan) fillByChain(pool, remaining int) {
+	for p.pools[pool].missing > remaining && !p.pools[pool].chainExhausted {
+		p.fillOneByChain(pool)
 	}
 }
 
-func (p *plan) chain(pool int) {
-	reached := map[int]link{pool: {taker: noPool}}
+func (p *plan) fillOneByChain(pool int) {
+	reached := map[int]chainLink{pool: {recipient: noPool}}
 	queue := []int{pool}
 	for len(queue) > 0 {
 		q := queue[0]
@@ -34,31 +35,32 @@
 			p.applyChain(pool, q, g, reached)
 			return
 		}
-		for giver, instance := range p.givers(q) {
-			if _, seen := reached[giver]; !seen && instance >= 0 {
-				reached[giver] = link{taker: q, instance: instance}
-				queue = append(queue, giver)
+		for donor, instance := range p.donors(q) {
+			if _, seen := reached[donor]; !seen && instance >= 0 {
+				reached[donor] = chainLink{recipient: q, instance: instance}
+				queue = append(queue, donor)
 			}
 		}
 	}
 	for q := range reached {
-		p.pools[q].chainless = true
+		p.pools[q].chainExhausted = true
 	}
 }
 
-// givers finds for each pool an instance that it could give to taker: one that
-// this round planned for it, which costs nothing, before one that it has.
-func (p *plan) givers(taker int) []int {
+// donors returns, for each pool, an instance that it could give to the
+// recipient, or -1. An instance that this round already moves to the pool is
+// preferred, because redirecting it costs no further move.
+func (p *plan) donors(recipient int) []int {
 	found := make([]int, len(p.pools))
 	for i := range found {
 		found[i] = -1
 	}
 	for i, inst := range p.instances {
 		d := p.dest[i]
-		if d == noPool || d == taker || inst.Phase != PhaseServing || !p.allows(taker, i) {
+		if d == noPool || d == recipient || inst.Phase != PhaseServing || !p.allows(recipient, i) {
 			continue
 		}
-		if p.listedAt[i] != noPool || p.misplaced[i] && d == p.home[i] {
+		if p.listingPool[i] != noPool || p.misplaced[i] && d == p.home[i] {
 			continue
 		}
 		planned := d != p.home[i]
@@ -69,30 +71,32 @@
 	return found
 }
 
-// applyChain gives the free instance to the last pool of the chain and hands
+// applyChain moves the free instance to the last pool of the chain and passes
 // one instance on at every link.
-func (p *plan) applyChain(pool, last int, g *group, reached map[int]link) {
+func (p *plan) applyChain(pool, last int, g *group, reached map[int]chainLink) {
 	reason := MoveMakeRoom
 	if last == pool {
 		reason = p.fillReason(g, false)
 	}
-	p.take(g, last, reason)
+	p.moveFromGroup(g, last, reason)
 	if last == pool {
 		return
 	}
-	// The last pool gave one and got one, as did every one between.
-	p.pools[last].need++
-	p.pools[last].good--
-	for at := last; at != pool; at = reached[at].taker {
-		l := reached[at]
-		p.drop(l.instance)
-		p.assign(l.instance, l.taker, MovePoolShort)
+	// The last pool gives one instance and gets one, as does every pool
+	// between.
+	p.pools[last].missing++
+	p.pools[last].eligible--
+	for donor := last; donor != pool; donor = reached[donor].recipient {
+		link := reached[donor]
+		p.removeFromGroup(link.instance)
+		p.planMove(link.instance, link.recipient, MovePoolShort)
 	}
-	p.gain(pool)
+	p.countArrival(pool)
 }
 
-// drop takes an instance out of its group, where it may still be offered.
-func (p *plan) drop(instance int) {
+// removeFromGroup removes an instance from its group, if the group still has
+// it.
+func (p *plan) removeFromGroup(instance int) {
 	for _, zones := range p.groups {
 		for _, g := range zones[p.zoneOf[instance]] {
 			if at := slices.Index(g.members, instance); at >= 0 {
--- a/internal/pools/decide_fill.go
+++ b/internal/pools/decide_fill.go
@@ -5,9 +5,9 @@
 	"slices"
 )
 
-// group is a set of instances that are alike to the plan: same place, same
-// home, same accelerators. Choosing among groups instead of instances keeps a
-// round linear in the racks for each place that is filled.
+// group is a set of instances that are equivalent to the plan: same rack, same
+// home pool, same accelerators. Choosing among groups instead of instances
+// keeps the cost of each placement linear in the number of racks.
 type group struct {
 	zone, rack int
 	home       int
@@ -15,7 +15,7 @@
 	members    []int
 }
 
-// Sources of instances, as an index of plan.groups.
+// Sources of instances, as indices of plan.groups.
 const (
 	fromSpares = iota
 	fromPools
@@ -29,8 +29,8 @@
 	return fromPools
 }
 
-// each calls f for every group until it returns false.
-func (p *plan) each(f func(*group) bool) {
+// eachGroup calls f for every group until f returns false.
+func (p *plan) eachGroup(f func(*group) bool) {
 	for _, zones := range p.groups {
 		for _, groups := range zones {
 			for _, g := range groups {
@@ -47,32 +47,33 @@
 	misplaced                bool
 }
 
-// planNeeds fills every pool that is short, in three passes. Each pool first
-// gets what its budget asks for and only then what its count does: where a
-// fleet is too small for all counts, pools filled one by one to their count
-// would leave the last ones without what callers were promised.
-func (p *plan) planNeeds() {
+// fillShortPools fills the pools that are short in three passes: up to their
+// budgets, up to their counts, and then by sharing what is still missing. In a
+// fleet too small for all counts, filling one pool after the other to its count
+// would leave the last ones below the budgets promised to callers.
+func (p *plan) fillShortPools() {
 	p.buildGroups()
-	p.fill(func(v *poolView) int { return v.budget - v.good })
-	p.fill(func(v *poolView) int { return v.need })
+	p.fill(func(v *poolPlan) int { return v.budget - v.eligible })
+	p.fill(func(v *poolPlan) int { return v.missing })
 	p.shareShortage()
 	for i := range p.pools {
-		if v := &p.pools[i]; v.need > 0 {
-			p.addShortfall(v.name, v.need, p.shortfallReason())
+		if v := &p.pools[i]; v.missing > 0 {
+			p.addShortfall(v.name, v.missing, p.shortfallReason())
 		}
 	}
 }
 
-// fill fills pools as far as target asks for, by a free instance if there is
-// one and else by a chain.
-func (p *plan) fill(target func(*poolView) int) {
-	for _, pool := range p.needOrder() {
+// fill gives each short pool up to as many instances as toFill returns, first
+// free instances and then by chains. The helpers fill a pool until only the
+// given remaining number is missing.
+func (p *plan) fill(toFill func(*poolPlan) int) {
+	for _, pool := range p.shortPoolOrder() {
 		v := &p.pools[pool]
-		p.fillDirect(pool, max(0, v.need-max(0, target(v))))
+		p.fillDirect(pool, max(0, v.missing-max(0, toFill(v))))
 	}
-	for _, pool := range p.needOrder() {
+	for _, pool := range p.shortPoolOrder() {
 		v := &p.pools[pool]
-		p.fillByChain(pool, max(0, v.need-max(0, target(v))))
+		p.fillByChain(pool, max(0, v.missing-max(0, toFill(v))))
 	}
 }
 
@@ -82,7 +83,7 @@
 		p.groups[source] = make([][]*group, p.zones)
 	}
 	for i := len(p.instances) - 1; i >= 0; i-- {
-		if p.held[i] {
+		if p.fixed[i] {
 			continue
 		}
 		key := groupKey{p.rackOf[i], p.home[i], p.instances[i].Accelerators, p.misplaced[i]}
@@ -96,14 +97,15 @@
 	}
 }
 
-// needOrder puts pools that lost instances first, those furthest below their
-// budget in front; then the ones with the fewest candidates, which would
-// otherwise find them taken by pools that could have used others.
-func (p *plan) needOrder() []int {
+// shortPoolOrder returns the pools that are short. Those that lost instances
+// come first, the ones furthest below their budget in front; then those with
+// the fewest candidates, which other pools with more candidates would otherwise
+// use up.
+func (p *plan) shortPoolOrder() []int {
 	var order []int
 	candidates := make([]int, len(p.pools))
 	for i := range p.pools {
-		if p.pools[i].need > 0 {
+		if p.pools[i].missing > 0 {
 			order = append(order, i)
 			candidates[i] = p.countCandidates(i)
 		}
@@ -120,8 +122,8 @@
 
 func (p *plan) countCandidates(pool int) int {
 	n := 0
-	p.each(func(g *group) bool {
-		if p.offers(g, pool) {
+	p.eachGroup(func(g *group) bool {
+		if p.canSupply(g, pool) {
 			n += len(g.members)
 		}
 		return true
@@ -129,27 +131,27 @@
 	return n
 }
 
-// offers tells whether a group can give an instance to a pool without another
-// pool coming up short.
-func (p *plan) offers(g *group, pool int) bool {
+// canSupply reports whether a group can give an instance to a pool without
+// making another pool short.
+func (p *plan) canSupply(g *group, pool int) bool {
 	if len(g.members) == 0 || g.home == pool {
 		return false
 	}
-	if g.home != noPool && !g.misplaced && p.pools[g.home].over == 0 {
+	if g.home != noPool && !g.misplaced && p.pools[g.home].surplus == 0 {
 		return false
 	}
 	return p.allows(pool, g.members[0])
 }
 
-func (p *plan) fillDirect(pool, until int) {
+func (p *plan) fillDirect(pool, remaining int) {
 	v := &p.pools[pool]
-	for v.need > until {
+	for v.missing > remaining {
 		repair := v.lost > v.repaired
 		g := p.bestGroup(pool, repair)
 		if g == nil {
 			return
 		}
-		p.take(g, pool, p.fillReason(g, repair))
+		p.moveFromGroup(g, pool, p.fillReason(g, repair))
 		if repair {
 			v.repaired++
 		}
@@ -166,32 +168,33 @@
 	return MovePoolShort
 }
 
-// take gives the group's next instance to a pool that is short.
-func (p *plan) take(g *group, pool int, reason MoveReason) {
+// moveFromGroup plans a move of the group's next instance to a pool that is
+// short.
+func (p *plan) moveFromGroup(g *group, pool int, reason MoveReason) {
 	i := g.members[len(g.members)-1]
 	g.members = g.members[:len(g.members)-1]
 	if g.home != noPool && !g.misplaced {
-		p.pools[g.home].over--
-		p.pools[g.home].good--
+		p.pools[g.home].surplus--
+		p.pools[g.home].eligible--
 	}
-	p.assign(i, pool, reason)
-	p.gain(pool)
+	p.planMove(i, pool, reason)
+	p.countArrival(pool)
 }
 
-// gain counts an instance that a pool gets.
-func (p *plan) gain(pool int) {
-	p.pools[pool].need--
-	p.pools[pool].good++
+// countArrival counts an instance that is planned to join a pool.
+func (p *plan) countArrival(pool int) {
+	p.pools[pool].missing--
+	p.pools[pool].eligible++
 }
 
-// bestGroup chooses where the next instance of a pool comes from.
+// bestGroup chooses the group that supplies the next instance of a pool.
 //
-// A repair takes a spare if there is one: it is free at once, where another
-// pool's surplus must be drained first. Any other need takes surplus first,
-// which has to move anyway, so that one move serves both pools. Among equals
-// the zone and then the rack with the fewest instances of the pool wins, so
-// that the loss of a rack or zone takes as few of a pool as can be; then the
-// place that is most crowded at the source.
+// A repair prefers a spare, which is free at once, whereas another pool's
+// surplus must be drained first. Any other shortage prefers surplus, which has
+// to move anyway, so that one move serves both pools. Among equals the zone and
+// then the rack with the fewest instances of the pool are preferred, so that
+// the loss of a rack or zone hits as few of the pool's instances as possible;
+// then the most crowded rack of the source.
 func (p *plan) bestGroup(pool int, repair bool) *group {
 	order := [sources]int{fromPools, fromSpares}
 	if repair {
@@ -216,7 +219,7 @@
 			continue
 		}
 		kept = append(kept, g)
-		if p.offers(g, pool) && (best == nil || p.compare(g, best, pool) < 0) {
+		if p.canSupply(g, pool) && (best == nil || p.compareGroups(g, best, pool) < 0) {
 			best = g
 		}
 	}
@@ -224,8 +227,9 @@
 	return best
 }
 
-// zonesByCrowding orders zones by the instances that the pool has there; among
-// equals the zone with the most spares comes first, so that these stay spread.
+// zonesByCrowding orders zones by the number of the pool's instances there.
+// Among equals the zone with the most spares comes first, so that the spares
+// stay spread.
 func (p *plan) zonesByCrowding(pool int) []int {
 	zones := make([]int, p.zones)
 	for i := range zones {
@@ -238,7 +242,7 @@
 	return zones
 }
 
-func (p *plan) compare(a, b *group, pool int) int {
+func (p *plan) compareGroups(a, b *group, pool int) int {
 	racks := p.pools[pool].racks
 	return cmp.Or(
 		cmp.Compare(racks[a.rack], racks[b.rack]),
--- a/internal/pools/decide_limit_test.go
+++ b/internal/pools/decide_limit_test.go
@@ -10,9 +10,9 @@
 	"cyclamenwheel/internal/pools"
 )
 
-// A new fleet of 48 instances is all spares. Sixteen at a time, its first
-// roll-out took three rounds of drain and reboot, although no service could
-// have lost anything by filling every pool at once.
+// In a new fleet all 48 instances are spares. Bounded to 16 moves in flight,
+// the first roll-out took three rounds of drain and reboot, although filling
+// all pools at once takes nothing from any service.
 func TestSparesFillPoolsInOneRound(t *testing.T) {
 	g := NewWithT(t)
 	in := pools.Input{Manifest: &manifest.Manifest{Pools: []manifest.Pool{
--- a/internal/pools/decide_order.go
+++ b/internal/pools/decide_order.go
@@ -6,8 +6,8 @@
 	"slices"
 )
 
-// moveOrder is the order in which moves are begun: what restores a service
-// first, what only tidies up last.
+// moveOrder is the order in which moves begin: those that restore a service
+// first, those that only release surplus last.
 var moveOrder = map[MoveReason]int{
 	MoveReplaceLost:     0,
 	MoveBelowBudget:     1,
@@ -18,24 +18,25 @@
 	MoveReleaseToSpare:  6,
 }
 
-// decision turns the plan into moves that may begin now and moves that wait.
+// decision splits the planned moves into those that begin now and those that
+// wait.
 func (p *plan) decision() Decision {
 	d := Decision{Shortfalls: p.shortfalls}
 	limit := cmp.Or(p.in.Limits.MaxMovesInFlight, DefaultMaxMovesInFlight)
-	taken, filling := p.underWay()
-	for _, i := range p.planned() {
+	departing, filling := p.movesInFlight()
+	for _, i := range p.plannedMoves() {
 		m := p.move(i)
-		full := taken >= limit
+		limitReached := departing >= limit
 		if p.home[i] == noPool {
-			full = filling >= fillFactor*limit
+			limitReached = filling >= spareMovesFactor*limit
 		}
-		if reason, wait := p.mustWait(i, m, full); wait {
+		if reason, waits := p.waitReason(i, m, limitReached); waits {
 			d.Waits = append(d.Waits, Wait{Move: m, Reason: reason})
 			continue
 		}
 		if from := p.home[i]; from != noPool {
 			p.pools[from].serving--
-			taken++
+			departing++
 		} else {
 			filling++
 		}
@@ -44,22 +45,22 @@
 	return d
 }
 
-// underWay counts the moves in progress: those that take an instance out of a
-// pool, and those that fill one from the spares.
-func (p *plan) underWay() (taken, filling int) {
+// movesInFlight counts the moves in progress: those out of a pool (departing)
+// and those out of the spares (filling).
+func (p *plan) movesInFlight() (departing, filling int) {
 	for _, inst := range p.instances {
 		switch {
 		case inst.Phase != PhaseMoving:
 		case inst.Pool == "":
 			filling++
 		default:
-			taken++
+			departing++
 		}
 	}
-	return taken, filling
+	return departing, filling
 }
 
-func (p *plan) planned() []int {
+func (p *plan) plannedMoves() []int {
 	var order []int
 	for i := range p.instances {
 		if p.dest[i] != p.home[i] {
@@ -72,12 +73,12 @@
 	return order
 }
 
-// mustWait tells whether a move has to wait. A move out of a pool waits while
-// the pool has no more instances serving than its strictest budget: begun
-// then, it would refuse callers that the operator promised to serve. A repair
-// is exempt from the bound on moves in flight: a zone that is lost needs
-// dozens at once, and each one that waits leaves a pool short.
-func (p *plan) mustWait(i int, m Move, full bool) (WaitReason, bool) {
+// waitReason returns why a move has to wait, and whether it has to. A move out
+// of a pool waits while the pool has no more serving instances than its highest
+// budget: if it began then, callers would be refused in breach of the budget. A
+// repair is exempt from the bound on moves in flight: the loss of a zone needs
+// dozens of repairs at once, and each one that waits leaves a pool short.
+func (p *plan) waitReason(i int, m Move, limitReached bool) (WaitReason, bool) {
 	if p.instances[i].Phase != PhaseServing {
 		return WaitPhase, true
 	}
@@ -87,7 +88,7 @@
 		}
 	}
 	repair := m.Reason == MoveReplaceLost || m.Reason == MoveBelowBudget
-	return WaitInFlight, full && !repair
+	return WaitInFlight, limitReached && !repair
 }
 
 func (p *plan) move(i int) Move {
@@ -96,11 +97,11 @@
 	if to := p.dest[i]; to != noPool {
 		v := &p.pools[to]
 		m.Revision = v.spec.Maintenance.Revision
-		m.Detail = fmt.Sprintf("%s wants %d, had %d, lost %d", v.name, v.want, v.had, v.lost)
+		m.Detail = fmt.Sprintf("%s wants %d, had %d, lost %d", v.name, v.wanted, v.eligibleBefore, v.lost)
 		return m
 	}
 	v := &p.pools[p.home[i]]
-	m.Detail = fmt.Sprintf("%s wants %d, had %d", v.name, v.want, v.had)
+	m.Detail = fmt.Sprintf("%s wants %d, had %d", v.name, v.wanted, v.eligibleBefore)
 	return m
 }
 
--- a/internal/pools/decide_plan.go
+++ b/internal/pools/decide_plan.go
@@ -7,62 +7,62 @@
 	"cyclamenwheel/internal/manifest"
 )
 
-// noPool stands for the spares in the index of pools.
+// noPool is the index of the spares in place of a pool.
 const noPool = -1
 
-// poolView is one pool of the plan. Pools that instances are still in although
-// the manifest no longer names them come after those of the manifest.
-type poolView struct {
+// poolPlan is the state of one pool in a plan. Pools that still have instances
+// but are no longer in the manifest follow those of the manifest.
+type poolPlan struct {
 	name   string
 	spec   *manifest.Pool
 	listed bool
-	want   int
+	wanted int
 	budget int
-	// good counts instances that are in the pool, or on their way to it, and
-	// rightly so; had is the number before this round's plan.
-	good int
-	had  int
-	// lost counts instances of the pool that are down.
+	// eligible counts instances that are in the pool, or moving to it, and that
+	// it may keep; eligibleBefore is the number before this round's plan.
+	eligible       int
+	eligibleBefore int
+	// lost counts the pool's instances that are down.
 	lost int
-	// repaired counts lost instances whose place is planned to be filled.
+	// repaired counts the lost instances for which this plan has a replacement.
 	repaired int
 	serving  int
-	need     int
-	over     int
-	// chainless: the search for a chain has reached the pool in vain.
-	chainless bool
-	// zones and racks count the pool's instances by place, as planned.
+	missing  int
+	surplus  int
+	// chainExhausted: a search for a chain has reached the pool without
+	// success.
+	chainExhausted bool
+	// zones and racks count the pool's instances by zone and rack, as planned.
 	zones []int
 	racks []int
 }
 
-// plan is the working state of one planning round. Instances, pools, zones and
-// racks are numbered, because a round looks at every instance of the fleet
-// many times.
+// plan is the state of one planning round. Instances, pools, zones and racks
+// are numbered because a round visits every instance of the fleet many times.
 type plan struct {
-	in        Input
-	instances []*Instance
-	pools     []poolView
-	poolIndex map[string]int
-	listedIn  map[string]int
-	// listedAt is the pool that lists an instance by id, or noPool.
-	listedAt []int
-	zoneOf   []int
-	rackOf   []int
-	zones    int
-	racks    int
-	// home is the pool an instance ends in if nothing is decided, dest the one
-	// that is planned.
+	in             Input
+	instances      []*Instance
+	pools          []poolPlan
+	poolIndex      map[string]int
+	poolByListedID map[string]int
+	// listingPool is, by instance, the pool that lists its id, or noPool.
+	listingPool []int
+	zoneOf      []int
+	rackOf      []int
+	zones       int
+	racks       int
+	// home is the pool an instance will be in without further moves, dest the
+	// planned one.
 	home []int
 	dest []int
-	// held tells which instances may not be planned again: they are busy,
-	// listed, or planned already.
-	held []bool
+	// fixed marks instances that may not be moved by this plan any more: they
+	// are busy, listed, or already planned.
+	fixed []bool
 	// misplaced marks instances that their home pool may not keep.
 	misplaced  []bool
 	spareZones []int
 	spareRacks []int
-	// groups holds the instances that may be planned, by source and zone.
+	// groups holds the instances that may still be moved, by source and zone.
 	groups     [sources][][]*group
 	reasons    map[int]MoveReason
 	shortfalls []Shortfall
@@ -77,12 +77,12 @@
 	p.classify()
 	for i := range p.pools {
 		v := &p.pools[i]
-		v.had = v.good
+		v.eligibleBefore = v.eligible
 		if v.listed {
-			continue // its instances are named; none is missing or too many
+			continue // its instances are listed by id, so no number is missing or too many
 		}
-		v.need = max(0, v.want-v.good)
-		v.over = max(0, v.good-v.want)
+		v.missing = max(0, v.wanted-v.eligible)
+		v.surplus = max(0, v.eligible-v.wanted)
 	}
 	return p
 }
@@ -92,16 +92,16 @@
 	p.zoneOf = make([]int, len(p.instances))
 	p.rackOf = make([]int, len(p.instances))
 	for i, inst := range p.instances {
-		p.zoneOf[i] = numberOf(zones, inst.Zone)
+		p.zoneOf[i] = assignNumber(zones, inst.Zone)
 		// Racks of two zones may carry the same name.
-		p.rackOf[i] = numberOf(racks, [2]string{inst.Zone, inst.Rack})
+		p.rackOf[i] = assignNumber(racks, [2]string{inst.Zone, inst.Rack})
 	}
 	p.zones, p.racks = len(zones), len(racks)
 	p.spareZones = make([]int, p.zones)
 	p.spareRacks = make([]int, p.racks)
 }
 
-func numberOf[K comparable](numbers map[K]int, key K) int {
+func assignNumber[K comparable](numbers map[K]int, key K) int {
 	n, ok := numbers[key]
 	if !ok {
 		n = len(numbers)
@@ -113,18 +113,18 @@
 func (p *plan) indexPools() {
 	budget := Budget(p.in.Manifest)
 	p.poolIndex = map[string]int{}
-	p.listedIn = map[string]int{}
+	p.poolByListedID = map[string]int{}
 	for i := range p.in.Manifest.Pools {
 		spec := &p.in.Manifest.Pools[i]
 		v := p.addPool(spec.Name)
 		v.spec, v.budget = spec, budget[spec.Name]
-		v.want = spec.Instances.Count + p.in.Extra[spec.Name]
+		v.wanted = spec.Instances.Count + p.in.Extra[spec.Name]
 		if len(spec.Instances.IDs) > 0 {
-			v.listed, v.want = true, 0
+			v.listed, v.wanted = true, 0
 		}
 		for _, id := range spec.Instances.IDs {
-			if _, taken := p.listedIn[id]; !taken {
-				p.listedIn[id] = i
+			if _, taken := p.poolByListedID[id]; !taken {
+				p.poolByListedID[id] = i
 			}
 		}
 	}
@@ -137,9 +137,9 @@
 	}
 }
 
-func (p *plan) addPool(name string) *poolView {
+func (p *plan) addPool(name string) *poolPlan {
 	p.poolIndex[name] = len(p.pools)
-	p.pools = append(p.pools, poolView{
+	p.pools = append(p.pools, poolPlan{
 		name:  name,
 		zones: make([]int, p.zones),
 		racks: make([]int, p.racks),
@@ -147,20 +147,21 @@
 	return &p.pools[len(p.pools)-1]
 }
 
-// classify settles where each instance stands: right, misplaced, busy or lost.
+// classify determines whether each instance is allowed in its pool, misplaced,
+// busy or lost.
 func (p *plan) classify() {
 	n := len(p.instances)
 	p.home, p.dest = make([]int, n), make([]int, n)
-	p.held, p.misplaced = make([]bool, n), make([]bool, n)
-	p.listedAt = make([]int, n)
+	p.fixed, p.misplaced = make([]bool, n), make([]bool, n)
+	p.listingPool = make([]int, n)
 	for i, inst := range p.instances {
-		p.listedAt[i] = noPool
-		if pool, ok := p.listedIn[inst.ID]; ok {
-			p.listedAt[i] = pool
+		p.listingPool[i] = noPool
+		if pool, ok := p.poolByListedID[inst.ID]; ok {
+			p.listingPool[i] = pool
 		}
 		p.home[i] = p.indexOf(homeOf(inst))
 		p.dest[i] = p.home[i]
-		p.held[i] = inst.Phase != PhaseServing
+		p.fixed[i] = inst.Phase != PhaseServing
 		if inst.Phase == PhaseServing && inst.Pool != "" {
 			p.pools[p.indexOf(inst.Pool)].serving++
 		}
@@ -168,20 +169,21 @@
 			p.countLost(inst)
 			continue
 		}
-		p.count(i, p.home[i], 1)
+		p.addToPlaces(i, p.home[i], 1)
 		if p.home[i] == noPool {
 			continue
 		}
 		v := &p.pools[p.home[i]]
 		if p.allows(p.home[i], i) {
-			v.good++
+			v.eligible++
 		} else {
 			p.misplaced[i] = true
 		}
 	}
 }
 
-// homeOf is the pool an instance is in once what it is doing now has ended.
+// homeOf returns the pool an instance will be in once its operation in progress
+// has ended.
 func homeOf(inst *Instance) string {
 	if inst.Phase == PhaseMoving {
 		return inst.Target
@@ -202,8 +204,9 @@
 	return p.poolIndex[pool]
 }
 
-// count adds n to the places of a pool, or of the spares.
-func (p *plan) count(instance, pool, n int) {
+// addToPlaces adds n to the zone and rack counts of a pool, or of the spares,
+// at the instance's place.
+func (p *plan) addToPlaces(instance, pool, n int) {
 	zones, racks := p.spareZones, p.spareRacks
 	if pool != noPool {
 		zones, racks = p.pools[pool].zones, p.pools[pool].racks
@@ -212,9 +215,9 @@
 	racks[p.rackOf[instance]] += n
 }
 
-// allows tells whether the manifest lets a pool hold an instance.
+// allows reports whether the manifest allows an instance in a pool.
 func (p *plan) allows(pool, instance int) bool {
-	if at := p.listedAt[instance]; at != noPool {
+	if at := p.listingPool[instance]; at != noPool {
 		return at == pool
 	}
 	v := &p.pools[pool]
@@ -224,7 +227,8 @@
 	return Allows(v.spec.Instances.Select, p.instances[instance])
 }
 
-// Allows tells whether a selector allows an instance.
+// Allows reports whether a selector allows an instance; a nil selector allows
+// all.
 func Allows(s *manifest.Selector, inst *Instance) bool {
 	if s == nil {
 		return true
@@ -234,21 +238,22 @@
 		(len(s.Racks) == 0 || slices.Contains(s.Racks, inst.Rack))
 }
 
-// assign plans an instance into a pool or, with noPool, into the spares.
-func (p *plan) assign(instance, pool int, reason MoveReason) {
-	p.count(instance, p.dest[instance], -1)
+// planMove plans the move of an instance to a pool or, with noPool, to the
+// spares.
+func (p *plan) planMove(instance, pool int, reason MoveReason) {
+	p.addToPlaces(instance, p.dest[instance], -1)
 	p.dest[instance] = pool
-	p.count(instance, pool, 1)
-	p.held[instance] = true
+	p.addToPlaces(instance, pool, 1)
+	p.fixed[instance] = true
 	p.reasons[instance] = reason
 }
 
-// planListed brings each listed instance to the pool that lists it, whichever
-// pool has it now.
+// planListed moves each listed instance to the pool that lists it, whichever
+// pool it is in.
 func (p *plan) planListed() {
 	present := map[string]bool{}
 	for i, inst := range p.instances {
-		pool := p.listedAt[i]
+		pool := p.listingPool[i]
 		if pool == noPool {
 			continue
 		}
@@ -258,9 +263,9 @@
 			continue
 		}
 		if p.home[i] != pool {
-			p.assign(i, pool, MoveListedElsewhere)
+			p.planMove(i, pool, MoveListedElsewhere)
 		}
-		p.held[i] = true
+		p.fixed[i] = true
 	}
 	for _, pool := range p.in.Manifest.Pools {
 		for _, id := range pool.Instances.IDs {
--- a/internal/pools/decide_property_test.go
+++ b/internal/pools/decide_property_test.go
@@ -13,7 +13,7 @@
 
 var poolNames = []string{"a", "b", "c", "d"}
 
-// drawFleet makes instances in any pool and phase.
+// drawFleet draws instances in any pool and phase.
 func drawFleet(t *rapid.T) []*pools.Instance {
 	all := fleet("w", "", rapid.IntRange(4, 40).Draw(t, "n"), 3)
 	for _, inst := range all {
@@ -33,7 +33,7 @@
 func drawManifest(t *rapid.T) *manifest.Manifest {
 	m := &manifest.Manifest{}
 	for _, name := range poolNames[:3] {
-		p := counted(name, rapid.IntRange(1, 10).Draw(t, "count"))
+		p := poolOfCount(name, rapid.IntRange(1, 10).Draw(t, "count"))
 		switch rapid.IntRange(0, 4).Draw(t, "kind") {
 		case 0:
 			p.Instances.Select = &manifest.Selector{Zones: []string{"z0"}}
@@ -41,8 +41,8 @@
 			p.Instances.Select = &manifest.Selector{Accelerators: 1}
 		}
 		m.Pools = append(m.Pools, p)
-		least := rapid.IntRange(0, p.Instances.Count).Draw(t, "least")
-		m.Services = append(m.Services, service(name, least))
+		minAvailable := rapid.IntRange(0, p.Instances.Count).Draw(t, "least")
+		m.Services = append(m.Services, service(name, minAvailable))
 	}
 	ids := []string{}
 	for i := range rapid.IntRange(0, 3).Draw(t, "listed") {
@@ -54,9 +54,9 @@
 	return m
 }
 
-// begin puts the moves of a decision under way, one by one, and checks the rule
-// that the fold will check at each.
-func begin(t *rapid.T, m *manifest.Manifest, all []*pools.Instance, d pools.Decision) {
+// beginMoves begins the moves of a decision one by one and checks at each the
+// rules that the fold will check.
+func beginMoves(t *rapid.T, m *manifest.Manifest, all []*pools.Instance, d pools.Decision) {
 	budget := pools.Budget(m)
 	byID := map[string]*pools.Instance{}
 	for _, inst := range all {
@@ -65,17 +65,17 @@
 	for _, move := range d.Moves {
 		inst := byID[move.Instance]
 		if inst.Phase != pools.PhaseServing || inst.Pool != move.From || move.From == move.To {
-			t.Fatalf("move of an instance that can't move: %+v", move)
+			t.Fatalf("move of an instance that is not serving in the source pool: %+v", move)
 		}
 		inst.Phase, inst.Target = pools.PhaseMoving, move.To
 		if move.From != "" && pools.Serving(all)[move.From] < budget[move.From] {
-			t.Fatalf("below budget after %+v", move)
+			t.Fatalf("source pool below its budget after %+v", move)
 		}
 	}
 }
 
-// finish ends everything that is under way.
-func finish(all []*pools.Instance) {
+// finishOperations ends all moves and drains.
+func finishOperations(all []*pools.Instance) {
 	for _, inst := range all {
 		if inst.Phase == pools.PhaseMoving {
 			inst.Pool, inst.Target = inst.Target, ""
@@ -86,29 +86,29 @@
 	}
 }
 
-var _ = Describe("Any fleet and any manifest", func() {
-	It("keeps each budget at each step, settles, and then rests", func() {
+var _ = Describe("Decisions for random fleets and manifests", func() {
+	It("keep every budget at every step and end with no moves", func() {
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
 			m, all := drawManifest(t), drawFleet(t)
 			in := pools.Input{Manifest: m, Instances: all, Limits: pools.Limits{MaxMovesInFlight: 4}}
 			for round := 0; ; round++ {
 				d := pools.Decide(in)
-				begin(t, m, all, d)
-				finish(all)
+				beginMoves(t, m, all, d)
+				finishOperations(all)
 				if len(d.Moves) == 0 && round > 0 {
-					if len(d.Waits) > 0 && !stuckForGood(m, all, d) {
-						t.Fatalf("waits with nothing to wait for: %+v", d.Waits)
+					if len(d.Waits) > 0 && !onlyBlockedByBudget(m, all, d) {
+						t.Fatalf("moves wait although nothing blocks them: %+v", d.Waits)
 					}
 					return
 				}
 				if round > 40 {
-					t.Fatalf("still moving: %+v", d.Moves)
+					t.Fatalf("moves continue after 40 rounds: %+v", d.Moves)
 				}
 			}
 		})
 	})
 
-	It("doesn't depend on the order of the instances", func() {
+	It("don't depend on the order of the instances", func() {
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
 			m, all := drawManifest(t), drawFleet(t)
 			want := pools.Decide(pools.Input{Manifest: m, Instances: all})
@@ -123,7 +123,7 @@
 		})
 	})
 
-	It("plans no more moves than the least there can be, where any instance will do", func() {
+	It("need no more moves than the lower bound if there are no selectors", func() {
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
 			m, all := drawManifest(t), drawFleet(t)
 			for i := range m.Pools {
@@ -135,15 +135,15 @@
 			in := pools.Input{Manifest: m, Instances: all, Limits: pools.Limits{MaxMovesInFlight: 1000}}
 			d := pools.Decide(in)
 			if planned := len(d.Moves) + len(d.Waits); planned > pools.LowerBound(in) {
-				t.Fatalf("%d moves, %d would do", planned, pools.LowerBound(in))
+				t.Fatalf("%d moves planned, but the lower bound is %d", planned, pools.LowerBound(in))
 			}
 		})
 	})
 })
 
-// stuckForGood tells whether every wait is for the budget of a pool that can't
-// be filled: then no move can be begun without harm, and that is reported.
-func stuckForGood(m *manifest.Manifest, all []*pools.Instance, d pools.Decision) bool {
+// onlyBlockedByBudget reports whether every move waits for the budget of a pool
+// that can't be filled. Such moves can't begin without breaking the budget.
+func onlyBlockedByBudget(m *manifest.Manifest, all []*pools.Instance, d pools.Decision) bool {
 	budget, serving := pools.Budget(m), pools.Serving(all)
 	for _, w := range d.Waits {
 		if w.Reason != pools.WaitBudget || serving[w.Move.From] > budget[w.Move.From] {
--- a/internal/pools/decide_release.go
+++ b/internal/pools/decide_release.go
@@ -5,69 +5,72 @@
 	"slices"
 )
 
-// shareShortage lets a pool that is below its budget take from one that is
-// above its own, where no free instance is left.
+// shareShortage moves instances from pools above their budget to pools below
+// theirs when no free instance is left.
 //
-// Load: a domain is lost that the spares can't make up for. Harm prevented: one
-// service refuses callers although another has instances beyond what its
-// callers were promised. Limit: a pool gives no more than what it has above its
-// budget, so that the shortage isn't passed on.
+// Load: the loss of a domain that the spares can't replace. Otherwise one
+// service would refuse callers although another has instances beyond its
+// budget. A pool gives only what it has above its budget, so that the shortage
+// isn't passed on.
 func (p *plan) shareShortage() {
-	order := p.needOrder()
-	if !slices.ContainsFunc(order, func(i int) bool { return p.pools[i].good < p.pools[i].budget }) {
+	order := p.shortPoolOrder()
+	if !slices.ContainsFunc(order, func(i int) bool { return p.pools[i].eligible < p.pools[i].budget }) {
 		return
 	}
-	members := p.keptByPool()
+	members := p.movableByPool()
 	for _, pool := range order {
-		for v := &p.pools[pool]; v.need > 0 && v.good < v.budget; {
-			giver, at := p.richest(pool, members)
-			if giver == noPool {
+		for v := &p.pools[pool]; v.missing > 0 && v.eligible < v.budget; {
+			donor, at := p.findDonor(pool, members)
+			if donor == noPool {
 				break
 			}
-			instance := members[giver][at]
-			members[giver] = slices.Delete(members[giver], at, at+1)
-			p.drop(instance)
-			p.pools[giver].good--
-			p.pools[giver].need++
-			p.assign(instance, pool, MoveBelowBudget)
-			p.gain(pool)
+			instance := members[donor][at]
+			members[donor] = slices.Delete(members[donor], at, at+1)
+			p.removeFromGroup(instance)
+			p.pools[donor].eligible--
+			p.pools[donor].missing++
+			p.planMove(instance, pool, MoveBelowBudget)
+			p.countArrival(pool)
 		}
 	}
 }
 
-// keptByPool lists the instances that each pool keeps and that could move.
-func (p *plan) keptByPool() [][]int {
+// movableByPool lists, by pool, the instances that the pool keeps and that may
+// be moved.
+func (p *plan) movableByPool() [][]int {
 	members := make([][]int, len(p.pools))
 	for i, d := range p.dest {
-		if d != noPool && !p.held[i] && !p.misplaced[i] {
+		if d != noPool && !p.fixed[i] && !p.misplaced[i] {
 			members[d] = append(members[d], i)
 		}
 	}
 	return members
 }
 
-// richest finds the pool that is furthest above its budget among those that
-// have an instance that the pool in need may hold.
-func (p *plan) richest(pool int, members [][]int) (giver, at int) {
-	giver, most := noPool, 0
+// findDonor returns the pool that is furthest above its budget among those with
+// an instance that the given pool may hold, and the index of that instance in
+// its members.
+func (p *plan) findDonor(pool int, members [][]int) (donor, at int) {
+	donor, largestExcess := noPool, 0
 	for d := range p.pools {
-		above := p.pools[d].good - p.pools[d].budget
-		if d == pool || above <= most {
+		above := p.pools[d].eligible - p.pools[d].budget
+		if d == pool || above <= largestExcess {
 			continue
 		}
 		i := slices.IndexFunc(members[d], func(i int) bool { return p.allows(pool, i) })
 		if i >= 0 {
-			giver, at, most = d, i, above
+			donor, at, largestExcess = d, i, above
 		}
 	}
-	return giver, at
+	return donor, at
 }
 
-// shortfallReason is called once nothing more can be filled.
+// shortfallReason returns why pools are still short. It is called once no pool
+// can be filled any further.
 func (p *plan) shortfallReason() ShortfallReason {
 	reason := ShortNoInstance
-	p.each(func(g *group) bool {
-		if len(g.members) > 0 && (g.home == noPool || g.misplaced || p.pools[g.home].over > 0) {
+	p.eachGroup(func(g *group) bool {
+		if len(g.members) > 0 && (g.home == noPool || g.misplaced || p.pools[g.home].surplus > 0) {
 			reason = ShortSelector
 			return false
 		}
@@ -76,23 +79,23 @@
 	return reason
 }
 
-// planReleases takes to the spares what no pool is short of: first instances
-// that their pool may not keep, then the surplus from the most crowded racks
-// and zones of the pool.
+// planReleases moves instances that no pool needs to the spares: first those
+// that their pool may not keep, then surplus from the pool's most crowded racks
+// and zones.
 func (p *plan) planReleases() {
-	surplus := make([][]*group, len(p.pools))
-	p.each(func(g *group) bool {
+	surplusGroups := make([][]*group, len(p.pools))
+	p.eachGroup(func(g *group) bool {
 		for g.misplaced && len(g.members) > 0 {
 			p.release(g)
 		}
-		if g.home != noPool && p.pools[g.home].over > 0 {
-			surplus[g.home] = append(surplus[g.home], g)
+		if g.home != noPool && p.pools[g.home].surplus > 0 {
+			surplusGroups[g.home] = append(surplusGroups[g.home], g)
 		}
 		return true
 	})
 	for pool := range p.pools {
-		for v := &p.pools[pool]; v.over > 0; v.over-- {
-			g := p.mostCrowded(pool, surplus[pool])
+		for v := &p.pools[pool]; v.surplus > 0; v.surplus-- {
+			g := p.mostCrowded(pool, surplusGroups[pool])
 			if g == nil {
 				break
 			}
@@ -104,7 +107,7 @@
 func (p *plan) release(g *group) {
 	i := g.members[len(g.members)-1]
 	g.members = g.members[:len(g.members)-1]
-	p.assign(i, noPool, MoveReleaseToSpare)
+	p.planMove(i, noPool, MoveReleaseToSpare)
 }
 
 func (p *plan) mostCrowded(pool int, groups []*group) *group {
--- a/internal/pools/decide_spare.go
+++ b/internal/pools/decide_spare.go
@@ -6,35 +6,34 @@
 	"cyclamenwheel/internal/manifest"
 )
 
-// SpareNeed is how many spares a fleet must hold.
+// SpareNeed is the number of spares that a fleet needs and has.
 type SpareNeed struct {
-	// Needed is how many spares must be outside the worst failure domain.
+	// Needed is the number of spares needed outside the worst failure domain.
 	Needed int `json:"needed"`
-	// Held is how many spares are outside of it now.
+	// Held is the number of spares outside that domain now.
 	Held int `json:"held"`
 	// Worst names that domain: an instance, a rack or a zone.
 	Worst string `json:"worst"`
-	// Wave is the part of Needed that maintenance in progress adds.
+	// Wave is the part of Needed due to maintenance in progress.
 	Wave int `json:"wave"`
 }
 
-// Missing is how many spares the fleet lacks.
+// Missing returns how many spares the fleet lacks.
 func (s SpareNeed) Missing() int { return max(0, s.Needed-s.Held) }
 
-// Spare sizes the spare that all pools share.
+// Spare computes the number of spares needed for all pools together.
 //
 // Load: the loss of one failure domain of the kind that the manifest names,
-// while a maintenance wave is running. Harm prevented: a pool that stays below
-// its budget because nothing is left to move in. The limit: pools don't lose
-// their worst domain at the same time, only one domain goes, so the need is the
-// largest sum over pools for a single domain instead of the sum of each pool's
-// worst; a pool's instances above its budget are counted first. Spares inside
-// the domain that is lost don't count.
+// while a maintenance wave is running. With too few spares a pool stays below
+// its budget because no instance is left to move in. Only one domain is assumed
+// to fail at a time, so the need is the largest sum over all pools for a single
+// domain, not the sum of each pool's worst case. A pool's instances above its
+// budget are counted first, and spares inside the lost domain don't count.
 func Spare(in Input) SpareNeed {
 	t := newSpareTally(in)
 	worst, first := SpareNeed{}, true
 	for _, d := range t.domains {
-		n := t.need(d, in.Manifest.Buffer.WaveParallel)
+		n := t.needAfterLoss(d, in.Manifest.Buffer.WaveParallel)
 		if first || n.Needed-n.Held > worst.Needed-worst.Held ||
 			n.Needed-n.Held == worst.Needed-worst.Held && n.Needed > worst.Needed {
 			worst, first = n, false
@@ -88,23 +87,24 @@
 	return inst.ID
 }
 
-// need is what the loss of one domain asks for while a wave has drained as many
-// instances as it may. A drain needs an instance above the pool's budget. Where
-// the pool has one, it is missed only if the loss takes it as well; where it
-// has none, a spare must have moved in first.
-func (t *spareTally) need(domain string, drained int) SpareNeed {
+// needAfterLoss computes the spares needed after the loss of one domain while a
+// wave has drained as many instances as it may. A drain needs an instance above
+// the pool's budget. If the pool has one, a spare is needed only if the loss
+// takes that instance as well; if it has none, a spare must have moved in
+// before the drain.
+func (t *spareTally) needAfterLoss(domain string, maxDraining int) SpareNeed {
 	n := SpareNeed{Worst: domain, Held: t.live[""] - t.inDomain[domain][""]}
-	missed := 0
+	drainSpares := 0
 	for _, pool := range t.pools {
 		lost := t.inDomain[domain][pool]
-		above := max(0, t.live[pool]-t.budget[pool])
+		aboveBudget := max(0, t.live[pool]-t.budget[pool])
 		n.Needed += max(0, t.budget[pool]-t.live[pool]+lost)
-		if above == 0 {
-			missed++
+		if aboveBudget == 0 {
+			drainSpares++
 		}
-		missed += min(above, lost)
+		drainSpares += min(aboveBudget, lost)
 	}
-	n.Wave = min(drained, missed)
+	n.Wave = min(maxDraining, drainSpares)
 	n.Needed += n.Wave
 	return n
 }
--- a/internal/pools/decide_test.go
+++ b/internal/pools/decide_test.go
@@ -10,8 +10,8 @@
 	"cyclamenwheel/internal/pools"
 )
 
-// fleet makes n instances, four to a rack, racks dealt over the zones, all of
-// them in one pool.
+// fleet returns n instances of one pool, four to a rack, with the racks
+// distributed over the zones.
 func fleet(prefix, pool string, n, zones int) []*pools.Instance {
 	var all []*pools.Instance
 	for i := range n {
@@ -25,16 +25,16 @@
 	return all
 }
 
-func counted(name string, count int) manifest.Pool {
+func poolOfCount(name string, count int) manifest.Pool {
 	return manifest.Pool{Name: name, Instances: manifest.Selection{Count: count}}
 }
 
-func service(pool string, least int) manifest.Service {
-	return manifest.Service{Name: "svc-" + pool, Pool: pool, MinAvailable: least}
+func service(pool string, minAvailable int) manifest.Service {
+	return manifest.Service{Name: "svc-" + pool, Pool: pool, MinAvailable: minAvailable}
 }
 
-// settle carries out all moves of a decision at once.
-func settle(all []*pools.Instance, d pools.Decision) {
+// applyMoves completes all moves of a decision at once.
+func applyMoves(all []*pools.Instance, d pools.Decision) {
 	for _, m := range d.Moves {
 		for _, inst := range all {
 			if inst.ID == m.Instance {
@@ -55,13 +55,13 @@
 }
 
 var _ = Describe("Deciding moves", func() {
-	It("fills pools from the spares, spread over zones and racks, and then rests", func() {
-		m := &manifest.Manifest{Pools: []manifest.Pool{counted("a", 8), counted("b", 4)}}
+	It("fills pools from the spares, spread over zones and racks, and then plans nothing more", func() {
+		m := &manifest.Manifest{Pools: []manifest.Pool{poolOfCount("a", 8), poolOfCount("b", 4)}}
 		all := fleet("w", "", 16, 4)
 		in := pools.Input{Manifest: m, Instances: all}
 		d := pools.Decide(in)
 		Expect(d.Moves).To(HaveLen(pools.LowerBound(in)))
-		settle(all, d)
+		applyMoves(all, d)
 		zones, racks := map[string]int{}, map[string]int{}
 		for _, inst := range all {
 			if inst.Pool == "a" {
@@ -74,8 +74,8 @@
 		Expect(pools.Decide(in)).To(Equal(pools.Decision{}))
 	})
 
-	It("moves surplus straight to the pool that is short", func() {
-		m := &manifest.Manifest{Pools: []manifest.Pool{counted("a", 6), counted("b", 6)}}
+	It("moves surplus directly to the pool that is short", func() {
+		m := &manifest.Manifest{Pools: []manifest.Pool{poolOfCount("a", 6), poolOfCount("b", 6)}}
 		all := append(fleet("a", "a", 8, 4), fleet("b", "b", 4, 4)...)
 		all = append(all, fleet("s", "", 4, 4)...)
 		d := pools.Decide(pools.Input{Manifest: m, Instances: all})
@@ -86,13 +86,14 @@
 		}
 	})
 
-	// An operator lists two instances of a busy pool for another. Taking both at
-	// once would leave the busy pool's service with less than its budget. One
-	// replacement per listed instance comes in first; then the listed ones go.
-	It("steals exactly the listed instances, within the budget of their pool", func() {
+	// An operator lists two instances of a pool at its budget for another pool.
+	// Moving both at once would leave the first pool's service below its
+	// budget. A replacement for each listed instance moves in first; then the
+	// listed ones move.
+	It("moves exactly the listed instances, within the budget of their pool", func() {
 		m := &manifest.Manifest{
 			Pools: []manifest.Pool{
-				counted("a", 8),
+				poolOfCount("a", 8),
 				{Name: "b", Instances: manifest.Selection{IDs: []string{"a000", "a001"}}},
 			},
 			Services: []manifest.Service{service("a", 8)},
@@ -103,20 +104,21 @@
 		Expect(d.Moves).To(HaveLen(2))
 		Expect(d.Waits).To(HaveLen(2))
 		Expect(d.Waits[0].Reason).To(Equal(pools.WaitBudget))
-		settle(all, d)
+		applyMoves(all, d)
 		d = pools.Decide(in)
 		Expect([]string{d.Moves[0].Instance, d.Moves[1].Instance}).To(ConsistOf("a000", "a001"))
-		settle(all, d)
+		applyMoves(all, d)
 		Expect(pools.Decide(in).Moves).To(BeEmpty())
 		Expect(count(all, "a")).To(Equal(8))
 	})
 
-	// A zone goes while the bound on moves is spent and pool a is at its budget.
-	// Callers of a see fewer endpoints until spares are in. The repairs begin in
-	// the same round, because neither bound is there to protect a spare.
-	It("repairs at once from the spares", func() {
+	// Two instances of a pool at its budget are lost while the bound on moves
+	// is one, so its callers see fewer endpoints until spares have moved in.
+	// Both repairs begin in the same round, because neither the budget nor the
+	// bound protects a spare.
+	It("begins all repairs from the spares at once", func() {
 		m := &manifest.Manifest{
-			Pools:    []manifest.Pool{counted("a", 8)},
+			Pools:    []manifest.Pool{poolOfCount("a", 8)},
 			Services: []manifest.Service{service("a", 8)},
 		}
 		all := append(fleet("a", "a", 8, 4), fleet("s", "", 4, 4)...)
@@ -128,17 +130,17 @@
 	})
 
 	It("repairs from the spares even where another pool has surplus", func() {
-		m := &manifest.Manifest{Pools: []manifest.Pool{counted("a", 4), counted("b", 3)}}
+		m := &manifest.Manifest{Pools: []manifest.Pool{poolOfCount("a", 4), poolOfCount("b", 3)}}
 		all := append(fleet("a", "a", 4, 4), fleet("b", "b", 4, 4)...)
 		all = append(all, fleet("s", "", 1, 4)...)
 		all[0].Phase = pools.PhaseDown
 		Expect(pools.Decide(pools.Input{Manifest: m, Instances: all}).Moves[0].Instance).To(Equal("s000"))
 	})
 
-	It("makes room by a chain where a selector allows no spare", func() {
-		bound := counted("b", 2)
-		bound.Instances.Select = &manifest.Selector{Zones: []string{"z0"}}
-		m := &manifest.Manifest{Pools: []manifest.Pool{counted("a", 4), bound}}
+	It("fills a pool by a chain if its selector allows no spare", func() {
+		restricted := poolOfCount("b", 2)
+		restricted.Instances.Select = &manifest.Selector{Zones: []string{"z0"}}
+		m := &manifest.Manifest{Pools: []manifest.Pool{poolOfCount("a", 4), restricted}}
 		all := fleet("a", "a", 4, 1)
 		spares := fleet("s", "", 2, 1)
 		for _, s := range spares {
@@ -149,16 +151,16 @@
 		d := pools.Decide(in)
 		Expect(d.Moves).To(HaveLen(4))
 		Expect(d.Shortfalls).To(BeEmpty())
-		settle(all, d)
+		applyMoves(all, d)
 		Expect(pools.Decide(in)).To(Equal(pools.Decision{}))
 	})
 
-	// A zone is lost and the fleet is too small for every pool's count. Callers of
-	// b would be refused while a still has more than it promised. Instances go
-	// to whoever is below the budget, from the spares and then from a.
+	// After losses the fleet is too small for every pool's count. Callers of b
+	// would be refused while a still has more than its budget. Instances go to
+	// the pool below its budget, from the spares and then from a.
 	It("shares a shortage by budgets, not by counts", func() {
 		m := &manifest.Manifest{
-			Pools:    []manifest.Pool{counted("a", 8), counted("b", 8)},
+			Pools:    []manifest.Pool{poolOfCount("a", 8), poolOfCount("b", 8)},
 			Services: []manifest.Service{service("a", 4), service("b", 7)},
 		}
 		all := append(fleet("a", "a", 7, 4), fleet("b", "b", 4, 4)...)
@@ -166,17 +168,17 @@
 		in := pools.Input{Manifest: m, Instances: all}
 		d := pools.Decide(in)
 		Expect(d.Moves).To(HaveLen(3))
-		settle(all, d)
+		applyMoves(all, d)
 		Expect(count(all, "a")).To(Equal(5))
 		Expect(count(all, "b")).To(Equal(7))
 		Expect(pools.Decide(in).Moves).To(BeEmpty())
 	})
 
-	It("says what it can't fill and why", func() {
-		bound := counted("b", 2)
-		bound.Instances.Select = &manifest.Selector{Accelerators: 1}
+	It("reports which pools it can't fill and why", func() {
+		restricted := poolOfCount("b", 2)
+		restricted.Instances.Select = &manifest.Selector{Accelerators: 1}
 		m := &manifest.Manifest{Pools: []manifest.Pool{
-			counted("a", 3), bound, {Name: "c", Instances: manifest.Selection{IDs: []string{"nowhere"}}},
+			poolOfCount("a", 3), restricted, {Name: "c", Instances: manifest.Selection{IDs: []string{"nowhere"}}},
 		}}
 		d := pools.Decide(pools.Input{Manifest: m, Instances: fleet("s", "", 4, 4)})
 		Expect(d.Shortfalls).To(ConsistOf(
@@ -185,10 +187,10 @@
 	})
 })
 
-var _ = Describe("Sizing the spare", func() {
-	It("counts the worst single domain, not each pool's worst", func() {
+var _ = Describe("Computing the spares needed", func() {
+	It("counts the worst single domain, not the worst one of each pool", func() {
 		m := &manifest.Manifest{
-			Pools:    []manifest.Pool{counted("a", 4), counted("b", 4)},
+			Pools:    []manifest.Pool{poolOfCount("a", 4), poolOfCount("b", 4)},
 			Services: []manifest.Service{service("a", 3), service("b", 3)},
 			Buffer:   manifest.Buffer{Survive: manifest.DomainRack},
 		}
@@ -200,7 +202,7 @@
 		Expect(need.Missing()).To(Equal(1))
 		m.Buffer.WaveParallel = 4
 		need = pools.Spare(pools.Input{Manifest: m, Instances: all})
-		Expect(need.Needed).To(Equal(4), "a drain from what is above the budget, lost with the rack")
+		Expect(need.Needed).To(Equal(4), "the drained instance above the budget needs a spare, as the rack's loss takes it")
 		Expect(need.Wave).To(Equal(1))
 	})
 })
--- a/internal/pools/messages.go
+++ b/internal/pools/messages.go
@@ -4,29 +4,29 @@
 
 // Reasons for rejecting records about instances.
 const (
-	// ReasonUnknownPool marks a move into a pool that the manifest in force
-	// does not have.
+	// ReasonUnknownPool rejects a move to a pool that is not in the manifest in
+	// force.
 	ReasonUnknownPool fold.Reason = "unknown_pool"
-	// ReasonOtherOperation marks a commit that names an operation other than
-	// the one in progress.
+	// ReasonOtherOperation rejects a commit for an operation other than the one
+	// in progress.
 	ReasonOtherOperation fold.Reason = "other_operation"
-	// ReasonOldFacts marks facts taken from an older instance list than ones
-	// already folded: a new planner whose list lags would otherwise undo what
-	// its predecessor saw, such as a boot id after a reboot.
+	// ReasonOldFacts rejects facts from an older instance list than ones
+	// already folded: a new planner with a lagging list would otherwise undo
+	// what its predecessor recorded, such as a boot id after a reboot.
 	ReasonOldFacts fold.Reason = "old_facts"
-	// ReasonNothingToDo marks a batch in which no item took effect.
+	// ReasonNothingToDo rejects a record of which no item has an effect.
 	ReasonNothingToDo fold.Reason = "nothing_to_do"
 )
 
-// Seen reports instances that the platform lists as live: new ones become
-// spares, ones that were down come back. Written by the planner.
+// Seen reports instances that the platform lists as live: new ones are added,
+// normally as spares, and ones that were down return. Written by the planner.
 type Seen struct {
 	// List is the version of the instance list that was read.
 	List  uint64 `cbor:"9,keyasint"`
 	Facts []Fact `cbor:"1,keyasint"`
 }
 
-// Fact is what the platform's list says of one live instance.
+// Fact is the platform's description of one live instance.
 type Fact struct {
 	ID           string  `cbor:"1,keyasint"`
 	BootID       string  `cbor:"2,keyasint"`
@@ -38,16 +38,17 @@
 	Accelerators int     `cbor:"8,keyasint"`
 	Slots        int     `cbor:"9,keyasint"`
 	Connections  int     `cbor:"10,keyasint"`
-	// Operation is the last operation that the platform completed on it.
+	// Operation is the id of the last operation that the platform completed on
+	// the instance.
 	Operation string `cbor:"11,keyasint,omitempty"`
-	// Pool is where the platform has it. It counts only for an instance that
-	// the fold does not know yet: after a log lost for good, instances are
-	// adopted where they are rather than moved.
+	// Pool is the instance's pool according to the platform. It is used only
+	// for an instance that is not in the folded state: after the permanent loss
+	// of a log, instances are adopted in their pools rather than moved.
 	Pool string `cbor:"12,keyasint,omitempty"`
 }
 
-// Down reports instances that the platform no longer lists as live though no
-// operation of ours is the cause. Written by the planner.
+// Down reports instances that the platform no longer lists as live, other than
+// by an operation of the planner. Written by the planner.
 type Down struct {
 	// List is the version of the instance list that was read.
 	List      uint64   `cbor:"9,keyasint"`
@@ -55,29 +56,30 @@
 	Why       string   `cbor:"2,keyasint"`
 }
 
-// Forget drops instances that are down and gone from the platform's list.
+// Forget removes instances that are down and no longer on the platform's list.
 type Forget struct {
 	// List is the version of the instance list that was read.
 	List      uint64   `cbor:"9,keyasint"`
 	Instances []string `cbor:"1,keyasint"`
 }
 
-// Begin starts moves and drains. Every item is judged by itself; the record is
-// accepted if any item is.
+// Begin starts moves and drains. Each item is accepted or rejected on its own;
+// the record is accepted if any item is.
 type Begin struct {
 	Items []BeginItem `cbor:"1,keyasint"`
 }
 
-// BeginItem starts one instance's move (To differs from its pool) or drain for
-// maintenance (To equals its pool).
+// BeginItem starts one instance's move (To differs from its pool) or its drain
+// for maintenance (To equals its pool).
 type BeginItem struct {
 	Instance string `cbor:"1,keyasint"`
-	// From guards against a plan made on an older state.
+	// From is the instance's pool in the plan. The item is rejected if the
+	// instance has changed pool since.
 	From string `cbor:"2,keyasint"`
 	To   string `cbor:"3,keyasint"`
-	// Operation is the id under which the platform will be asked.
+	// Operation is the id under which the platform is asked to act.
 	Operation string `cbor:"4,keyasint"`
-	// Revision is the maintenance revision to install on the way.
+	// Revision is the maintenance revision to install during the operation.
 	Revision int    `cbor:"5,keyasint"`
 	Why      string `cbor:"6,keyasint"`
 }
@@ -89,7 +91,8 @@
 	Items []CommitItem `cbor:"1,keyasint"`
 }
 
-// CommitItem ends one operation; BootID and Addr are those after the reboot.
+// CommitItem ends one operation; BootID and Addr are the values after the
+// reboot.
 type CommitItem struct {
 	Instance  string `cbor:"1,keyasint"`
 	Operation string `cbor:"2,keyasint"`
--- a/internal/pools/state.go
+++ b/internal/pools/state.go
@@ -1,10 +1,13 @@
-// Package pools owns which pool an instance belongs to and whether it serves.
-// Every change of an instance goes through one small state machine in the
-// fold, so that an instance is in exactly one pool at every offset and no
-// drain or move takes a service below its availability budget.
+// Package pools decides which pool each instance belongs to, keeps the state of
+// all instances and computes how many spares the fleet needs. Decide and Spare
+// work on the manifest and the instances; State folds the resulting records
+// through one state machine, so that an instance is in exactly one pool at
+// every offset and no drain or move takes a service below its availability
+// budget. The planner calls Decide and Spare in its rounds, and package
+// fleetlog applies the records to State.
 package pools
 
-// Phase is where an instance stands in its state machine.
+// Phase is the state of an instance in its state machine.
 //
 //	Serving --Begin--> Moving   --Commit--> Serving (in the new pool)
 //	Serving --Begin--> Draining --Commit--> Serving (same pool)
@@ -15,16 +18,17 @@
 // Phases of an instance.
 const (
 	PhaseServing Phase = iota + 1
-	// PhaseMoving: leaves From, gets no new work, still belongs to From.
+	// PhaseMoving: moving to Target. The instance gets no new work and still
+	// belongs to Pool.
 	PhaseMoving
-	// PhaseDraining: under maintenance, gets no new work.
+	// PhaseDraining: draining for maintenance. The instance gets no new work.
 	PhaseDraining
-	// PhaseDown: the platform lost it. It keeps its pool until it is assigned
-	// anew or forgotten.
+	// PhaseDown: lost by the platform. The instance keeps its pool until an
+	// operation assigns it another or it is forgotten.
 	PhaseDown
 )
 
-// Instance is what the fold knows of one instance of a worker.
+// Instance is the folded state of one worker instance.
 type Instance struct {
 	ID           string  `cbor:"1,keyasint" json:"id"`
 	BootID       string  `cbor:"2,keyasint" json:"boot_id"`
@@ -36,26 +40,26 @@
 	Accelerators int     `cbor:"8,keyasint" json:"accelerators"`
 	Slots        int     `cbor:"9,keyasint" json:"slots"`
 	Connections  int     `cbor:"10,keyasint" json:"connections"`
-	// Pool is the one pool it belongs to; empty for a spare.
+	// Pool is the instance's pool; empty for a spare.
 	Pool  string `cbor:"11,keyasint" json:"pool"`
 	Phase Phase  `cbor:"12,keyasint" json:"phase"`
-	// Target is the pool a move leads to, while PhaseMoving.
+	// Target is the target pool of the move or drain in progress.
 	Target string `cbor:"13,keyasint,omitempty" json:"target,omitempty"`
 	// Operation is the id of the move or drain in progress; the platform's
-	// operation carries the same id.
+	// operation has the same id.
 	Operation string `cbor:"14,keyasint,omitempty" json:"operation,omitempty"`
-	// Since is the offset of the record that began the present phase. Entries
-	// acknowledge it before the platform is asked to act.
+	// Since is the offset of the record that began the present phase. The
+	// entries acknowledge it before the platform is asked to act.
 	Since uint64 `cbor:"15,keyasint" json:"since"`
-	// Revision is the maintenance revision it has, TargetRevision the one that
-	// the operation in progress installs.
+	// Revision is the installed maintenance revision, TargetRevision the one
+	// that the operation in progress installs.
 	Revision       int `cbor:"16,keyasint" json:"revision"`
 	TargetRevision int `cbor:"18,keyasint,omitempty" json:"target_revision,omitempty"`
-	// Why is the reason given by the planner for the last change.
+	// Why is the planner's reason for the last change.
 	Why string `cbor:"17,keyasint,omitempty" json:"why,omitempty"`
 }
 
-// String returns the phase's name for people and dumps.
+// String returns the name of the phase, as used in dumps.
 func (p Phase) String() string {
 	switch p {
 	case PhaseServing:
@@ -70,17 +74,17 @@
 	return "unknown"
 }
 
-// MarshalText makes dumps readable.
+// MarshalText encodes a phase by its name in dumps.
 func (p Phase) MarshalText() ([]byte, error) { return []byte(p.String()), nil }
 
-// State is the folded instances.
+// State is the folded state of all instances.
 type State struct {
 	Instances map[string]*Instance `cbor:"1,keyasint" json:"instances"`
-	// Version is the offset of the newest change; readers rebuild what they
-	// derive from the instances only when it moves.
+	// Version is the offset of the latest change; readers rebuild data derived
+	// from the instances only when it changes.
 	Version uint64 `cbor:"2,keyasint" json:"version"`
-	// List is the newest version of the instance list that facts were taken
-	// from.
+	// List is the latest version of the instance list from which facts were
+	// folded.
 	List uint64 `cbor:"3,keyasint" json:"list_version"`
 
 	// available counts serving instances per pool. It is derived, and kept so
