--- a/internal/planner/facts.go
+++ b/internal/planner/facts.go
@@ -9,8 +9,8 @@
 	"cyclamenwheel/internal/pools"
 )
 
-// Facts is the difference between what the platform lists and what the fold
-// knows, as records to write.
+// Facts is the difference between the platform's list and the folded state, as
+// records to write.
 type Facts struct {
 	Seen   []pools.Fact
 	Down   map[string][]string // cause to instances
@@ -18,49 +18,52 @@
 	Leaves []membership.Leave
 }
 
-// Causes of a loss.
+// Causes of the loss of an instance.
 const (
 	CauseGone    = "platform_gone"
 	CauseLeaving = "platform_leaving"
 	CauseRestart = "platform_rebooting"
 )
 
-// absentGrace is how long a member must have been silent before its absence
-// from the list counts as gone. A member that joined a moment ago is missing
-// from a lagging list; one that is both absent and silent for longer than any
-// lag the platform shows has gone.
-const absentGrace = 30 * time.Second
+// absenceGracePeriod is how long a member must not have reported before its
+// absence from the list means that it is gone. A member that joined a moment
+// ago is missing from a lagging list; one that is absent and has not reported
+// for longer than the platform's lag is gone.
+const absenceGracePeriod = 30 * time.Second
 
-// Observed tells how long ago each member was heard; a large value for never.
+// Observed returns the time since a member's last report; a large value if
+// there is none.
 type Observed func(member string) time.Duration
 
-// Compare finds what the fold does not know yet. It is given the whole list.
-func Compare(st *fleetlog.State, list platform.InstanceList, heard Observed) Facts {
+// Compare returns the facts in the platform's complete list that are not in the
+// folded state.
+func Compare(st *fleetlog.State, list platform.InstanceList, sinceLastReport Observed) Facts {
 	f := Facts{Down: make(map[string][]string)}
 	rows := make(map[string]*platform.Instance, len(list.Instances))
 	for i := range list.Instances {
 		row := &list.Instances[i]
 		rows[row.ID] = row
-		if row.Kind == platform.KindWorker && row.State == platform.StateLive && isNews(st.Pools.Instances[row.ID], row) {
+		if row.Kind == platform.KindWorker && row.State == platform.StateLive && hasNewFacts(st.Pools.Instances[row.ID], row) {
 			f.Seen = append(f.Seen, factOf(row))
 		}
 	}
 	for id, in := range st.Pools.Instances {
 		row := rows[id]
-		if cause := lostBy(in, row); cause != "" {
+		if cause := lossCause(in, row); cause != "" {
 			f.Down[cause] = append(f.Down[cause], id)
 		}
 		if in.Phase == pools.PhaseDown && (row == nil || row.State == platform.StateGone) {
 			f.Forget = append(f.Forget, id)
 		}
 	}
-	f.Leaves = gone(st, rows, heard)
+	f.Leaves = departedMembers(st, rows, sinceLastReport)
 	return f
 }
 
-// isNews reports whether a live row tells something new. While an operation is
-// in progress the instance reboots by our own wish, and its commit tells.
-func isNews(in *pools.Instance, row *platform.Instance) bool {
+// hasNewFacts reports whether a live row differs from the folded instance in a
+// way to record. While an operation is in progress, the reboot is expected and
+// recorded by the operation's commit.
+func hasNewFacts(in *pools.Instance, row *platform.Instance) bool {
 	switch {
 	case in == nil:
 		return true
@@ -72,9 +75,9 @@
 	return false
 }
 
-// lostBy names why an instance no longer serves; empty if it does, or if its
-// absence is our own doing.
-func lostBy(in *pools.Instance, row *platform.Instance) string {
+// lossCause returns why an instance no longer serves; empty if it does, or if
+// an operation of the planner is the reason.
+func lossCause(in *pools.Instance, row *platform.Instance) string {
 	if in.Phase == pools.PhaseDown {
 		return ""
 	}
@@ -93,11 +96,11 @@
 	return ""
 }
 
-func gone(st *fleetlog.State, rows map[string]*platform.Instance, heard Observed) []membership.Leave {
+func departedMembers(st *fleetlog.State, rows map[string]*platform.Instance, sinceLastReport Observed) []membership.Leave {
 	var out []membership.Leave
 	for id, m := range st.Members.Members {
 		row := rows[m.Instance]
-		absent := row == nil && heard(id) > absentGrace
+		absent := row == nil && sinceLastReport(id) > absenceGracePeriod
 		if absent || (row != nil && row.State == platform.StateGone) {
 			out = append(out, membership.Leave{ID: id, BootID: m.BootID, Why: CauseGone})
 		}
--- a/internal/planner/facts_test.go
+++ b/internal/planner/facts_test.go
@@ -23,7 +23,7 @@
 	return platform.InstanceList{Version: 1, Instances: rows}
 }
 
-func silentFor(d time.Duration) planner.Observed {
+func lastReportAgo(d time.Duration) planner.Observed {
 	return func(string) time.Duration { return d }
 }
 
@@ -42,18 +42,18 @@
 		down   string
 		forget int
 	}{
-		"nothing new":                        {serving, []platform.Instance{worker(platform.StateLive, "b1")}, 0, "", 0},
-		"restarted unseen":                   {serving, []platform.Instance{worker(platform.StateLive, "b2")}, 1, "", 0},
-		"leaving by the platform's own wish": {serving, []platform.Instance{worker(platform.StateLeaving, "b1")}, 0, planner.CauseLeaving, 0},
-		"rebooting by our wish":              {moving, []platform.Instance{worker(platform.StateRebooting, "b1")}, 0, "", 0},
-		"back from our reboot":               {moving, []platform.Instance{worker(platform.StateLive, "b2")}, 0, "", 0},
-		"gone in the middle of a move":       {moving, nil, 0, planner.CauseGone, 0},
-		"back":                               {down, []platform.Instance{worker(platform.StateLive, "b2")}, 1, "", 0},
-		"gone for good":                      {down, nil, 0, "", 1},
+		"nothing new":                          {serving, []platform.Instance{worker(platform.StateLive, "b1")}, 0, "", 0},
+		"restarted without a listed reboot":    {serving, []platform.Instance{worker(platform.StateLive, "b2")}, 1, "", 0},
+		"leaving on the platform's initiative": {serving, []platform.Instance{worker(platform.StateLeaving, "b1")}, 0, planner.CauseLeaving, 0},
+		"rebooting for the move":               {moving, []platform.Instance{worker(platform.StateRebooting, "b1")}, 0, "", 0},
+		"back from the move's reboot":          {moving, []platform.Instance{worker(platform.StateLive, "b2")}, 0, "", 0},
+		"gone during a move":                   {moving, nil, 0, planner.CauseGone, 0},
+		"back":                                 {down, []platform.Instance{worker(platform.StateLive, "b2")}, 1, "", 0},
+		"gone while down":                      {down, nil, 0, "", 1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
-			f := planner.Compare(stateWith(c.in), listWith(c.rows...), silentFor(0))
+			f := planner.Compare(stateWith(c.in), listWith(c.rows...), lastReportAgo(0))
 			g.Expect(f.Seen).To(HaveLen(c.seen))
 			g.Expect(f.Forget).To(HaveLen(c.forget))
 			if c.down == "" {
@@ -65,20 +65,21 @@
 	}
 }
 
-// An entry is missing from the list: either it joined a moment ago and the list
-// lags, or it has gone. Only silence for longer than any lag tells.
+// An entry is missing from the list because either it joined a moment ago and
+// the list lags, or it is gone. It counts as gone only after a time without
+// reports that exceeds any lag.
 func TestCompareWaitsForALaggingList(t *testing.T) {
 	g := NewWithT(t)
 	st := fleetlog.NewState()
 	st.Members.Members = map[string]membership.Member{"e1": {ID: "e1", BootID: "b1", Instance: "i1"}}
-	g.Expect(planner.Compare(st, listWith(), silentFor(time.Second)).Leaves).To(BeEmpty())
-	g.Expect(planner.Compare(st, listWith(), silentFor(time.Minute)).Leaves).To(HaveLen(1))
+	g.Expect(planner.Compare(st, listWith(), lastReportAgo(time.Second)).Leaves).To(BeEmpty())
+	g.Expect(planner.Compare(st, listWith(), lastReportAgo(time.Minute)).Leaves).To(HaveLen(1))
 	gone := platform.Instance{ID: "i1", Kind: platform.KindEntry, State: platform.StateGone}
-	g.Expect(planner.Compare(st, listWith(gone), silentFor(0)).Leaves).To(HaveLen(1))
+	g.Expect(planner.Compare(st, listWith(gone), lastReportAgo(0)).Leaves).To(HaveLen(1))
 }
 
-// A planner takes over in the middle of a move. From the fold, the list and
-// the acknowledgements alone it finds the step that comes next.
+// A planner that takes over during a move determines the next step from the
+// folded state, the list and the acknowledgements alone.
 func TestOperateFindsTheNextStep(t *testing.T) {
 	g := NewWithT(t)
 	st := stateWith(pools.Instance{
--- a/internal/planner/fence.go
+++ b/internal/planner/fence.go
@@ -7,39 +7,40 @@
 	"cyclamenwheel/internal/membership"
 )
 
-// fenceSilent asks the platform to stop an entry instance that holds a
-// handover up: silent for FenceAfter, yet still listed. It may be frozen and
-// wake at any time, so nothing may pass over it; once stopped it shows as gone
-// and leaves the members.
+// fenceUnresponsive asks the platform to stop entry instances that block
+// progress: without a report for longer than FenceAfter, yet still listed. Such
+// an entry may be frozen and resume at any time, so its acknowledgement can't
+// be skipped; once it is stopped, the platform lists it as gone and it leaves
+// the members.
 //
-// Two limits keep a planner that is itself cut off from stopping the fleet: it
-// must hold the lease (hence reach the log), and only a minority of the
-// entries may be silent to it.
-func (p *Planner) fenceSilent(now time.Duration) {
+// Two limits prevent a planner that is itself partitioned from stopping the
+// fleet: it must hold the lease (and therefore reach the log), and only a
+// minority of the entries may be unresponsive to it.
+func (p *Planner) fenceUnresponsive(now time.Duration) {
 	if p.opts.FenceAfter <= 0 {
 		return
 	}
 	entries := p.node.State().Members.WithRole(membership.RoleEntry)
-	var silent []membership.Member
+	var unresponsive []membership.Member
 	for _, m := range entries {
-		if p.silence(m.ID) > p.opts.FenceAfter {
-			silent = append(silent, m)
+		if p.sinceLastReport(m.ID) > p.opts.FenceAfter {
+			unresponsive = append(unresponsive, m)
 		}
 	}
-	if 2*len(silent) >= len(entries) {
+	if 2*len(unresponsive) >= len(entries) {
 		return
 	}
-	for _, m := range silent {
-		if p.holdsUp(m) {
+	for _, m := range unresponsive {
+		if p.blocksProgress(m) {
 			p.fence(m, now)
 		}
 	}
 }
 
-// holdsUp reports whether others wait for the member: an operation, or the
-// entries' division of slots, which changes only once all have acknowledged a
-// change of the members.
-func (p *Planner) holdsUp(m membership.Member) bool {
+// blocksProgress reports whether anything waits for the member: an operation,
+// or the division of slots among the entries, which changes only once all have
+// acknowledged a change of the members.
+func (p *Planner) blocksProgress(m membership.Member) bool {
 	for _, pr := range p.progress {
 		for _, w := range pr.Waiting {
 			if w.Member == m.ID {
@@ -53,17 +54,17 @@
 
 func (p *Planner) fence(m membership.Member, now time.Duration) {
 	op := "fence-" + m.BootID
-	if at, ok := p.asked[op]; ok && now-at < askAgainAfter {
+	if at, ok := p.requestedAt[op]; ok && now-at < requestRetryInterval {
 		return
 	}
 	if p.contender.Holds(p.node.Now()) == 0 {
 		return
 	}
-	p.asked[op] = now
-	p.log.Warn("fencing a silent entry", "peer", m.ID, "instance", m.Instance)
+	p.requestedAt[op] = now
+	p.log.Warn("fencing an unresponsive entry", "peer", m.ID, "instance", m.Instance)
 	p.background(func(ctx context.Context) {
 		if err := p.opts.Platform.Fence(ctx, m.Instance, op); err != nil {
-			p.log.Warn("fence not taken", "instance", m.Instance, "error", err.Error())
+			p.log.Warn("fence request failed", "instance", m.Instance, "error", err.Error())
 		}
 	})
 }
--- a/internal/planner/lease.go
+++ b/internal/planner/lease.go
@@ -8,8 +8,8 @@
 	"cyclamenwheel/internal/planlease"
 )
 
-// contend claims or renews the lease.
-func (p *Planner) contend(now time.Duration) {
+// claimOrRenewLease claims or renews the lease if that is due.
+func (p *Planner) claimOrRenewLease(now time.Duration) {
 	if !p.node.Joined() {
 		return
 	}
@@ -19,21 +19,22 @@
 	case planlease.ActClaim:
 		p.contender.AppendStarted(now)
 		p.node.SubmitAsync(p.opts.Timing.TTL, fleetlog.KindLeaseClaim, 0,
-			planlease.Claim{Follows: lease.Epoch, Renewed: lease.Renewed, Holder: self.ID, BootID: self.BootID}, p.leaseSettled)
+			planlease.Claim{Follows: lease.Epoch, Renewed: lease.Renewed, Holder: self.ID, BootID: self.BootID}, p.leaseAppendDone)
 	case planlease.ActRenew:
 		p.contender.AppendStarted(now)
 		p.node.SubmitAsync(p.opts.Timing.TTL, fleetlog.KindLeaseRenew, lease.Epoch,
-			planlease.Renew{Epoch: lease.Epoch, Holder: self.ID, BootID: self.BootID}, p.leaseSettled)
+			planlease.Renew{Epoch: lease.Epoch, Holder: self.ID, BootID: self.BootID}, p.leaseAppendDone)
 	}
 }
 
-func (p *Planner) leaseSettled(v fold.Verdict, err error) {
+func (p *Planner) leaseAppendDone(v fold.Verdict, err error) {
 	p.contender.AppendFinished(err == nil && v.Accepted)
 	p.contender.Observe(p.node.State().Lease, p.node.Now())
-	p.dirty = true
+	p.roundNeeded = true
 }
 
-// rank orders challengers by id, so that one of them claims first.
+// rank returns the number of members with a smaller id. Challengers wait
+// longer the higher their rank, so that usually one of them claims first.
 func (p *Planner) rank() int {
 	rank := 0
 	for id := range p.node.State().Members.Members {
--- a/internal/planner/metrics.go
+++ b/internal/planner/metrics.go
@@ -8,8 +8,8 @@
 	"cyclamenwheel/internal/fleetlog"
 )
 
-// countDecisions counts what a planning round has begun and what it could not,
-// by reason. Gauges of pools are set anew in each round.
+// countDecisions counts by reason the moves and drains that a planning round
+// begins and sets the gauges of the spares and of each pool.
 func (p *Planner) countDecisions(st *fleetlog.State) {
 	for _, m := range p.moves.Moves {
 		metrics.GetOrCreateCounter(fmt.Sprintf(`cyclamen_moves_decided_total{reason=%q}`, m.Reason)).Inc()
@@ -23,38 +23,39 @@
 	for _, s := range p.moves.Shortfalls {
 		missing[s.Pool] += s.Missing
 	}
-	held := make(map[string]int)
+	halted := make(map[string]int)
 	for _, h := range p.waves.Halts {
-		held[h.Pool] = 1
+		halted[h.Pool] = 1
 	}
 	for _, pool := range st.Manifest.Current().Pools {
-		set("cyclamen_pool_serving", pool.Name, st.Pools.Available(pool.Name))
-		set("cyclamen_pool_wanted", pool.Name, pool.Instances.Size())
-		set("cyclamen_pool_budget", pool.Name, st.Manifest.MinAvailable(pool.Name))
-		set("cyclamen_pool_missing", pool.Name, missing[pool.Name])
-		set("cyclamen_wave_held", pool.Name, held[pool.Name])
+		setPoolGauge("cyclamen_pool_serving", pool.Name, st.Pools.Available(pool.Name))
+		setPoolGauge("cyclamen_pool_wanted", pool.Name, pool.Instances.Size())
+		setPoolGauge("cyclamen_pool_budget", pool.Name, st.Manifest.MinAvailable(pool.Name))
+		setPoolGauge("cyclamen_pool_missing", pool.Name, missing[pool.Name])
+		setPoolGauge("cyclamen_wave_held", pool.Name, halted[pool.Name])
 	}
 }
 
-func set(name, pool string, v int) {
+func setPoolGauge(name, pool string, v int) {
 	metrics.GetOrCreateFloatCounter(fmt.Sprintf(`%s{pool=%q}`, name, pool)).Set(float64(v))
 }
 
-// countTasks counts placement decisions by reason.
+// countTasks counts placement decisions by reason and sets the gauges of
+// waiting tasks, jobs set aside and quarantined workers.
 func (t *taskRunner) countTasks() {
-	for _, pl := range t.last.Places {
+	for _, pl := range t.lastOutput.Places {
 		metrics.GetOrCreateCounter(fmt.Sprintf(`cyclamen_tasks_placed_total{reason=%q}`, pl.Reason)).Inc()
 	}
-	for _, s := range t.last.Stops {
+	for _, s := range t.lastOutput.Stops {
 		metrics.GetOrCreateCounter(fmt.Sprintf(`cyclamen_tasks_stopped_total{reason=%q}`, s.Reason)).Inc()
 	}
 	waiting := make(map[string]int)
-	for _, w := range t.last.Waiting {
+	for _, w := range t.lastOutput.Waiting {
 		waiting[string(w.Reason)] += w.Tasks
 	}
 	for reason, n := range waiting {
 		metrics.GetOrCreateFloatCounter(fmt.Sprintf(`cyclamen_tasks_waiting{reason=%q}`, reason)).Set(float64(n))
 	}
-	metrics.GetOrCreateFloatCounter(`cyclamen_jobs_set_aside`).Set(float64(len(t.last.SetAside)))
-	metrics.GetOrCreateFloatCounter(`cyclamen_workers_quarantined`).Set(float64(len(t.last.Quarantine)))
+	metrics.GetOrCreateFloatCounter(`cyclamen_jobs_set_aside`).Set(float64(len(t.lastOutput.SetAside)))
+	metrics.GetOrCreateFloatCounter(`cyclamen_workers_quarantined`).Set(float64(len(t.lastOutput.Quarantine)))
 }
--- a/internal/planner/operate.go
+++ b/internal/planner/operate.go
@@ -10,30 +10,31 @@
 	"cyclamenwheel/internal/pools"
 )
 
-// Progress tells where an operation stands and what it waits for.
+// Progress is the state of an operation and what it waits for.
 type Progress struct {
 	Instance  string               `json:"instance"`
 	Operation string               `json:"operation"`
 	Phase     string               `json:"phase"`
 	Target    string               `json:"target"`
 	Waiting   []membership.Waiting `json:"waiting,omitempty"`
-	// Asked is set once every entry has let go: the platform is asked.
+	// Asked is set once every entry has released the instance, so that the
+	// platform may be asked to act.
 	Asked bool `json:"asked"`
 }
 
-// Steps is what the planner should do for the operations in progress.
+// Steps are the next actions for the operations in progress.
 type Steps struct {
-	// Reboot holds operations that the platform may be asked for: every entry
-	// has let go of the instance. Asking again is harmless.
+	// Reboot holds the operations to request from the platform: every entry has
+	// released the instance. Repeating a request is harmless.
 	Reboot []platform.Operation
-	// Commit holds operations that the platform has completed.
+	// Commit holds the operations that the platform has completed.
 	Commit []pools.CommitItem
-	// Progress describes all of them, for status and explain.
+	// Progress describes all operations, for status and explain.
 	Progress []Progress
 }
 
-// Operate looks at every move and drain in the fold. It keeps no memory: a
-// planner that takes over in the middle finds the same steps.
+// Operate returns the next steps of every move and drain in the folded state.
+// It keeps no state of its own: a planner that takes over finds the same steps.
 func Operate(st *fleetlog.State, list platform.InstanceList, acks map[string]membership.Ack) Steps {
 	rows := make(map[string]*platform.Instance, len(list.Instances))
 	for i := range list.Instances {
@@ -60,8 +61,8 @@
 		s.Progress = append(s.Progress, p)
 		return
 	}
-	// A spare serves nobody, so there is nothing for entries to let go of; the
-	// barrier is asked all the same, since it may have left a pool a moment
+	// A spare serves nobody, so entries have nothing to release. The barrier is
+	// checked all the same, since the instance may have left a pool a moment
 	// before by a record that some entry has not folded.
 	p.Waiting = st.Members.Barrier(acks, in.ID, in.Since)
 	if len(p.Waiting) == 0 {
--- a/internal/planner/release.go
+++ b/internal/planner/release.go
@@ -7,8 +7,9 @@
 	"cyclamenwheel/internal/planlease"
 )
 
-// Release gives the lease up if this process holds it, so that a successor
-// starts at once rather than after the TTL. Called when the process stops.
+// Release releases the lease if this process holds it, so that a successor
+// starts at once rather than after the TTL. It is called when the process
+// stops.
 func (p *Planner) Release(ctx context.Context) error {
 	var epoch uint64
 	p.node.Do(func() {
