--- a/internal/placement/fold.go
+++ b/internal/placement/fold.go
@@ -53,8 +53,8 @@
 	State platform.TaskState `cbor:"2,keyasint"`
 }
 
-// Held is a task in the folded state.
-type Held struct {
+// PlacedTask is a task in the folded state.
+type PlacedTask struct {
 	Placed
 	PlacedMillis int64 `cbor:"9,keyasint"`
 	Stopping     bool  `cbor:"10,keyasint,omitempty"`
@@ -62,8 +62,8 @@
 
 // State is the folded state of all tasks.
 type State struct {
-	Tasks   map[string]Held `cbor:"1,keyasint" json:"tasks"`
-	History History         `cbor:"2,keyasint" json:"history"`
+	Tasks   map[string]PlacedTask `cbor:"1,keyasint" json:"tasks"`
+	History History               `cbor:"2,keyasint" json:"history"`
 	// Version is the offset of the latest change.
 	Version uint64 `cbor:"3,keyasint" json:"version"`
 
@@ -131,9 +131,9 @@
 		return fold.Reject(ReasonIndexTaken, by)
 	}
 	if s.Tasks == nil {
-		s.Tasks = make(map[string]Held)
+		s.Tasks = make(map[string]PlacedTask)
 	}
-	s.Tasks[p.ID] = Held{Placed: p, PlacedMillis: m.TimeMillis}
+	s.Tasks[p.ID] = PlacedTask{Placed: p, PlacedMillis: m.TimeMillis}
 	s.taskBySlot[key] = p.ID
 	return fold.Accept()
 }
--- a/internal/planner/tasks.go
+++ b/internal/planner/tasks.go
@@ -201,7 +201,7 @@
 	return nil
 }
 
-func taskOf(id string, task placement.Held, job manifest.Job) platform.Task {
+func taskOf(id string, task placement.PlacedTask, job manifest.Job) platform.Task {
 	return platform.Task{
 		ID: id, Job: task.Job, Instance: task.Instance, Cores: task.Cores, MemoryMB: task.MemoryMB,
 		Accelerators: task.Accelerators, LeaseMillis: taskLease.Milliseconds(), DurationMillis: job.DurationMillis,
