--- a/internal/placement/round.go
+++ b/internal/placement/round.go
@@ -142,7 +142,7 @@
 }
 
 func (r *round) bookTask(t *Task) {
-	if Ended(t.State) {
+	if IsFinal(t.State) {
 		return
 	}
 	reason := r.stopReason(t)
--- a/internal/placement/state.go
+++ b/internal/placement/state.go
@@ -28,8 +28,8 @@
 	Stopping bool `json:"stopping"`
 }
 
-// Ended reports whether a state is final.
-func Ended(s platform.TaskState) bool {
+// IsFinal reports whether a state is final.
+func IsFinal(s platform.TaskState) bool {
 	switch s {
 	case platform.TaskDone, platform.TaskFailed, platform.TaskStopped,
 		platform.TaskLapsed, platform.TaskRejected:
--- a/internal/planner/tasks.go
+++ b/internal/planner/tasks.go
@@ -88,7 +88,7 @@
 			continue
 		}
 		t.reported[r.ID] = r.State
-		if placement.Ended(r.State) {
+		if placement.IsFinal(r.State) {
 			t.ended = append(t.ended, placement.End{ID: r.ID, State: r.State})
 			t.estimator.End(task.Job, r.ID)
 			continue
@@ -172,7 +172,7 @@
 		case !reported && now-t.requestedAt[id] >= startRetryInterval:
 			t.requestedAt[id] = now
 			start = append(start, taskOf(id, task, jobs[task.Job].Job))
-		case reported && !placement.Ended(state):
+		case reported && !placement.IsFinal(state):
 			renew = append(renew, id)
 		}
 	}
