--- a/internal/explain/subjects.go
+++ b/internal/explain/subjects.go
@@ -197,7 +197,7 @@
 	switch r {
 	case placement.ReasonFitsNoWorker:
 		return "a smaller task, or a pool with larger workers"
-	case placement.ReasonQuotaNever, placement.ReasonTeamQuota:
+	case placement.ReasonAboveTeamQuota, placement.ReasonTeamQuota:
 		return "a larger team quota, or fewer tasks of the team"
 	case placement.ReasonFailsEverywhere:
 		return "a mended job: publish it changed"
--- a/internal/placement/decide.go
+++ b/internal/placement/decide.go
@@ -71,8 +71,8 @@
 	ReasonDuplicate Reason = "duplicate_index"
 	// ReasonFitsNoWorker: no worker of the pool is large enough.
 	ReasonFitsNoWorker Reason = "fits_no_worker"
-	// ReasonQuotaNever: a single task already exceeds its team's quota.
-	ReasonQuotaNever Reason = "above_team_quota"
+	// ReasonAboveTeamQuota: a single task already exceeds its team's quota.
+	ReasonAboveTeamQuota Reason = "above_team_quota"
 	// ReasonFailsEverywhere: the job failed on several healthy workers.
 	ReasonFailsEverywhere Reason = "fails_everywhere"
 	// ReasonWorkerFailsAll: several distinct jobs failed on the worker and none
--- a/internal/placement/decide_test.go
+++ b/internal/placement/decide_test.go
@@ -169,7 +169,7 @@
 		out := b.round()
 		Expect(out.Places).To(HaveLen(3))
 		Expect(out.Waiting).To(ConsistOf(placement.Waiting{Pool: "a", Job: "j", Tasks: 7, Reason: placement.ReasonTeamQuota}))
-		Expect(out.SetAside).To(ConsistOf(placement.SetAside{Pool: "a", Job: "k", Reason: placement.ReasonQuotaNever}))
+		Expect(out.SetAside).To(ConsistOf(placement.SetAside{Pool: "a", Job: "k", Reason: placement.ReasonAboveTeamQuota}))
 	})
 
 	// A worker drains. Its task is being stopped but still runs for a while. If
--- a/internal/placement/failures.go
+++ b/internal/placement/failures.go
@@ -30,7 +30,7 @@
 
 func (r *round) setAsideReason(j *jobState) Reason {
 	if t := r.teams[j.spec.Team]; t != nil && !(&teamUsage{quota: t.quota}).allows(j.size) {
-		return ReasonQuotaNever
+		return ReasonAboveTeamQuota
 	}
 	if len(j.pool.capacities) > 0 && !j.pool.fitsEmptyWorker(j.size) {
 		return ReasonFitsNoWorker
