--- a/internal/placement/decide.go
+++ b/internal/placement/decide.go
@@ -90,8 +90,8 @@
 	// ReasonDisplacing: the urgent task waits until stopped tasks have ended
 	// and freed their capacity.
 	ReasonDisplacing Reason = "displacing"
-	// ReasonEnding: the task's predecessor has not ended yet.
-	ReasonEnding Reason = "predecessor_ending"
+	// ReasonPredecessorEnding: the task's predecessor has not ended yet.
+	ReasonPredecessorEnding Reason = "predecessor_ending"
 	// ReasonRoundFull: this round has reached Limits.MaxPlaces.
 	ReasonRoundFull Reason = "round_full"
 )
--- a/internal/placement/decide_test.go
+++ b/internal/placement/decide_test.go
@@ -181,7 +181,7 @@
 		b.in.Tasks[0].Stopping = true
 		out := b.round()
 		Expect(out.Places).To(BeEmpty())
-		Expect(out.Waiting).To(ConsistOf(placement.Waiting{Pool: "a", Job: "j", Tasks: 1, Reason: placement.ReasonEnding}))
+		Expect(out.Waiting).To(ConsistOf(placement.Waiting{Pool: "a", Job: "j", Tasks: 1, Reason: placement.ReasonPredecessorEnding}))
 		b.in.Tasks = nil
 		Expect(b.round().Places).To(HaveLen(1))
 	})
--- a/internal/placement/round.go
+++ b/internal/placement/round.go
@@ -206,7 +206,7 @@
 			}
 		}
 		if j.ending > 0 {
-			r.addWaiting(j, j.ending, ReasonEnding)
+			r.addWaiting(j, j.ending, ReasonPredecessorEnding)
 		}
 		if len(j.missing) > 0 {
 			queue = append(queue, j)
