--- a/internal/planner/facts_test.go
+++ b/internal/planner/facts_test.go
@@ -89,15 +89,15 @@
 	acks := map[string]membership.Ack{"e1": {BootID: "b1", Offset: 9}}
 	live := worker(platform.StateLive, "b1")
 
-	waiting := planner.Operate(st, listWith(live), acks)
+	waiting := planner.NextSteps(st, listWith(live), acks)
 	g.Expect(waiting.Reboot).To(BeEmpty())
 	g.Expect(waiting.Progress[0].Waiting).To(HaveLen(1))
 
 	acks["e1"] = membership.Ack{BootID: "b1", Offset: 10}
-	asked := planner.Operate(st, listWith(live), acks)
+	asked := planner.NextSteps(st, listWith(live), acks)
 	g.Expect(asked.Reboot).To(Equal([]platform.Operation{{ID: "op", Instance: "w", Pool: "b", Revision: 2}}))
 
 	live.Operation, live.BootID, live.Addr = "op", "b2", "127.0.0.1:1"
-	done := planner.Operate(st, listWith(live), acks)
+	done := planner.NextSteps(st, listWith(live), acks)
 	g.Expect(done.Commit).To(Equal([]pools.CommitItem{{Instance: "w", Operation: "op", BootID: "b2", Addr: "127.0.0.1:1"}}))
 }
--- a/internal/planner/operate.go
+++ b/internal/planner/operate.go
@@ -33,9 +33,9 @@
 	Progress []Progress
 }
 
-// Operate returns the next steps of every move and drain in the folded state.
+// NextSteps returns the next steps of every move and drain in the folded state.
 // It keeps no state of its own: a planner that takes over finds the same steps.
-func Operate(st *fleetlog.State, list platform.InstanceList, acks map[string]membership.Ack) Steps {
+func NextSteps(st *fleetlog.State, list platform.InstanceList, acks map[string]membership.Ack) Steps {
 	rows := make(map[string]*platform.Instance, len(list.Instances))
 	for i := range list.Instances {
 		rows[list.Instances[i].ID] = &list.Instances[i]
--- a/internal/planner/planner.go
+++ b/internal/planner/planner.go
@@ -180,7 +180,7 @@
 	if p.submitFacts(Compare(st, list, p.sinceLastReport), list.Version) {
 		return
 	}
-	steps := Operate(st, list, p.node.Acks())
+	steps := NextSteps(st, list, p.node.Acks())
 	p.progress = steps.Progress
 	p.submitCommits(steps.Commit, list.Version)
 	for _, op := range steps.Reboot {
