--- a/internal/planner/facts.go
+++ b/internal/planner/facts.go
@@ -31,13 +31,13 @@
 // for longer than the platform's lag is gone.
 const absenceGracePeriod = 30 * time.Second
 
-// Observed returns the time since a member's last report; a large value if
+// ReportAgeFunc returns the time since a member's last report; a large value if
 // there is none.
-type Observed func(member string) time.Duration
+type ReportAgeFunc func(member string) time.Duration
 
 // Compare returns the facts in the platform's complete list that are not in the
 // folded state.
-func Compare(st *fleetlog.State, list platform.InstanceList, sinceLastReport Observed) Facts {
+func Compare(st *fleetlog.State, list platform.InstanceList, sinceLastReport ReportAgeFunc) Facts {
 	f := Facts{Down: make(map[string][]string)}
 	rows := make(map[string]*platform.Instance, len(list.Instances))
 	for i := range list.Instances {
@@ -96,7 +96,7 @@
 	return ""
 }
 
-func departedMembers(st *fleetlog.State, rows map[string]*platform.Instance, sinceLastReport Observed) []membership.Leave {
+func departedMembers(st *fleetlog.State, rows map[string]*platform.Instance, sinceLastReport ReportAgeFunc) []membership.Leave {
 	var out []membership.Leave
 	for id, m := range st.Members.Members {
 		row := rows[m.Instance]
--- a/internal/planner/facts_test.go
+++ b/internal/planner/facts_test.go
@@ -23,7 +23,7 @@
 	return platform.InstanceList{Version: 1, Instances: rows}
 }
 
-func lastReportAgo(d time.Duration) planner.Observed {
+func lastReportAgo(d time.Duration) planner.ReportAgeFunc {
 	return func(string) time.Duration { return d }
 }
 
