--- a/internal/measure/fleet/buffer.go
+++ b/internal/measure/fleet/buffer.go
@@ -53,7 +53,7 @@
 		m.Buffer.Survive = domain
 		w := newWorld(d, m)
 		w.settle()
-		need := pools.Shared{}.Spare(w.poolsInput())
+		need := pools.SharedSpares{}.Spare(w.poolsInput())
 		shared += need.Needed
 		perPool += pools.PerPool{}.Spare(w.poolsInput()).Needed
 		w.lose(inDomain(domain, need.Worst))
--- a/internal/measure/fleet/moves.go
+++ b/internal/measure/fleet/moves.go
@@ -21,7 +21,7 @@
 	r.line("|---|---|---|---|---|---|---|")
 	for _, d := range both {
 		for _, selectors := range []bool{false, true} {
-			moveLine(r, d, selectors, "shared", pools.Shared{})
+			moveLine(r, d, selectors, "shared", pools.SharedSpares{})
 			moveLine(r, d, selectors, "from scratch", pools.PerPool{})
 		}
 	}
--- a/internal/measure/fleet/world.go
+++ b/internal/measure/fleet/world.go
@@ -38,7 +38,7 @@
 func newWorld(d deployment, m *manifest.Manifest) *world {
 	w := &world{
 		instances: d.instances(), byID: map[string]*pools.Instance{}, m: m,
-		planner: pools.Shared{}, waves: maintenance.Waves{}, backAt: map[string]int{},
+		planner: pools.SharedSpares{}, waves: maintenance.Waves{}, backAt: map[string]int{},
 	}
 	for _, inst := range w.instances {
 		w.byID[inst.ID] = inst
--- a/internal/pools/decide.go
+++ b/internal/pools/decide.go
@@ -129,15 +129,15 @@
 	Spare(in Input) SpareNeed
 }
 
-// Shared keeps one set of spares for all pools and moves as few instances as it
+// SharedSpares keeps one set of spares for all pools and moves as few instances as it
 // can.
-type Shared struct{}
+type SharedSpares struct{}
 
 // Decide implements Planner.
-func (Shared) Decide(in Input) Decision { return Decide(in) }
+func (SharedSpares) Decide(in Input) Decision { return Decide(in) }
 
 // Spare implements Planner.
-func (Shared) Spare(in Input) SpareNeed { return Spare(in) }
+func (SharedSpares) Spare(in Input) SpareNeed { return Spare(in) }
 
 // Decide plans the moves that bring the fleet to the state in the manifest.
 //
