--- a/internal/measure/fleet/buffer.go
+++ b/internal/measure/fleet/buffer.go
@@ -55,7 +55,7 @@
 		w.settle()
 		need := pools.SharedSpares{}.Spare(w.poolsInput())
 		shared += need.Needed
-		perPool += pools.PerPool{}.Spare(w.poolsInput()).Needed
+		perPool += pools.PerPoolSpares{}.Spare(w.poolsInput()).Needed
 		w.lose(inDomain(domain, need.Worst))
 		w.settle()
 		if w.short() == 0 {
--- a/internal/measure/fleet/moves.go
+++ b/internal/measure/fleet/moves.go
@@ -22,7 +22,7 @@
 	for _, d := range both {
 		for _, selectors := range []bool{false, true} {
 			moveLine(r, d, selectors, "shared", pools.SharedSpares{})
-			moveLine(r, d, selectors, "from scratch", pools.PerPool{})
+			moveLine(r, d, selectors, "from scratch", pools.PerPoolSpares{})
 		}
 	}
 	r.line("")
--- a/internal/pools/decide_baseline.go
+++ b/internal/pools/decide_baseline.go
@@ -1,13 +1,13 @@
 package pools
 
-// PerPool is the baseline that Shared is compared with: it plans from scratch
+// PerPoolSpares is the baseline that Shared is compared with: it plans from scratch
 // in every round and holds separate spares for each pool.
-type PerPool struct{}
+type PerPoolSpares struct{}
 
 // Decide implements Planner. Pools are filled in the order of the manifest with
 // instances in the order of their ids, whichever pool those are in. Budgets and
 // the bound on moves in flight apply as in Shared.
-func (PerPool) Decide(in Input) Decision {
+func (PerPoolSpares) Decide(in Input) Decision {
 	p := newPlan(in)
 	p.planListed()
 	for pool := range p.in.Manifest.Pools {
@@ -52,7 +52,7 @@
 
 // Spare implements Planner. Each pool holds what it needs to survive the loss
 // of its own worst domain, and at least one.
-func (PerPool) Spare(in Input) SpareNeed {
+func (PerPoolSpares) Spare(in Input) SpareNeed {
 	t := newSpareTally(in)
 	n := SpareNeed{Held: t.live[""], Worst: "each pool's own"}
 	for _, pool := range t.pools {
