--- a/internal/planner/facts_test.go
+++ b/internal/planner/facts_test.go
@@ -80,7 +80,7 @@
 
 // A planner that takes over during a move determines the next step from the
 // folded state, the list and the acknowledgements alone.
-func TestOperateFindsTheNextStep(t *testing.T) {
+func TestNextStepsAfterTakeover(t *testing.T) {
 	g := NewWithT(t)
 	st := stateWith(pools.Instance{
 		ID: "w", Pool: "a", Phase: pools.PhaseMoving, Target: "b", Operation: "op", Since: 10, TargetRevision: 2,
--- a/internal/pools/decide.go
+++ b/internal/pools/decide.go
@@ -123,7 +123,7 @@
 }
 
 // Planner decides moves and the number of spares needed. Production uses
-// Shared; PerPool is a baseline for measurements.
+// SharedSpares; PerPoolSpares is a baseline for measurements.
 type Planner interface {
 	Decide(in Input) Decision
 	Spare(in Input) SpareNeed
--- a/internal/pools/decide_baseline.go
+++ b/internal/pools/decide_baseline.go
@@ -1,12 +1,12 @@
 package pools
 
-// PerPoolSpares is the baseline that Shared is compared with: it plans from scratch
-// in every round and holds separate spares for each pool.
+// PerPoolSpares is the baseline that SharedSpares is compared with: it plans
+// from scratch in every round and holds separate spares for each pool.
 type PerPoolSpares struct{}
 
 // Decide implements Planner. Pools are filled in the order of the manifest with
 // instances in the order of their ids, whichever pool those are in. Budgets and
-// the bound on moves in flight apply as in Shared.
+// the bound on moves in flight apply as for SharedSpares.
 func (PerPoolSpares) Decide(in Input) Decision {
 	p := newPlan(in)
 	p.planListed()
