--- a/internal/placement/decide.go
+++ b/internal/placement/decide.go
@@ -182,8 +182,8 @@
 // doesn't.
 //
 // Load: tens of thousands of tasks on thousands of workers, where a few tasks
-// fit no worker; cancellations of whole jobs; workers on which every task
-// fails; urgent tasks that arrive when the pool is full.
+// can run on no worker; cancellations of whole jobs; workers on which every
+// task fails; urgent tasks that arrive when the pool is full.
 //
 // It prevents that urgent tasks wait behind normal ones, that a faulty worker
 // consumes a queue because it fails fast and is always free, that a broken job
