--- a/internal/quota/allowance.go
+++ b/internal/quota/allowance.go
@@ -7,89 +7,92 @@
 	"cyclamenwheel/internal/accounts"
 )
 
-// Allowance is what one pool's owner may start for each account.
+// Allowance decides what the owner of one pool may start for each account.
 type Allowance struct {
 	directory *accounts.Directory
-	uses      map[string]*use
+	usage     map[string]*accountUsage
 }
 
-// use is an account's part of one pool.
-type use struct {
+// accountUsage is an account's usage, grant and limit in one pool.
+type accountUsage struct {
 	amount Amount
 	grant  Grant
-	// limit is the account's by the newest configuration that has it, once known.
-	limit accounts.Limit
-	known bool
+	// limit is taken from the newest configuration that has the account; it is valid only
+	// if limitKnown is set.
+	limit      accounts.Limit
+	limitKnown bool
 }
 
-// NewAllowance returns an allowance that lets no account start anything until it knows
-// its share.
-func NewAllowance() *Allowance { return &Allowance{uses: map[string]*use{}} }
+// NewAllowance returns an Allowance that admits no starts of an account until it has
+// received the account's grant.
+func NewAllowance() *Allowance { return &Allowance{usage: map[string]*accountUsage{}} }
 
-func (a *Allowance) use(account string) *use {
-	u := a.uses[account]
+func (a *Allowance) usageOf(account string) *accountUsage {
+	u := a.usage[account]
 	if u == nil {
-		u = &use{}
-		u.learn(a.directory, account)
-		a.uses[account] = u
+		u = &accountUsage{}
+		u.updateLimit(a.directory, account)
+		a.usage[account] = u
 	}
 	return u
 }
 
-// learn takes in the account's limit. An account that is no longer published keeps its
-// last one: its jobs go on.
-func (u *use) learn(d *accounts.Directory, account string) {
+// updateLimit copies the account's limit from the directory. An account that is no longer
+// published keeps its last limit, because its jobs continue.
+func (u *accountUsage) updateLimit(d *accounts.Directory, account string) {
 	if published, ok := d.Account(account); ok {
-		u.limit, u.known = published.Limit, true
+		u.limit, u.limitKnown = published.Limit, true
 	}
 }
 
-// SetDirectory takes in a new configuration's accounts.
+// SetDirectory replaces the published accounts with those of a new configuration.
 func (a *Allowance) SetDirectory(d *accounts.Directory) {
 	a.directory = d
-	for account, u := range a.uses {
-		u.learn(d, account)
+	for account, u := range a.usage {
+		u.updateLimit(d, account)
 	}
 }
 
-// Grant takes in shares. One that is older than what is known changes nothing.
+// Grant applies recorded shares. A grant that is not newer than the applied one is ignored.
 func (a *Allowance) Grant(grants []Grant) {
 	for _, g := range grants {
-		if u := a.use(g.Account); g.Rev > u.grant.Rev {
+		if u := a.usageOf(g.Account); g.Rev > u.grant.Rev {
 			u.grant = g
 		}
 	}
 }
 
-// Take counts an amount that may run from now on, and Give one that surely does no more.
+// Take adds an amount to the account's usage, before it may start to run.
 func (a *Allowance) Take(account string, amount Amount) {
 	if account != "" {
-		u := a.use(account)
+		u := a.usageOf(account)
 		u.amount = u.amount.Plus(amount)
 	}
 }
 
-// Give is the inverse of Take.
+// Give subtracts an amount from the account's usage, once it is certain that it no longer
+// runs.
 func (a *Allowance) Give(account string, amount Amount) {
 	if account != "" {
-		u := a.use(account)
+		u := a.usageOf(account)
 		u.amount = u.amount.Minus(amount)
 	}
 }
 
-// paused reports whether starts wait until all shares are checked for a lower limit.
-func (u *use) paused() bool {
-	return u.grant.Rev > 0 && u.known && !u.limit.AtLeast(u.grant.Ceiling)
+// paused reports whether starts are blocked until all shares have been verified against a
+// lowered limit.
+func (u *accountUsage) paused() bool {
+	return u.grant.Rev > 0 && u.limitKnown && !u.limit.AtLeast(u.grant.Ceiling)
 }
 
-// Fits reports whether an account may start tasks that take amount in all. One task may
-// exceed the limit where nothing else of its account runs: with less than that, it
-// would never run after the limit was lowered.
+// Fits reports whether an account may start a number of tasks that take amount in total. A
+// single task may exceed the limit if nothing else of its account runs and the pool has the
+// whole limit; otherwise it could never run after the limit was lowered.
 func (a *Allowance) Fits(account string, amount Amount, tasks int) bool {
 	if account == "" {
 		return true
 	}
-	u := a.use(account)
+	u := a.usageOf(account)
 	switch {
 	case u.grant.Rev == 0 || u.paused():
 		return false
@@ -101,43 +104,44 @@
 	return u.amount.Plus(amount).within(u.grant.Limit, u.grant.Share)
 }
 
-// CPU is how much of an account's processor limit the pool has, in milli-cores. It is not
-// bounded where the account has none.
+// CPU returns the pool's part of the account's CPU limit, in millicores. bounded is false if
+// the account has no CPU limit or no grant in this pool.
 func (a *Allowance) CPU(account string) (milli int, bounded bool) {
-	u := a.uses[account]
+	u := a.usage[account]
 	if account == "" || u == nil || u.grant.Rev == 0 || u.grant.Limit.CPUMilli == 0 {
 		return 0, false
 	}
 	return int(int64(u.grant.Limit.CPUMilli) * int64(u.grant.Share) / int64(Whole)), true
 }
 
-// CanEverFit reports whether an amount is within the account's whole limit.
+// CanEverFit reports whether an amount is within the account's published limit. It is true
+// while the limit is unknown.
 func (a *Allowance) CanEverFit(account string, amount Amount) bool {
 	if account == "" {
 		return true
 	}
-	u := a.use(account)
-	return !u.known || amount.within(u.limit, Whole)
+	u := a.usageOf(account)
+	return !u.limitKnown || amount.within(u.limit, Whole)
 }
 
-// Reports returns what the holder of the shares is told: of the accounts it asks about
-// and of all that have or want something here. wants is what could start at once.
+// Reports returns the reports for the holder of the shares, on the accounts that it asked
+// about and on all that run or wait in this pool. wants is what is ready to start.
 func (a *Allowance) Reports(asked []Grant, wants map[string]Waiting) []Report {
-	about := map[string]bool{}
+	reported := map[string]bool{}
 	for _, g := range asked {
-		about[g.Account] = true
+		reported[g.Account] = true
 	}
 	for account := range wants {
-		about[account] = true
+		reported[account] = true
 	}
-	for account, u := range a.uses {
+	for account, u := range a.usage {
 		if u.amount != (Amount{}) {
-			about[account] = true
+			reported[account] = true
 		}
 	}
 	var out []Report
-	for account := range about {
-		u := a.use(account)
+	for account := range reported {
+		u := a.usageOf(account)
 		out = append(out, Report{Account: account, Rev: u.grant.Rev, Used: u.amount,
 			Want: u.amount.Plus(wants[account].Sum), Least: u.amount.Plus(wants[account].Least)})
 	}
@@ -145,21 +149,21 @@
 	return out
 }
 
-// State is an account's part of a pool, for people.
+// State describes an account's usage and share in one pool, for dumps.
 type State struct {
 	Account string         `json:"account"`
 	Used    Amount         `json:"used"`
 	Limit   accounts.Limit `json:"limit"`
-	// SharePercent is this pool's part of the limit.
+	// SharePercent is this pool's share of the limit.
 	SharePercent float64 `json:"share_percent"`
 	Rev          int64   `json:"rev"`
 	Paused       bool    `json:"paused,omitempty"`
 }
 
-// States returns the accounts that have used the pool, in order.
+// States returns the state of every account that is tracked in this pool, sorted by name.
 func (a *Allowance) States() []State {
 	var out []State
-	for account, u := range a.uses {
+	for account, u := range a.usage {
 		out = append(out, State{Account: account, Used: u.amount, Limit: u.grant.Limit, Rev: u.grant.Rev, Paused: u.paused(),
 			SharePercent: float64(u.grant.Share) * 100 / float64(Whole)})
 	}
--- a/internal/quota/ledger.go
+++ b/internal/quota/ledger.go
@@ -10,364 +10,376 @@
 )
 
 const (
-	// viewFresh is how long a pool's demand counts.
-	viewFresh = 2 * time.Second
-	// leastStep is the least share that is moved for a pool whose demand it does not meet:
-	// each step costs a record.
-	leastStep = Whole / 50
-	// keepRaised is how long a share that was raised is left to its pool, which hears of it
-	// and starts something meanwhile.
-	keepRaised = 500 * time.Millisecond
-	// mostEarly is how many accounts have their entries opened before their first jobs.
-	mostEarly = 1000
-	// evenly is the part of what nobody wants that all pools share alike. The rest goes
-	// by demand, where the next jobs are likely.
-	evenly = 0.5
+	// reportFreshness is how long a reported demand is used after its arrival.
+	reportFreshness = 2 * time.Second
+	// minShareStep is the smallest change of a share unless it meets the pool's demand in
+	// full, because each change costs a durable record.
+	minShareStep = Whole / 50
+	// raisedShareHold is how long a pool keeps a share that was just raised, to give it time
+	// to receive the grant and start tasks.
+	raisedShareHold = 500 * time.Millisecond
+	// maxPreopenedAccounts is the number of published accounts up to which shares are created
+	// before the accounts' first jobs.
+	maxPreopenedAccounts = 1000
+	// evenSplitFraction is the fraction of the unrequested share that is split evenly between
+	// pools. The rest is split by demand, because the next jobs are likely to arrive there.
+	evenSplitFraction = 0.5
 )
 
-// part is a pool's part of an account's limit.
-type part struct {
+// poolShare is a pool's share of an account's limit.
+type poolShare struct {
 	Share Share `cbor:"1,keyasint,omitempty"`
-	// Held is the most that any owner of the pool may have running.
-	Held Share `cbor:"2,keyasint,omitempty"`
+	// Reserved is the largest share that any owner of the pool may still be using. It stays
+	// above Share until the owner has confirmed a lowered share.
+	Reserved Share `cbor:"2,keyasint,omitempty"`
 }
 
-// entry are the shares of one account.
-type entry struct {
-	Rev   int64           `cbor:"1,keyasint"`
-	Limit accounts.Limit  `cbor:"2,keyasint,omitempty"`
-	Parts map[string]part `cbor:"3,keyasint"`
-	// Ceiling is the highest limit that any owner may go by.
+// accountShares holds the shares of one account. The encoded fields are its record.
+type accountShares struct {
+	Rev   int64                `cbor:"1,keyasint"`
+	Limit accounts.Limit       `cbor:"2,keyasint,omitempty"`
+	Pools map[string]poolShare `cbor:"3,keyasint"`
+	// Ceiling is the highest limit that any pool owner may currently apply.
 	Ceiling accounts.Limit `cbor:"4,keyasint,omitempty"`
-	// Checking: the limit was lowered, and the shares are to be checked against what all
-	// pools use.
+	// Checking is set after the limit was lowered, until the shares have been verified
+	// against the usage of all pools.
 	Checking bool `cbor:"5,keyasint,omitempty"`
 
-	// recorded is when the newest record was known to be durable; dirty: it is not yet.
-	recorded time.Duration
-	dirty    bool
-	views    map[string]view
-	// short is since when pools have waited with less than it takes to start anything.
-	short map[string]time.Duration
-	// raised is when their shares were last raised.
-	raised map[string]time.Duration
+	// recordedAt is when the newest record was confirmed durable; dirty is set until then.
+	recordedAt  time.Duration
+	dirty       bool
+	lastReports map[string]poolReport
+	// shortSince is the time since which a pool has had tasks waiting and too small a share
+	// to start any of them.
+	shortSince map[string]time.Duration
+	// raisedAt is when a pool's share was last raised.
+	raisedAt map[string]time.Duration
 }
 
-func newEntry() *entry {
-	return &entry{views: map[string]view{}, short: map[string]time.Duration{}, raised: map[string]time.Duration{}}
+func newAccountShares() *accountShares {
+	return &accountShares{lastReports: map[string]poolReport{}, shortSince: map[string]time.Duration{}, raisedAt: map[string]time.Duration{}}
 }
 
-// view is what a pool's owner said last.
-type view struct {
-	at, proven time.Duration
-	report     Report
+// poolReport is the last report from a pool's owner: when it arrived, and the latest time at
+// which its sender was proven to be the newest owner.
+type poolReport struct {
+	receivedAt, provenAt time.Duration
+	report               Report
 }
 
-// Ledger moves the shares of accounts between pools. It has one holder at a time, whose
-// records are fenced.
+// Ledger moves accounts' shares between pools. Only one process holds it at a time; the
+// records of an earlier holder are fenced.
 type Ledger struct {
 	directory *accounts.Directory
 	pools     []string
-	entries   map[string]*entry
+	byAccount map[string]*accountShares
 }
 
-// NewLedger returns a ledger that knows nothing.
-func NewLedger() *Ledger { return &Ledger{entries: map[string]*entry{}} }
+// NewLedger returns an empty ledger.
+func NewLedger() *Ledger { return &Ledger{byAccount: map[string]*accountShares{}} }
 
-// Observe takes in a pool's reports. At the time proven their owner was the newest of its
-// pool. Accounts that it leaves out have nothing there: taken for what was said of them last,
-// what they used would be kept for them for ever.
+// Observe applies the reports of a pool's owner, which at the time proven was the newest
+// owner of the pool. An account that the reports omit uses nothing in the pool: if its last
+// report stayed in force, the share that it used would stay reserved forever.
 func (l *Ledger) Observe(now, proven time.Duration, pool string, reports []Report) {
-	told := map[string]bool{}
+	reported := map[string]bool{}
 	for _, r := range reports {
-		told[r.Account] = true
-		e := l.entries[r.Account]
+		reported[r.Account] = true
+		e := l.byAccount[r.Account]
 		if e == nil {
-			e = l.open(r.Account)
+			e = l.openAccount(r.Account)
 		}
 		if e != nil {
-			e.observe(pool, view{at: now, proven: proven, report: r})
+			e.observe(pool, poolReport{receivedAt: now, provenAt: proven, report: r})
 		}
 	}
-	for account, e := range l.entries {
-		if last, heard := e.views[pool]; heard && !told[account] {
-			e.observe(pool, view{at: now, proven: proven, report: Report{Account: account, Rev: last.report.Rev}})
+	for account, e := range l.byAccount {
+		if last, found := e.lastReports[pool]; found && !reported[account] {
+			e.observe(pool, poolReport{receivedAt: now, provenAt: proven, report: Report{Account: account, Rev: last.report.Rev}})
 		}
 	}
 }
 
-func (e *entry) observe(pool string, v view) {
-	e.views[pool] = v
-	p := e.Parts[pool]
-	if !e.dirty && e.goesBy(pool) {
-		p.Held = p.Share
+func (e *accountShares) observe(pool string, v poolReport) {
+	e.lastReports[pool] = v
+	p := e.Pools[pool]
+	if !e.dirty && e.hasConfirmed(pool) {
+		p.Reserved = p.Share
 	}
-	p.Held = max(p.Held, v.report.Used.shareOf(e.Limit))
-	e.Parts[pool] = p
+	p.Reserved = max(p.Reserved, v.report.Used.shareOf(e.Limit))
+	e.Pools[pool] = p
 }
 
-// open begins an account's entry with the same share for each pool. Nothing of the account
-// can have started before. An account that is not published has no limit.
-func (l *Ledger) open(account string) *entry {
+// openAccount creates an account's shares, equal for all pools. This is safe because no task
+// of the account can have started without a recorded share. An account that is not published
+// has no limit.
+func (l *Ledger) openAccount(account string) *accountShares {
 	if len(l.pools) == 0 {
 		return nil
 	}
 	published, _ := l.directory.Account(account)
-	e := newEntry()
-	e.Limit, e.Ceiling, e.Parts = published.Limit, published.Limit, map[string]part{}
+	e := newAccountShares()
+	e.Limit, e.Ceiling, e.Pools = published.Limit, published.Limit, map[string]poolShare{}
 	share := Whole / Share(len(l.pools))
 	for _, pool := range l.pools {
-		e.Parts[pool] = part{Share: share, Held: share}
+		e.Pools[pool] = poolShare{Share: share, Reserved: share}
 	}
-	e.change()
-	l.entries[account] = e
+	e.markChanged()
+	l.byAccount[account] = e
 	return e
 }
 
-// Decide moves shares to where they are wanted.
+// Decide applies changed limits and moves shares to the pools that need them. Accounts with
+// a change that is not durable yet are skipped.
 func (l *Ledger) Decide(now time.Duration, directory *accounts.Directory, pools []string) {
 	l.directory, l.pools = directory, pools
-	l.openEarly()
-	for account, e := range l.entries {
+	l.preopenAccounts()
+	for account, e := range l.byAccount {
 		if e.dirty {
 			continue
 		}
-		limit := e.Limit // of an account that is no longer published: its jobs go on
+		limit := e.Limit // kept for an account that is no longer published, as its jobs continue
 		if published, ok := directory.Account(account); ok {
 			limit = published.Limit
 		}
-		l.decide(now, e, limit)
+		l.decideAccount(now, e, limit)
 	}
 }
 
-// openEarly opens the entries of all accounts where they are few, so that their first jobs
-// need not wait for it.
-func (l *Ledger) openEarly() {
-	if count := l.directory.Len(); count > mostEarly || len(l.entries) >= count {
+// preopenAccounts creates the shares of all published accounts if there are at most
+// maxPreopenedAccounts, so that their first jobs need not wait for a record.
+func (l *Ledger) preopenAccounts() {
+	if count := l.directory.Len(); count > maxPreopenedAccounts || len(l.byAccount) >= count {
 		return
 	}
 	for _, account := range l.directory.Names() {
-		if l.entries[account] == nil {
-			l.open(account)
+		if l.byAccount[account] == nil {
+			l.openAccount(account)
 		}
 	}
 }
 
-// decide goes on with an account's limit, or with its shares where that stands. A limit is
-// lowered for owners first, and starts wait until what all pools use was counted; it is
-// raised only once all owners know that others will go by a higher one, so that each of
-// them would notice if it were lowered again.
-func (l *Ledger) decide(now time.Duration, e *entry, limit accounts.Limit) {
+// decideAccount takes the next step of a limit change or, if the limit is unchanged,
+// rebalances the shares. A lowered limit is announced to pool owners first, and starts are
+// blocked until the usage of all pools has been counted. A limit is raised only after all
+// owners have confirmed the higher Ceiling, so that each of them pauses if the limit is
+// lowered again.
+func (l *Ledger) decideAccount(now time.Duration, e *accountShares, limit accounts.Limit) {
 	switch {
 	case !limit.AtLeast(e.Limit):
 		e.Limit, e.Checking = e.Limit.Lower(limit), true
-		e.change()
+		e.markChanged()
 	case e.Checking:
-		if l.allKnow(e) {
-			l.check(e, limit)
+		if l.allPoolsConfirmed(e) {
+			l.applyLoweredLimit(e, limit)
 		}
 	case e.Ceiling != limit:
 		e.Ceiling = limit
-		e.change()
+		e.markChanged()
 	case e.Limit == limit:
-		l.balance(now, e)
-	case l.allKnow(e) && e.free() >= 0:
+		l.rebalance(now, e)
+	case l.allPoolsConfirmed(e) && e.unallocated() >= 0:
 		e.Limit = limit
-		e.change()
+		e.markChanged()
 	}
 }
 
-// free is what no pool has, or may still use. It is negative where pools use more than was
-// left to them when the limit was lowered.
-func (e *entry) free() Share {
+// unallocated returns the share that no pool has or may still use. It is negative if pools
+// use more than a lowered limit allows.
+func (e *accountShares) unallocated() Share {
 	free := Whole
-	for _, p := range e.Parts {
-		free -= max(p.Held, p.Share)
+	for _, p := range e.Pools {
+		free -= max(p.Reserved, p.Share)
 	}
 	return free
 }
 
-func (e *entry) change() {
+func (e *accountShares) markChanged() {
 	e.Rev++
 	e.dirty = true
 }
 
-// allKnow reports whether the owners of all pools go by the newest record.
-func (l *Ledger) allKnow(e *entry) bool {
+// allPoolsConfirmed reports whether the owners of all pools have confirmed the newest record.
+func (l *Ledger) allPoolsConfirmed(e *accountShares) bool {
 	for _, pool := range l.pools {
-		if _, known := e.Parts[pool]; known && !e.goesBy(pool) {
+		if _, found := e.Pools[pool]; found && !e.hasConfirmed(pool) {
 			return false
 		}
 	}
 	return true
 }
 
-// goesBy reports whether a pool's owner was proven to go by the newest record.
-func (e *entry) goesBy(pool string) bool {
-	v := e.views[pool]
-	return v.report.Rev >= e.Rev && v.proven >= e.recorded
+// hasConfirmed reports whether a pool's owner has applied the newest record and was proven to
+// be the newest owner after that record became durable.
+func (e *accountShares) hasConfirmed(pool string) bool {
+	v := e.lastReports[pool]
+	return v.report.Rev >= e.Rev && v.provenAt >= e.recordedAt
 }
 
-// check lets a lowered limit come into force where the shares leave all pools within it.
-// Otherwise it takes shares back, which all owners have to know of before it looks again.
-func (l *Ledger) check(e *entry, limit accounts.Limit) {
-	if e.free() < 0 && e.cut() {
-		e.change()
+// applyLoweredLimit ends the check of a lowered limit once the shares keep all pools within
+// it. Otherwise it lowers shares, which all owners have to confirm before the next check.
+func (l *Ledger) applyLoweredLimit(e *accountShares, limit accounts.Limit) {
+	if e.unallocated() < 0 && e.lowerShares() {
+		e.markChanged()
 		return
 	}
 	e.Ceiling, e.Checking = limit, false
-	e.change()
+	e.markChanged()
 }
 
-// cut lowers the shares to what is used and an equal part of what that leaves. It reports
-// whether there was anything to lower.
-func (e *entry) cut() bool {
-	used, all := map[string]Share{}, Share(0)
-	for pool, p := range e.Parts {
-		used[pool] = e.views[pool].report.Used.shareOf(e.Limit)
-		if !e.goesBy(pool) {
-			used[pool] = p.Held // nobody owns it any more
+// lowerShares lowers each share to the pool's usage plus an equal part of what is unused. It
+// reports whether any share changed.
+func (e *accountShares) lowerShares() bool {
+	used, total := map[string]Share{}, Share(0)
+	for pool, p := range e.Pools {
+		used[pool] = e.lastReports[pool].report.Used.shareOf(e.Limit)
+		if !e.hasConfirmed(pool) {
+			used[pool] = p.Reserved // the pool has no owner any more that could report its usage
 		}
-		all += used[pool]
+		total += used[pool]
 	}
 	lowered := false
-	for pool, p := range e.Parts {
+	for pool, p := range e.Pools {
 		share := Share(0)
-		if all < Whole {
-			share = min(p.Share, used[pool]+(Whole-all)/Share(len(e.Parts)))
+		if total < Whole {
+			share = min(p.Share, used[pool]+(Whole-total)/Share(len(e.Pools)))
 		}
 		lowered = lowered || share < p.Share
 		p.Share = share
-		e.Parts[pool] = p
+		e.Pools[pool] = p
 	}
 	return lowered
 }
 
-// balance moves shares where a pool wants more than it has.
-func (l *Ledger) balance(now time.Duration, e *entry) {
-	claims, unmet := map[string]claim{}, false
+// rebalance moves shares if any pool requests more than its share.
+func (l *Ledger) rebalance(now time.Duration, e *accountShares) {
+	demands, unmet := map[string]demand{}, false
 	for _, pool := range l.pools {
-		c := e.claim(now, pool)
-		claims[pool] = c
-		unmet = unmet || c.want > e.Parts[pool].Share
+		c := e.demandOf(now, pool)
+		demands[pool] = c
+		unmet = unmet || c.want > e.Pools[pool].Share
 	}
 	if unmet {
-		l.move(now, e, claims, divide(claims))
+		l.moveShares(now, e, demands, targetShares(demands))
 	}
 }
 
-// claim is what a pool asks of an account's limit.
-type claim struct {
-	// want is what runs and could start, least what runs and the least that could start.
+// demand is what a pool requests of an account's limit.
+type demand struct {
+	// want covers usage and everything that is ready to start; least covers usage and the
+	// smallest amount that can start next.
 	want, least Share
-	// short is since when it has waited with less than it takes to start anything, 0 for
-	// not at all.
-	short time.Duration
-	// kept: its share was raised a moment ago, and it has yet to use it.
-	kept bool
+	// shortSince is the time since which the pool has had too small a share to start
+	// anything that waits, 0 if it has not.
+	shortSince time.Duration
+	// recentlyRaised is set if the share was raised within raisedShareHold and is not fully
+	// used yet.
+	recentlyRaised bool
 }
 
-// claim returns a pool's; one that has not been heard of late keeps what it uses.
-func (e *entry) claim(now time.Duration, pool string) claim {
-	v, ok := e.views[pool]
+// demandOf returns a pool's demand. A pool without a fresh report is assumed to need what it
+// last used.
+func (e *accountShares) demandOf(now time.Duration, pool string) demand {
+	v, ok := e.lastReports[pool]
 	if !ok {
-		share := e.Parts[pool].Share
-		return claim{want: share, least: share}
+		share := e.Pools[pool].Share
+		return demand{want: share, least: share}
 	}
 	used := min(Whole, v.report.Used.shareOf(e.Limit))
-	c := claim{want: used, least: used}
-	if now-v.at < viewFresh {
+	c := demand{want: used, least: used}
+	if now-v.receivedAt < reportFreshness {
 		c.want = min(Whole, v.report.Want.shareOf(e.Limit))
 		c.least = min(Whole, v.report.Least.shareOf(e.Limit))
 	}
-	if c.least <= e.Parts[pool].Share || c.want <= used {
-		delete(e.short, pool)
-	} else if e.short[pool] == 0 {
-		e.short[pool] = now
+	if c.least <= e.Pools[pool].Share || c.want <= used {
+		delete(e.shortSince, pool)
+	} else if e.shortSince[pool] == 0 {
+		e.shortSince[pool] = now
 	}
-	c.short = e.short[pool]
-	if c.want > used && now-e.raised[pool] < keepRaised {
-		c.kept, c.least = true, max(c.least, min(c.want, e.Parts[pool].Share))
+	c.shortSince = e.shortSince[pool]
+	if c.want > used && now-e.raisedAt[pool] < raisedShareHold {
+		c.recentlyRaised, c.least = true, max(c.least, min(c.want, e.Pools[pool].Share))
 	}
 	return c
 }
 
-// move lowers the shares that are above their targets, and raises others by what is free.
-// What is free is kept for the pool that has waited longest until it is enough to start
-// something there.
-func (l *Ledger) move(now time.Duration, e *entry, claims map[string]claim, targets map[string]Share) {
-	free, changed := e.free(), false
-	order := inTurn(claims)
+// moveShares lowers shares that are above their targets and raises others from the
+// unallocated share. Unallocated share is set aside for the pool that has waited longest
+// until it is enough to start something there.
+func (l *Ledger) moveShares(now time.Duration, e *accountShares, demands map[string]demand, targets map[string]Share) {
+	free, changed := e.unallocated(), false
+	order := byPriority(demands)
 	for _, pool := range order {
-		p, target := e.Parts[pool], targets[pool]
-		if target < p.Share && p.Share-target >= min(leastStep, p.Share) {
+		p, target := e.Pools[pool], targets[pool]
+		if target < p.Share && p.Share-target >= min(minShareStep, p.Share) {
 			p.Share = target
-			e.Parts[pool] = p
+			e.Pools[pool] = p
 			changed = true
 		}
 	}
 	for _, pool := range order {
-		p, c := e.Parts[pool], claims[pool]
+		p, c := e.Pools[pool], demands[pool]
 		more := min(targets[pool]-p.Share, free)
 		if more <= 0 || c.want <= p.Share {
 			continue
 		}
-		if p.Share+more < c.least || more < leastStep && p.Share+more < c.want {
+		if p.Share+more < c.least || more < minShareStep && p.Share+more < c.want {
 			free -= more
 			continue
 		}
 		free -= more
 		p.Share += more
-		p.Held = max(p.Held, p.Share)
-		e.Parts[pool] = p
-		e.raised[pool] = now
+		p.Reserved = max(p.Reserved, p.Share)
+		e.Pools[pool] = p
+		e.raisedAt[pool] = now
 		changed = true
 	}
 	if changed {
-		e.change()
+		e.markChanged()
 	}
 }
 
-// divide shares a limit out: to each pool what it wants and a part of what is left, or,
-// where they want more than there is, the same to all that want as much.
-func divide(claims map[string]claim) map[string]Share {
+// targetShares divides a limit between pools: each gets its demand and a part of the
+// remainder. If the demands exceed the limit, it is rationed.
+func targetShares(demands map[string]demand) map[string]Share {
 	sum := Share(0)
-	for _, c := range claims {
+	for _, c := range demands {
 		sum += c.want
 	}
 	if sum > Whole {
-		return ration(claims)
+		return rationShares(demands)
 	}
-	out := make(map[string]Share, len(claims))
+	out := make(map[string]Share, len(demands))
 	left := float64(Whole - sum)
-	for pool, c := range claims {
-		extra := left * evenly / float64(len(claims))
+	for pool, c := range demands {
+		extra := left * evenSplitFraction / float64(len(demands))
 		if sum > 0 {
-			extra += left * (1 - evenly) * float64(c.want) / float64(sum)
+			extra += left * (1 - evenSplitFraction) * float64(c.want) / float64(sum)
 		}
 		out[pool] = c.want + Share(extra)
 	}
 	return out
 }
 
-// ration shares out a limit of which more is wanted than there is. Load: the limit is a few
-// tasks. The same part for each pool would be less than a task, and nothing would start in
-// any of them; so each gets at least what it takes to start something, those that have
-// waited longest for that first, while others start nothing.
-func ration(claims map[string]claim) map[string]Share {
-	pools := inTurn(claims)
-	out, left := make(map[string]Share, len(claims)), Whole
+// rationShares divides a limit that is smaller than the sum of the demands. Load: a limit of
+// only a few tasks. An equal split would give every pool less than one task, and nothing
+// would start anywhere. So pools are served in order, those that have waited longest first;
+// each gets at least enough to start something, and pools that are not reached get nothing.
+// What remains is split between the served pools, up to their demands.
+func rationShares(demands map[string]demand) map[string]Share {
+	pools := byPriority(demands)
+	out, left := make(map[string]Share, len(demands)), Whole
 	var served []string
 	for _, pool := range pools {
-		if c := claims[pool]; c.least <= left {
+		if c := demands[pool]; c.least <= left {
 			out[pool] = c.least
 			left -= c.least
 			served = append(served, pool)
 		}
 	}
-	slices.SortStableFunc(served, func(a, b string) int { return int(claims[a].want - claims[b].want) })
+	slices.SortStableFunc(served, func(a, b string) int { return int(demands[a].want - demands[b].want) })
 	for n, pool := range served {
-		more := min(claims[pool].want-out[pool], left/Share(len(served)-n))
+		more := min(demands[pool].want-out[pool], left/Share(len(served)-n))
 		out[pool] += more
 		left -= more
 	}
@@ -379,33 +391,33 @@
 	return out
 }
 
-// inTurn returns the pools in the order in which a limit is shared out that is too small for
-// all.
-func inTurn(claims map[string]claim) []string {
-	return slices.SortedFunc(maps.Keys(claims), func(a, b string) int {
-		x, y := claims[a], claims[b]
+// byPriority returns the pools in the order in which a scarce limit is divided: those with a
+// recently raised share first, then those that have been short the longest, then by name.
+func byPriority(demands map[string]demand) []string {
+	return slices.SortedFunc(maps.Keys(demands), func(a, b string) int {
+		x, y := demands[a], demands[b]
 		switch {
-		case x.kept != y.kept && x.kept:
+		case x.recentlyRaised != y.recentlyRaised && x.recentlyRaised:
 			return -1
-		case x.kept != y.kept:
+		case x.recentlyRaised != y.recentlyRaised:
 			return 1
-		case x.short != y.short && x.short != 0 && (y.short == 0 || x.short < y.short):
+		case x.shortSince != y.shortSince && x.shortSince != 0 && (y.shortSince == 0 || x.shortSince < y.shortSince):
 			return -1
-		case x.short != y.short:
+		case x.shortSince != y.shortSince:
 			return 1
 		}
 		return strings.Compare(a, b)
 	})
 }
 
-// Pending reports whether a change waits for a pool's word or for its record.
+// Pending reports whether a change waits for its record or for a pool owner's confirmation.
 func (l *Ledger) Pending() bool {
-	for _, e := range l.entries {
+	for _, e := range l.byAccount {
 		if e.dirty {
 			return true
 		}
-		for pool := range e.Parts {
-			if e.unproven(pool) {
+		for pool := range e.Pools {
+			if e.awaitsConfirmation(pool) {
 				return true
 			}
 		}
@@ -413,35 +425,36 @@
 	return false
 }
 
-// unproven reports whether a change waits for a pool's owner: it may still go by a share that
-// was lowered since, or not know that the limit is raised.
-func (e *entry) unproven(pool string) bool {
-	p := e.Parts[pool]
-	return (p.Held > p.Share || e.Checking || e.Ceiling != e.Limit) && !e.goesBy(pool)
+// awaitsConfirmation reports whether a change waits for a pool's owner, which may still use a
+// share that has been lowered or may not have received a changed limit.
+func (e *accountShares) awaitsConfirmation(pool string) bool {
+	p := e.Pools[pool]
+	return (p.Reserved > p.Share || e.Checking || e.Ceiling != e.Limit) && !e.hasConfirmed(pool)
 }
 
-// Ask is what a pool's owner is told and asked.
+// Ask is the request to a pool's owner: grants to apply, and what to report on.
 type Ask struct {
-	// Grants are shares that it may not know, of accounts that it is to report on.
+	// Grants are shares that the owner may not have applied yet. It reports on their
+	// accounts.
 	Grants []Grant `cbor:"1,keyasint,omitempty"`
-	// Prove asks for an answer by an owner that is proven to be the newest.
+	// Prove requires the answering owner to prove first that it is the newest owner.
 	Prove bool `cbor:"2,keyasint,omitempty"`
 }
 
-// Ask returns what to tell a pool's owner. Only what is durable is told.
+// Ask returns the next request to a pool's owner. It contains durable grants only.
 func (l *Ledger) Ask(pool string) Ask {
 	var a Ask
-	for account, e := range l.entries {
-		p, known := e.Parts[pool]
-		if e.dirty || !known {
+	for account, e := range l.byAccount {
+		p, found := e.Pools[pool]
+		if e.dirty || !found {
 			continue
 		}
-		unproven := e.unproven(pool)
-		if e.views[pool].report.Rev >= e.Rev && !unproven {
+		awaiting := e.awaitsConfirmation(pool)
+		if e.lastReports[pool].report.Rev >= e.Rev && !awaiting {
 			continue
 		}
 		a.Grants = append(a.Grants, Grant{Account: account, Share: p.Share, Limit: e.Limit, Ceiling: e.Ceiling, Rev: e.Rev})
-		a.Prove = a.Prove || unproven
+		a.Prove = a.Prove || awaiting
 	}
 	slices.SortFunc(a.Grants, func(x, y Grant) int { return strings.Compare(x.Account, y.Account) })
 	return a
--- a/internal/quota/ledger_test.go
+++ b/internal/quota/ledger_test.go
@@ -9,9 +9,10 @@
 	"cyclamenwheel/internal/accounts"
 )
 
-// An account's tasks wait in one pool for ever: the other one used its share when it was last
-// asked, has nothing of the account any more, and so no longer reports on it.
-func TestAShareIsTakenBackFromAPoolThatHasNothingAnyMore(t *testing.T) {
+// Guards against an account's tasks waiting forever in one pool because the share of another
+// pool is never reclaimed. That pool used its share at its last report; it has none of the
+// account's tasks any more and so omits the account from its reports.
+func TestShareIsReclaimedFromAnIdlePool(t *testing.T) {
 	g := NewWithT(t)
 	d := accounts.NewDirectory()
 	g.Expect(d.Add(accounts.Account{Name: "alpha", Limit: accounts.Limit{CPUMilli: 3000}})).To(Succeed())
@@ -43,9 +44,9 @@
 			owners["rooms"].Take("alpha", task)
 		}
 	}
-	g.Expect(owners["rooms"].Fits("alpha", task, 1)).To(BeFalse(), "it has all of the limit")
+	g.Expect(owners["rooms"].Fits("alpha", task, 1)).To(BeFalse(), "the pool already uses the whole limit")
 	for range 10 {
-		round(map[string]map[string]Waiting{"tabs": waiting(3)}) // what rooms runs goes on meanwhile
+		round(map[string]map[string]Waiting{"tabs": waiting(3)}) // the tasks in rooms keep running
 	}
 	owners["rooms"].Give("alpha", task.Times(3))
 	for range 20 {
--- a/internal/quota/property_test.go
+++ b/internal/quota/property_test.go
@@ -14,44 +14,45 @@
 	"cyclamenwheel/internal/accounts"
 )
 
-// world has pools with owners that come and go, and a holder of the shares. Messages
-// between them are late, lost and out of order; owners are frozen and wake. What runs is
-// counted from outside.
-type world struct {
+// simulation runs pools, whose owners are replaced and paused, and a holder of the shares.
+// Messages between them are delayed, lost and reordered. Running tasks are counted
+// independently of the owners and the holder.
+type simulation struct {
 	rng     *rand.Rand
 	now     time.Duration
 	journal map[string][]byte
-	holder  *holder
-	pools   []*poolOfWorld
-	// configs are the published ones; all from the oldest that may be in force count.
-	configs  []*accounts.Directory
-	inForce  int
-	messages []message
-	broken   []string
-	started  int
-	// settled: the trouble was over long ago, and nothing may starve.
-	settled bool
+	holder  *simHolder
+	pools   []*simPool
+	// configs are the published configurations. All from index oldestInForce on may be in
+	// force at some process.
+	configs       []*accounts.Directory
+	oldestInForce int
+	messages      []message
+	violations    []string
+	started       int
+	// checkStarvation is set once faults have stopped long enough that no task may starve.
+	checkStarvation bool
 }
 
-type holder struct {
+type simHolder struct {
 	ledger *Ledger
 	config int
-	// fenced holders can't write.
+	// fenced is set once a newer holder exists; writes then fail.
 	fenced bool
 	frozen time.Duration
 	asked  map[string]time.Duration
 }
 
-type poolOfWorld struct {
+type simPool struct {
 	name   string
-	owner  *ownerOfWorld
-	former []*ownerOfWorld
-	// running are what runs, each until its end.
-	running []runOfWorld
-	waiting []runOfWorld
+	owner  *simOwner
+	former []*simOwner
+	// running holds the running tasks, waiting those that have not started.
+	running []simRun
+	waiting []simRun
 }
 
-type ownerOfWorld struct {
+type simOwner struct {
 	allowance *Allowance
 	config    int
 	frozen    time.Duration
@@ -59,13 +60,14 @@
 	proven    time.Duration
 }
 
-type runOfWorld struct {
+type simRun struct {
 	account string
 	amount  Amount
 	tasks   int
 	until   time.Duration
-	// starves is since when it could run, and its account may have much more running.
-	starves time.Duration
+	// startableSince is the time since which the start has fitted well within its account's
+	// limit, 0 if it does not.
+	startableSince time.Duration
 }
 
 type message struct {
@@ -77,7 +79,7 @@
 
 var accountNames = []string{"small", "middle", "large"}
 
-func limitsOf(rng *rand.Rand) *accounts.Directory {
+func randomDirectory(rng *rand.Rand) *accounts.Directory {
 	d := accounts.NewDirectory()
 	for i, name := range accountNames {
 		limit := accounts.Limit{CPUMilli: (10 + rng.IntN(90)) * 100 << (2 * i), MemoryMB: rng.IntN(2) * 400000}
@@ -91,11 +93,11 @@
 	return d
 }
 
-func newWorld(seed uint64) *world {
-	w := &world{rng: rand.New(rand.NewPCG(seed, 5)), now: time.Second, journal: map[string][]byte{}}
-	w.configs = []*accounts.Directory{limitsOf(w.rng)}
+func newSimulation(seed uint64) *simulation {
+	w := &simulation{rng: rand.New(rand.NewPCG(seed, 5)), now: time.Second, journal: map[string][]byte{}}
+	w.configs = []*accounts.Directory{randomDirectory(w.rng)}
 	for i := range 2 + w.rng.IntN(4) {
-		w.pools = append(w.pools, &poolOfWorld{name: fmt.Sprintf("pool-%d", i)})
+		w.pools = append(w.pools, &simPool{name: fmt.Sprintf("pool-%d", i)})
 	}
 	w.newHolder()
 	for _, p := range w.pools {
@@ -104,7 +106,7 @@
 	return w
 }
 
-func (w *world) records() []Record {
+func (w *simulation) records() []Record {
 	var out []Record
 	for key, value := range w.journal {
 		out = append(out, Record{Key: key, Value: value})
@@ -113,11 +115,11 @@
 	return out
 }
 
-func (w *world) newHolder() {
+func (w *simulation) newHolder() {
 	if w.holder != nil {
 		w.holder.fenced = true
 	}
-	h := &holder{ledger: NewLedger(), config: w.lagging(), asked: map[string]time.Duration{}}
+	h := &simHolder{ledger: NewLedger(), config: w.randomConfigInUse(), asked: map[string]time.Duration{}}
 	for _, r := range w.records() {
 		if err := h.ledger.Restore(r, w.now); err != nil {
 			panic(err)
@@ -126,13 +128,13 @@
 	w.holder = h
 }
 
-// newOwner lets another owner claim a pool. It knows what runs, and the records.
-func (w *world) newOwner(p *poolOfWorld) {
+// newOwner makes another owner claim a pool. It recovers the running tasks and the records.
+func (w *simulation) newOwner(p *simPool) {
 	if p.owner != nil {
 		p.owner.fenced = true
 		p.former = append(p.former, p.owner)
 	}
-	o := &ownerOfWorld{allowance: NewAllowance(), config: w.lagging(), proven: w.now}
+	o := &simOwner{allowance: NewAllowance(), config: w.randomConfigInUse(), proven: w.now}
 	for _, r := range p.running {
 		o.allowance.Take(r.account, r.amount)
 	}
@@ -145,14 +147,16 @@
 	p.owner = o
 }
 
-// lagging is a configuration that a process may go by.
-func (w *world) lagging() int { return w.inForce + w.rng.IntN(len(w.configs)-w.inForce) }
+// randomConfigInUse returns the index of a configuration that a process may currently use.
+func (w *simulation) randomConfigInUse() int {
+	return w.oldestInForce + w.rng.IntN(len(w.configs)-w.oldestInForce)
+}
 
-func (w *world) later(most time.Duration, do func()) {
+func (w *simulation) schedule(most time.Duration, do func()) {
 	w.messages = append(w.messages, message{w.now + time.Duration(w.rng.Int64N(int64(most))), do})
 }
 
-func (w *world) deliver() {
+func (w *simulation) deliver() {
 	waiting := w.messages
 	w.messages = nil
 	for _, m := range waiting {
@@ -164,7 +168,7 @@
 	}
 }
 
-func (w *world) poolNames() []string {
+func (w *simulation) poolNames() []string {
 	var names []string
 	for _, p := range w.pools {
 		names = append(names, p.name)
@@ -172,8 +176,8 @@
 	return names
 }
 
-// round is one of the holder's.
-func (w *world) round(h *holder) {
+// runRound runs one round of a holder: decide, persist, and ask all pool owners.
+func (w *simulation) runRound(h *simHolder) {
 	if w.now < h.frozen {
 		return
 	}
@@ -190,11 +194,11 @@
 	}
 	h.ledger.Saved(w.now)
 	for _, p := range w.pools {
-		w.ask(h, p)
+		w.askPool(h, p)
 	}
 }
 
-func (w *world) ask(h *holder, p *poolOfWorld) {
+func (w *simulation) askPool(h *simHolder, p *simPool) {
 	if w.now-h.asked[p.name] < 100*time.Millisecond || w.rng.IntN(10) == 0 {
 		return
 	}
@@ -204,12 +208,12 @@
 	if n := len(p.former); n > 0 && w.rng.IntN(4) == 0 {
 		to = p.former[n-1]
 	}
-	w.later(300*time.Millisecond, func() {
+	w.schedule(300*time.Millisecond, func() {
 		if w.now < to.frozen {
 			return
 		}
 		to.allowance.Grant(ask.Grants)
-		reports := to.allowance.Reports(ask.Grants, p.wants())
+		reports := to.allowance.Reports(ask.Grants, p.waitingByAccount())
 		proven := to.proven
 		if !to.fenced && (ask.Prove || w.rng.IntN(2) == 0) {
 			to.proven = w.now
@@ -219,13 +223,13 @@
 			return
 		}
 		answeredAt := w.now
-		w.later(300*time.Millisecond, func() {
+		w.schedule(300*time.Millisecond, func() {
 			h.ledger.Observe(w.now, asked-(answeredAt-proven), p.name, reports)
 		})
 	})
 }
 
-func (p *poolOfWorld) wants() map[string]Waiting {
+func (p *simPool) waitingByAccount() map[string]Waiting {
 	out := map[string]Waiting{}
 	for _, r := range p.waiting {
 		w := out[r.account]
@@ -235,9 +239,9 @@
 	return out
 }
 
-func (w *world) work() {
+func (w *simulation) runTasks() {
 	for _, p := range w.pools {
-		p.running = slices.DeleteFunc(p.running, func(r runOfWorld) bool {
+		p.running = slices.DeleteFunc(p.running, func(r simRun) bool {
 			if r.until > w.now {
 				return false
 			}
@@ -247,7 +251,7 @@
 		if w.now < p.owner.frozen {
 			continue
 		}
-		p.waiting = slices.DeleteFunc(p.waiting, func(r runOfWorld) bool {
+		p.waiting = slices.DeleteFunc(p.waiting, func(r simRun) bool {
 			if !p.owner.allowance.Fits(r.account, r.amount, r.tasks) {
 				return false
 			}
@@ -257,45 +261,46 @@
 	}
 }
 
-func (w *world) start(p *poolOfWorld, r runOfWorld) {
+func (w *simulation) start(p *simPool, r simRun) {
 	p.owner.allowance.Take(r.account, r.amount)
 	r.until = w.now + time.Duration(100+w.rng.IntN(2500))*time.Millisecond
 	p.running = append(p.running, r)
 	w.started++
 	sum := w.running(r.account)
-	for _, d := range w.configs[w.inForce:] {
+	for _, d := range w.configs[w.oldestInForce:] {
 		a, _ := d.Account(r.account)
 		if sum.within(a.Limit, Whole) || r.tasks == 1 && sum == r.amount {
 			return
 		}
 	}
-	w.broken = append(w.broken, fmt.Sprintf("%v: %s has %+v running after a start in %s", w.now, r.account, sum, p.name))
+	w.violations = append(w.violations, fmt.Sprintf("%v: %s has %+v running after a start in %s", w.now, r.account, sum, p.name))
 }
 
-// starve notes tasks that have waited for 3 s on end while their account had less than half
-// of its limit running and they would have fitted twice over. A start of the same account
-// that takes more than half of its limit may have to wait for all others to end.
-func (w *world) starve() {
+// recordStarvation records a violation for each task that has waited for 3 s without a break
+// while its account used at most half of its limit and the task would have fitted twice. It
+// skips accounts with a waiting start of more than half of the limit, which may have to wait
+// for all others to end.
+func (w *simulation) recordStarvation() {
 	for _, p := range w.pools {
 		for i := range p.waiting {
 			r := &p.waiting[i]
 			a, _ := w.configs[len(w.configs)-1].Account(r.account)
 			running := w.running(r.account)
-			if w.hasLarge(r.account, a.Limit) || !running.Times(2).within(a.Limit, Whole) || !running.Plus(r.amount.Times(2)).within(a.Limit, Whole) {
-				r.starves = 0
+			if w.hasLargeStart(r.account, a.Limit) || !running.Times(2).within(a.Limit, Whole) || !running.Plus(r.amount.Times(2)).within(a.Limit, Whole) {
+				r.startableSince = 0
 				continue
 			}
-			if r.starves == 0 {
-				r.starves = w.now
+			if r.startableSince == 0 {
+				r.startableSince = w.now
 			}
-			if w.now-r.starves > 3*time.Second {
-				w.broken = append(w.broken, fmt.Sprintf("%v: %s waits in %s with %+v running for %+v", w.now, r.account, p.name, running, r.amount))
+			if w.now-r.startableSince > 3*time.Second {
+				w.violations = append(w.violations, fmt.Sprintf("%v: %s waits in %s with %+v running for %+v", w.now, r.account, p.name, running, r.amount))
 			}
 		}
 	}
 }
 
-func (w *world) hasLarge(account string, limit accounts.Limit) bool {
+func (w *simulation) hasLargeStart(account string, limit accounts.Limit) bool {
 	for _, p := range w.pools {
 		for _, r := range p.waiting {
 			if r.account == account && !r.amount.Times(2).within(limit, Whole) {
@@ -306,8 +311,8 @@
 	return false
 }
 
-// running is what an account has running.
-func (w *world) running(account string) Amount {
+// running returns the amount that an account has running in all pools.
+func (w *simulation) running(account string) Amount {
 	sum := Amount{}
 	for _, p := range w.pools {
 		for _, r := range p.running {
@@ -319,8 +324,9 @@
 	return sum
 }
 
-// trouble lets something befall the processes.
-func (w *world) trouble() {
+// injectFault replaces or pauses an owner or the holder, revives a fenced holder, or publishes
+// a configuration.
+func (w *simulation) injectFault() {
 	p := w.pools[w.rng.IntN(len(w.pools))]
 	switch w.rng.IntN(7) {
 	case 0:
@@ -334,20 +340,20 @@
 	case 4:
 		former := w.holder
 		w.newHolder()
-		w.later(2*time.Second, func() { w.round(former) })
+		w.schedule(2*time.Second, func() { w.runRound(former) })
 	case 5:
 		w.publish()
 	}
 }
 
-// publish lets another configuration come into force, within a time in which some
-// processes have it and others do not.
-func (w *world) publish() {
-	w.configs = append(w.configs, limitsOf(w.rng))
+// publish publishes a new configuration. Processes apply it at different times, so that for a
+// while some use it and others do not.
+func (w *simulation) publish() {
+	w.configs = append(w.configs, randomDirectory(w.rng))
 	newest := len(w.configs) - 1
 	const apply = 2 * time.Second
 	for _, p := range w.pools {
-		w.later(apply, func() {
+		w.schedule(apply, func() {
 			if o := p.owner; o.config < newest {
 				o.config = newest
 				o.allowance.SetDirectory(w.configs[newest])
@@ -355,9 +361,9 @@
 		})
 	}
 	h := w.holder
-	w.later(apply, func() { h.config = max(h.config, newest) })
+	w.schedule(apply, func() { h.config = max(h.config, newest) })
 	w.messages = append(w.messages, message{w.now + apply, func() {
-		w.inForce = newest
+		w.oldestInForce = newest
 		w.holder.config = max(w.holder.config, newest)
 		for _, p := range w.pools {
 			if p.owner.config < newest {
@@ -368,7 +374,7 @@
 	}})
 }
 
-func (w *world) offer() {
+func (w *simulation) submitTask() {
 	p := w.pools[w.rng.IntN(len(w.pools))]
 	account := accountNames[w.rng.IntN(len(accountNames))]
 	tasks := 1
@@ -377,59 +383,59 @@
 	}
 	amount := Amount{CPUMilli: (1 + w.rng.IntN(30)) * 100, MemoryMB: 1000}.Times(tasks)
 	if len(p.waiting) < 40 {
-		p.waiting = append(p.waiting, runOfWorld{account: account, amount: amount, tasks: tasks})
+		p.waiting = append(p.waiting, simRun{account: account, amount: amount, tasks: tasks})
 	}
 }
 
-func (w *world) day(lasts time.Duration, troubled bool) {
-	for end := w.now + lasts; w.now < end; {
+func (w *simulation) advance(duration time.Duration, withFaults bool) {
+	for end := w.now + duration; w.now < end; {
 		w.now += tick
 		w.deliver()
 		if w.rng.IntN(5) == 0 {
-			w.round(w.holder)
+			w.runRound(w.holder)
 		}
 		if w.rng.IntN(3) == 0 {
-			w.offer()
+			w.submitTask()
 		}
-		if troubled && w.rng.IntN(60) == 0 {
-			w.trouble()
+		if withFaults && w.rng.IntN(60) == 0 {
+			w.injectFault()
 		}
-		w.work()
-		if w.settled {
-			w.starve()
+		w.runTasks()
+		if w.checkStarvation {
+			w.recordStarvation()
 		}
 	}
 }
 
-// seeds of the random days are those from 1 on, and kept, which failed beyond them.
-const seeds = 300
+// Seeds 1 to randomSeeds always run, and regressionSeeds are higher ones that once failed.
+const randomSeeds = 300
 
-var kept = []uint64{456, 460, 1005, 1032}
+var regressionSeeds = []uint64{456, 460, 1005, 1032}
 
 const moreSeeds = "CYCLAMEN_MORE_SEEDS"
 
-// Owners and holders are killed, frozen and displaced, limits are raised and lowered far
-// below use, messages come late or never: an account has more running than its limit, or
-// can start nothing any more.
-func TestRandomDaysKeepTheLimits(t *testing.T) {
+// Guards against an account exceeding its limit, or being unable to start anything any more,
+// when owners and holders are replaced or paused, limits are raised or lowered far below
+// usage, and messages are delayed or lost.
+func TestAccountLimitsHoldUnderRandomFaults(t *testing.T) {
 	more, err := strconv.Atoi(os.Getenv(moreSeeds))
 	if err != nil {
 		more = 0
 	}
-	days := slices.Clone(kept)
-	for seed := range uint64(seeds + more) {
-		days = append(days, seed+1)
+	seeds := slices.Clone(regressionSeeds)
+	for seed := range uint64(randomSeeds + more) {
+		seeds = append(seeds, seed+1)
 	}
-	for _, seed := range days {
+	for _, seed := range seeds {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			t.Parallel()
 			g := NewWithT(t)
-			w := newWorld(seed)
-			w.day(20*time.Second, true)
-			w.day(4*time.Second, false)
-			w.settled = true
-			w.day(6*time.Second, false)
-			g.Expect(w.broken).To(BeEmpty())
+			w := newSimulation(seed)
+			w.advance(20*time.Second, true)
+			w.advance(4*time.Second, false)
+			w.checkStarvation = true
+			w.advance(6*time.Second, false)
+			g.Expect(w.violations).To(BeEmpty())
 			g.Expect(w.started).To(BeNumerically(">", 100))
 		})
 	}
--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -1,27 +1,28 @@
-// Package quota keeps what a client account has running over all pools within its limit,
-// without a call to another process on the path of a start.
+// Package quota enforces each client account's limit on running tasks across all pools,
+// without a call to another process when a task starts. It divides a limit into one share
+// per pool, from the published limits and the usage and demand that pool owners report.
+// Pool owners call Allowance to admit starts within their shares, and the single holder of
+// the shares calls Ledger to move them between pools by demand.
 //
-// Each pool has a share of each account's limit. The pool's owner starts tasks within
-// that share alone (Allowance); one holder moves shares between pools by their demand
-// (Ledger). Both are pure: callers pass times in, make records durable and carry
-// messages.
+// Both types are free of I/O and clocks: callers pass in the time, persist the records and
+// deliver the messages.
 //
-// Nothing of an account starts in a pool whose owner has no share of it on record.
+// No task of an account starts in a pool whose owner has no recorded share of the limit.
 //
-// Invariant: for each account, the sum over all pools of what any owner of the pool, past
-// or present, may have running or may still start is at most the limit, unless the limit
-// was lowered below what ran by then; and then nothing starts. A share is lowered by a
-// durable record first, which each later owner of the pool reads. What it frees goes to
-// another pool only once an owner that was proven to be the newest after that record
-// goes by it.
+// Invariant: for each account, the sum over all pools of what any past or present owner of
+// the pool may have running or may still start is at most the limit. The exception is a
+// limit that was lowered below current usage; then nothing starts until usage is within it.
+// A share is first lowered by a durable record, which every later owner of the pool reads.
+// The freed part goes to another pool only after an owner that was proven to be the newest
+// after that record has confirmed it.
 package quota
 
 import "cyclamenwheel/internal/accounts"
 
-// Share is a part of an account's limit, in millionths.
+// Share is a fraction of an account's limit, in millionths.
 type Share int64
 
-// Whole is all of a limit.
+// Whole is the entire limit.
 const Whole Share = 1_000_000
 
 // Amount is an amount of resources.
@@ -41,7 +42,7 @@
 	return Amount{a.CPUMilli - o.CPUMilli, a.MemoryMB - o.MemoryMB, a.GPUs - o.GPUs}
 }
 
-// Holds reports whether an amount has at least as much of each resource as another.
+// Holds reports whether a has at least as much of each resource as o.
 func (a Amount) Holds(o Amount) bool {
 	return a.CPUMilli >= o.CPUMilli && a.MemoryMB >= o.MemoryMB && a.GPUs >= o.GPUs
 }
@@ -49,7 +50,7 @@
 // Times returns n times the amount.
 func (a Amount) Times(n int) Amount { return Amount{n * a.CPUMilli, n * a.MemoryMB, n * a.GPUs} }
 
-// within reports whether an amount is within a share of a limit.
+// within reports whether an amount is at most the given share of a limit.
 func (a Amount) within(limit accounts.Limit, share Share) bool {
 	fits := func(amount, limit int) bool {
 		return limit == 0 || int64(amount)*int64(Whole) <= int64(limit)*int64(share)
@@ -57,7 +58,7 @@
 	return fits(a.CPUMilli, limit.CPUMilli) && fits(a.MemoryMB, limit.MemoryMB) && fits(a.GPUs, limit.GPUs)
 }
 
-// shareOf is the least share of a limit that an amount is within.
+// shareOf returns the smallest share of a limit that covers an amount.
 func (a Amount) shareOf(limit accounts.Limit) Share {
 	share := func(amount, limit int) Share {
 		if limit == 0 {
@@ -68,13 +69,14 @@
 	return max(share(a.CPUMilli, limit.CPUMilli), share(a.MemoryMB, limit.MemoryMB), share(a.GPUs, limit.GPUs))
 }
 
-// Waiting is what could start at once in a pool, given a share of its account's limit.
+// Waiting is the demand of an account's tasks that are ready to start in a pool and wait
+// only for a larger share of the limit.
 type Waiting struct {
-	// Sum is all of it, Least the smallest part that starts by itself.
+	// Sum is the total; Least is the smallest amount that can start on its own.
 	Sum, Least Amount
 }
 
-// Add adds count starts of an amount each.
+// Add adds count starts that take the given amount each.
 func (w *Waiting) Add(each Amount, count int) {
 	if w.Sum == (Amount{}) || each.CPUMilli < w.Least.CPUMilli {
 		w.Least = each
@@ -82,30 +84,31 @@
 	w.Sum = w.Sum.Plus(each.Times(count))
 }
 
-// Grant is a pool's share of an account's limit, as its holder has recorded it.
+// Grant is a pool's share of an account's limit, as recorded by the holder of the shares.
 type Grant struct {
 	Account string `cbor:"1,keyasint"`
 	Share   Share  `cbor:"2,keyasint,omitempty"`
-	// Limit is the one that the shares count of, whatever the configuration allows beyond
-	// it.
+	// Limit is the limit that Share is a fraction of, even if the configuration already
+	// allows more.
 	Limit accounts.Limit `cbor:"3,keyasint,omitempty"`
-	// Ceiling is the highest limit that owners of other pools may go by. An owner that knows
-	// of a lower one starts nothing until all shares were checked for that: another pool may
-	// use more of it than its share, and nobody knows what is left.
+	// Ceiling is the highest limit that owners of other pools may currently apply. An owner
+	// with a lower published limit starts nothing until all shares have been verified
+	// against the lower one: another pool may use more of it than its share, so the unused
+	// part is unknown.
 	Ceiling accounts.Limit `cbor:"5,keyasint,omitempty"`
-	// Rev rises with each record of the account's shares.
+	// Rev increases with each record of the account's shares.
 	Rev int64 `cbor:"4,keyasint,omitempty"`
 }
 
-// Report is what a pool's owner says of an account.
+// Report is a pool owner's report on one account.
 type Report struct {
 	Account string `cbor:"1,keyasint"`
-	// Rev is that of the newest grant it goes by, 0 for none.
+	// Rev is the revision of the newest grant that the owner has applied, 0 for none.
 	Rev int64 `cbor:"2,keyasint,omitempty"`
-	// Used is what runs or may run, Want that and what could start at once.
+	// Used is what runs or may run; Want adds everything that is ready to start.
 	Used Amount `cbor:"4,keyasint,omitempty"`
 	Want Amount `cbor:"5,keyasint,omitempty"`
-	// Least is what runs and the least that could start beside it; Used where nothing
+	// Least is Used plus the smallest amount that can start next; it equals Used if nothing
 	// waits.
 	Least Amount `cbor:"6,keyasint,omitempty"`
 }
--- a/internal/quota/records.go
+++ b/internal/quota/records.go
@@ -7,22 +7,23 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// KeyAccount begins the keys of accounts' shares among the records of the ledger's holder.
+// KeyAccount is the key prefix of account shares among the records of the ledger's holder.
 const KeyAccount = "q"
 
-// Record is a record of the ledger.
+// Record is a persisted record of the ledger.
 type Record struct {
 	Key   string
 	Value []byte
 }
 
-// IsRecord reports whether a record of this key is the ledger's.
+// IsRecord reports whether a record with this key belongs to the ledger.
 func IsRecord(key string) bool { return strings.HasPrefix(key, KeyAccount) }
 
-// TakeRecords returns the records that have changed.
+// TakeRecords returns a record for each account whose shares have unsaved changes. They stay
+// unsaved until Saved is called.
 func (l *Ledger) TakeRecords() ([]Record, error) {
 	var out []Record
-	for account, e := range l.entries {
+	for account, e := range l.byAccount {
 		if !e.dirty {
 			continue
 		}
@@ -35,35 +36,36 @@
 	return out, nil
 }
 
-// Saved takes in that the records taken last are durable.
+// Saved marks the records that TakeRecords returned last as durable.
 func (l *Ledger) Saved(now time.Duration) {
-	for _, e := range l.entries {
+	for _, e := range l.byAccount {
 		if e.dirty {
-			e.dirty, e.recorded = false, now
+			e.dirty, e.recordedAt = false, now
 		}
 	}
 }
 
-// Restore takes in a record of an earlier holder, which may have told it to owners. Other
-// records are left aside.
+// Restore loads a record of an earlier holder, which may already have sent it to pool
+// owners. Records that do not belong to the ledger are ignored.
 func (l *Ledger) Restore(r Record, now time.Duration) error {
 	if !IsRecord(r.Key) {
 		return nil
 	}
-	e := newEntry()
+	e := newAccountShares()
 	if err := cbor.Unmarshal(r.Value, e); err != nil {
 		return err
 	}
-	if e.Parts == nil {
-		e.Parts = map[string]part{}
+	if e.Pools == nil {
+		e.Pools = map[string]poolShare{}
 	}
-	// An owner that was proven before this holder's claim may go by an earlier record.
-	e.recorded = now
-	l.entries[r.Key[len(KeyAccount):]] = e
+	// An owner that was proven newest before this holder's claim may still apply an earlier
+	// record.
+	e.recordedAt = now
+	l.byAccount[r.Key[len(KeyAccount):]] = e
 	return nil
 }
 
-// GrantsOf reads a pool's shares from the records of the ledger.
+// GrantsOf returns a pool's grants from the records of the ledger.
 func GrantsOf(records []Record, pool string) ([]Grant, error) {
 	l := NewLedger()
 	for _, r := range records {
