--- a/internal/accounts/accounts.go
+++ b/internal/accounts/accounts.go
@@ -1,7 +1,8 @@
-// Package accounts holds the published client accounts: whose key a caller shows, and
-// what each account may have running.
+// Package accounts looks up client accounts by name and by API key and describes what each
+// account may have running. It is built from the accounts in the published configuration.
+// The request handlers use it to authenticate callers, and package quota to look up limits.
 //
-// Keys are kept as digests only, so that no dump, log or message can tell one.
+// Keys are stored as digests only, so that no dump, log or message can reveal one.
 package accounts
 
 import (
@@ -13,11 +14,11 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// MaxKeyBytes is the longest key that is looked up.
+// MaxKeyBytes is the length up to which keys are accepted.
 const MaxKeyBytes = 512
 
-// Limit is what an account may have running at a time over all pools. A resource of
-// which it names 0 has no limit.
+// Limit bounds what an account may have running at a time across all pools. A resource with
+// the value 0 is unlimited.
 type Limit struct {
 	CPUMilli int `cbor:"1,keyasint,omitempty" json:"cpu_milli,omitempty"`
 	MemoryMB int `cbor:"2,keyasint,omitempty" json:"memory_mb,omitempty"`
@@ -27,13 +28,13 @@
 // Unlimited reports whether no resource is limited.
 func (l Limit) Unlimited() bool { return l == Limit{} }
 
-// AtLeast reports whether l allows all that o allows.
+// AtLeast reports whether l allows everything that o allows.
 func (l Limit) AtLeast(o Limit) bool {
 	covers := func(mine, other int) bool { return mine == 0 || other > 0 && mine >= other }
 	return covers(l.CPUMilli, o.CPUMilli) && covers(l.MemoryMB, o.MemoryMB) && covers(l.GPUs, o.GPUs)
 }
 
-// Lower returns what both limits allow.
+// Lower returns the lower of the two limits for each resource.
 func (l Limit) Lower(o Limit) Limit {
 	lower := func(a, b int) int {
 		if a == 0 || b > 0 && b < a {
@@ -48,20 +49,20 @@
 type Account struct {
 	Name     string `cbor:"1,keyasint" json:"name"`
 	Priority int    `cbor:"2,keyasint,omitempty" json:"priority"`
-	// Weight is the account's share, in jobs a second, where not all can be served.
+	// Weight is the account's share under overload, in jobs per second.
 	Weight float64 `cbor:"3,keyasint,omitempty" json:"weight"`
 	Limit  Limit   `cbor:"4,keyasint,omitempty" json:"limit"`
 }
 
-// Digest is the SHA-256 of a key.
+// Digest is the SHA-256 digest of a key.
 type Digest [sha256.Size]byte
 
 // DigestOf returns the digest of a key.
 func DigestOf(key string) Digest { return sha256.Sum256([]byte(key)) }
 
-// DuplicateError says that two accounts share a name or a key.
+// DuplicateError reports that two accounts have the same name or the same key.
 type DuplicateError struct {
-	// Account is the second of the two.
+	// Account is the account that was added second.
 	Account string
 	// What is "name" or "key".
 	What string
@@ -71,25 +72,25 @@
 	return "the " + e.What + " of account " + e.Account + " is already taken"
 }
 
-// Directory finds accounts by name and by key. It is complete once built with Add and
-// never changed after that; a nil Directory has no accounts.
+// Directory finds accounts by name and by key. It is built with Add and must not be changed
+// afterwards; a nil Directory has no accounts.
 type Directory struct {
 	byName map[string]Account
 	byKey  map[Digest]string
 }
 
-// NewDirectory returns a Directory without accounts.
+// NewDirectory returns an empty Directory.
 func NewDirectory() *Directory {
 	return &Directory{byName: map[string]Account{}, byKey: map[Digest]string{}}
 }
 
 // Add adds an account and its keys. Its only error is *DuplicateError.
 func (d *Directory) Add(a Account, keys ...Digest) error {
-	if _, known := d.byName[a.Name]; known {
+	if _, exists := d.byName[a.Name]; exists {
 		return &DuplicateError{Account: a.Name, What: "name"}
 	}
 	for _, k := range keys {
-		if owner, known := d.byKey[k]; known && owner != a.Name {
+		if owner, exists := d.byKey[k]; exists && owner != a.Name {
 			return &DuplicateError{Account: a.Name, What: "key"}
 		}
 		d.byKey[k] = a.Name
@@ -107,8 +108,8 @@
 	return a, ok
 }
 
-// Authenticate returns the account that a key belongs to. How long a look-up takes
-// depends on the key's digest alone, from which nothing about other keys follows.
+// Authenticate returns the account that a key belongs to. The time of a lookup depends only
+// on the key's digest, so it reveals nothing about other keys.
 func (d *Directory) Authenticate(key string) (Account, bool) {
 	if d == nil || key == "" || len(key) > MaxKeyBytes {
 		return Account{}, false
@@ -120,7 +121,7 @@
 	return d.Account(name)
 }
 
-// Len is the number of accounts.
+// Len returns the number of accounts.
 func (d *Directory) Len() int {
 	if d == nil {
 		return 0
@@ -128,7 +129,7 @@
 	return len(d.byName)
 }
 
-// Names returns the names of all accounts in order.
+// Names returns the names of all accounts, sorted.
 func (d *Directory) Names() []string {
 	if d == nil {
 		return nil
@@ -136,8 +137,8 @@
 	return slices.Sorted(maps.Keys(d.byName))
 }
 
-// entry is an account on its way between processes.
-type entry struct {
+// encodedAccount is the encoding of an account in messages between processes.
+type encodedAccount struct {
 	Account Account  `cbor:"1,keyasint"`
 	Keys    []Digest `cbor:"2,keyasint,omitempty"`
 }
@@ -148,17 +149,17 @@
 	for k, name := range d.byKey {
 		keys[name] = append(keys[name], k)
 	}
-	entries := []entry{}
+	entries := []encodedAccount{}
 	for _, name := range d.Names() {
-		entries = append(entries, entry{d.byName[name], keys[name]})
+		entries = append(entries, encodedAccount{d.byName[name], keys[name]})
 	}
 	return cbor.Marshal(entries)
 }
 
-// UnmarshalCBOR is the inverse of MarshalCBOR. Its errors are the decoder's and
+// UnmarshalCBOR is the inverse of MarshalCBOR. It returns the decoder's errors or a
 // *DuplicateError.
 func (d *Directory) UnmarshalCBOR(data []byte) error {
-	var entries []entry
+	var entries []encodedAccount
 	if err := cbor.Unmarshal(data, &entries); err != nil {
 		return err
 	}
@@ -171,7 +172,7 @@
 	return nil
 }
 
-// MarshalJSON is for dumps: it tells the accounts and nothing of their keys.
+// MarshalJSON encodes the accounts without their keys, for dumps.
 func (d *Directory) MarshalJSON() ([]byte, error) {
 	list := []Account{}
 	for _, name := range d.Names() {
