--- a/internal/platform/client.go
+++ b/internal/platform/client.go
@@ -18,48 +18,47 @@
 
 // Timeouts of calls to the platform.
 const (
-	// readTimeout bounds a read, on top of what a long poll may wait.
+	// readTimeout bounds a read, in addition to the wait time of a long poll.
 	readTimeout = 5 * time.Second
-	// mutateTimeout bounds a call with an effect. A planner's successor waits
-	// it out before it touches what the predecessor may still be acting on.
+	// mutateTimeout bounds a mutating call. A planner's successor waits for this long before
+	// it acts on anything that its predecessor's calls may still change.
 	mutateTimeout = 5 * time.Second
-	// maxAnswerBytes bounds an answer: a page of records in base64, or the
-	// list of a fleet of 11,000 instances (about 4 MB).
-	maxAnswerBytes = 64 << 20
-	// maxDetailBytes bounds what is kept of a refusal's text.
+	// maxResponseBytes bounds a response: a page of records in base64, or the instance list
+	// of a fleet of 11,000 instances (about 4 MB).
+	maxResponseBytes = 64 << 20
+	// maxDetailBytes bounds the part of a rejection's text that is kept.
 	maxDetailBytes = 512
-	// idleConnsPerHost allows long polls, appends and acts at the same time
-	// without a new connection for each.
+	// idleConnsPerHost allows concurrent long polls, appends and other calls without a new
+	// connection for each.
 	idleConnsPerHost = 16
 )
 
-// MutateTimeout is the longest that a call with an effect may be under way.
+// MutateTimeout returns the longest time that a mutating call may be in flight.
 func MutateTimeout() time.Duration { return mutateTimeout }
 
-// Client speaks the platform's HTTP protocol.
+// Client implements Platform over the platform's HTTP protocol.
 type Client struct {
-	base string
-	hc   *http.Client
+	base       string
+	httpClient *http.Client
 }
 
 var _ Platform = (*Client)(nil)
 
-// NewClient returns a client of the platform at baseURL. A nil hc takes one
-// with a transport of its own. Redirects are never followed: a 307 would send
-// a mutating call a second time.
+// NewClient returns a client of the platform at baseURL. If hc is nil, the client gets its own
+// transport. Redirects are never followed: a 307 would send a mutating call a second time.
 func NewClient(baseURL string, hc *http.Client) *Client {
-	own := http.Client{}
+	client := http.Client{}
 	if hc != nil {
-		own = *hc
+		client = *hc
 	} else {
-		own.Transport = &http.Transport{MaxIdleConnsPerHost: idleConnsPerHost, DisableCompression: true}
+		client.Transport = &http.Transport{MaxIdleConnsPerHost: idleConnsPerHost, DisableCompression: true}
 	}
-	own.CheckRedirect = func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
-	return &Client{base: strings.TrimRight(baseURL, "/"), hc: &own}
+	client.CheckRedirect = func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
+	return &Client{base: strings.TrimRight(baseURL, "/"), httpClient: &client}
 }
 
-// CloseIdleConnections closes connections that no call is using.
-func (c *Client) CloseIdleConnections() { c.hc.CloseIdleConnections() }
+// CloseIdleConnections closes the connections that no call is using.
+func (c *Client) CloseIdleConnections() { c.httpClient.CloseIdleConnections() }
 
 // Append implements Log.
 func (c *Client) Append(ctx context.Context, data []byte) (uint64, error) {
@@ -142,20 +141,20 @@
 	mutates          bool
 }
 
-// uncertain is the error for a call whose answer did not come whole.
-func (c call) uncertain(cause error) error {
+// ambiguousError returns the error for a call without a usable response: the outcome of a
+// mutating call is unknown, and a read just failed.
+func (c call) ambiguousError(cause error) error {
 	if c.mutates {
 		return &OutcomeUnknownError{Op: c.op, Cause: cause}
 	}
 	return &UnavailableError{Op: c.op, Cause: cause}
 }
 
-func (c *Client) do(ctx context.Context, cl call, into any) error {
+func (c *Client) do(ctx context.Context, cl call, target any) error {
 	ctx, cancel := context.WithTimeout(ctx, cl.timeout)
 	defer cancel()
-	// Without a connection no byte can have been written. From the moment
-	// there is one the request counts as sent: the transport buffers, and
-	// does not tell which bytes went out.
+	// Without a connection nothing can have been sent. Once there is one, the request counts
+	// as sent, because the transport buffers and does not report which bytes were written.
 	var connected atomic.Bool
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
 		GotConn: func(httptrace.GotConnInfo) { connected.Store(true) },
@@ -164,21 +163,20 @@
 	if err != nil {
 		return &RejectedError{Op: cl.op, Detail: err.Error()}
 	}
-	resp, err := c.hc.Do(req)
+	resp, err := c.httpClient.Do(req)
 	if err != nil {
 		if !connected.Load() {
 			return &UnavailableError{Op: cl.op, Cause: errors.Wrap(err, "not sent")}
 		}
-		return cl.uncertain(err)
+		return cl.ambiguousError(err)
 	}
 	defer func() { _ = resp.Body.Close() }()
-	return readAnswer(cl, resp, into)
+	return readResponse(cl, resp, target)
 }
 
-// request builds the HTTP request. GetBody is taken away and no
-// Idempotency-Key is set: with either the transport may silently send a request
-// again on another connection, and an append would stand twice in the log for
-// one call.
+// request builds the HTTP request. GetBody is cleared and no Idempotency-Key is set: with
+// either, the transport may silently retry the request on another connection, and one append
+// would add its record to the log twice.
 func (c *Client) request(ctx context.Context, cl call) (*http.Request, error) {
 	var body io.Reader
 	if cl.mutates {
@@ -195,19 +193,19 @@
 	return req, nil
 }
 
-func readAnswer(cl call, resp *http.Response, into any) error {
-	data, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswerBytes))
+func readResponse(cl call, resp *http.Response, target any) error {
+	data, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes))
 	if resp.StatusCode/100 != 2 {
 		return statusError(cl, resp, data)
 	}
 	if err != nil {
-		return cl.uncertain(errors.Wrap(err, "answer cut"))
+		return cl.ambiguousError(errors.Wrap(err, "incomplete response body"))
 	}
-	if into == nil {
+	if target == nil {
 		return nil
 	}
-	if err := json.Unmarshal(data, into); err != nil {
-		return cl.uncertain(errors.Wrap(err, "answer malformed"))
+	if err := json.Unmarshal(data, target); err != nil {
+		return cl.ambiguousError(errors.Wrap(err, "malformed response"))
 	}
 	return nil
 }
@@ -219,7 +217,7 @@
 	case resp.StatusCode == http.StatusServiceUnavailable && resp.Header.Get(HeaderNotApplied) == "true":
 		return &UnavailableError{Op: cl.op, Cause: rejected}
 	case resp.StatusCode >= http.StatusInternalServerError:
-		return cl.uncertain(rejected)
+		return cl.ambiguousError(rejected)
 	case resp.StatusCode == http.StatusGone:
 		var trimmed TrimmedAnswer
 		if json.Unmarshal(body, &trimmed) == nil {
@@ -229,7 +227,8 @@
 	return rejected
 }
 
-// millis rounds up, so that a wait below a millisecond is still a wait.
+// millis formats a duration in milliseconds, rounded up so that a wait of less than a
+// millisecond does not become 0.
 func millis(d time.Duration) string {
 	return strconv.FormatInt(int64((d+time.Millisecond-1)/time.Millisecond), 10)
 }
--- a/internal/platform/client_test.go
+++ b/internal/platform/client_test.go
@@ -21,8 +21,8 @@
 	RunSpecs(t, "Platform client")
 }
 
-// answer serves one status, with headers and a body.
-func answer(status int, header, body string) http.HandlerFunc {
+// respondWith serves a status and a body, with header set to "true" unless it is empty.
+func respondWith(status int, header, body string) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		if header != "" {
 			w.Header().Set(header, "true")
@@ -32,8 +32,8 @@
 	}
 }
 
-// cut closes the connection in the middle of the answer.
-func cut(w http.ResponseWriter, _ *http.Request) {
+// abortMidResponse closes the connection in the middle of the response.
+func abortMidResponse(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set("Content-Length", "100")
 	_, _ = io.WriteString(w, `{"off`)
 	panic(http.ErrAbortHandler)
@@ -47,9 +47,9 @@
 		trimmed     *platform.TrimmedError
 	)
 
-	// What the caller must learn is whether its call can have had an effect.
-	// Only where no byte was sent, or the platform vouches for it, may a
-	// mutating call be called unavailable; everything else is unknown.
+	// Callers need to know whether a call may have had an effect. A mutating call is reported
+	// as unavailable only if nothing was sent or the platform guarantees that it had no
+	// effect; every other failure without a rejection has an unknown outcome.
 	DescribeTable("maps failures", func(h http.HandlerFunc, onAppend, onRead any) {
 		srv := httptest.NewUnstartedServer(h)
 		srv.Config.ErrorLog = nil
@@ -62,17 +62,17 @@
 		_, err = c.Read(context.Background(), 1, 10, 0)
 		Expect(err).To(BeAssignableToTypeOf(onRead))
 	},
-		Entry("500", answer(500, "", "oops"), unknown, unavailable),
-		Entry("503 without a word", answer(503, "", ""), unknown, unavailable),
-		Entry("503 not applied", answer(503, platform.HeaderNotApplied, ""), unavailable, unavailable),
-		Entry("answer cut", http.HandlerFunc(cut), unknown, unavailable),
-		Entry("answer malformed", answer(200, "", "{"), unknown, unavailable),
-		Entry("409", answer(409, "", "busy"), rejected, rejected),
-		Entry("redirect", answer(307, "", ""), rejected, rejected),
-		Entry("410", answer(410, "", `{"from":1,"first":7}`), trimmed, trimmed),
+		Entry("500", respondWith(500, "", "oops"), unknown, unavailable),
+		Entry("503 without a header", respondWith(503, "", ""), unknown, unavailable),
+		Entry("503 not applied", respondWith(503, platform.HeaderNotApplied, ""), unavailable, unavailable),
+		Entry("incomplete response", http.HandlerFunc(abortMidResponse), unknown, unavailable),
+		Entry("malformed response", respondWith(200, "", "{"), unknown, unavailable),
+		Entry("409", respondWith(409, "", "busy"), rejected, rejected),
+		Entry("redirect", respondWith(307, "", ""), rejected, rejected),
+		Entry("410", respondWith(410, "", `{"from":1,"first":7}`), trimmed, trimmed),
 	)
 
-	It("calls an append that found no listener unavailable", func() {
+	It("returns UnavailableError for an append if nothing listens at the address", func() {
 		ln, err := net.Listen("tcp", "127.0.0.1:0")
 		Expect(err).NotTo(HaveOccurred())
 		Expect(ln.Close()).To(Succeed())
@@ -80,7 +80,7 @@
 		Expect(err).To(BeAssignableToTypeOf(unavailable))
 	})
 
-	It("calls a call that was given up after sending unknown", func() {
+	It("returns OutcomeUnknownError for a call that times out after it was sent", func() {
 		release := make(chan struct{})
 		srv := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) { <-release }))
 		defer srv.Close()
@@ -91,16 +91,16 @@
 		Expect(err).To(BeAssignableToTypeOf(unknown))
 	})
 
-	// A kept-alive connection that the server closes upon the next request is
-	// where a transport sends again by itself. The append would then stand in
-	// the log twice, and the caller would know of one.
-	It("sends an append once when a kept-alive connection dies under it", func() {
+	// Guards against the transport's automatic retry when the server closes a kept-alive
+	// connection on the next request: the log would have the record twice, and the caller
+	// would be told of one.
+	It("sends an append only once if its kept-alive connection is closed", func() {
 		var appends atomic.Int32
 		srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			if appends.Add(1) > 1 {
 				panic(http.ErrAbortHandler)
 			}
-			answer(200, "", `{"offset":1}`)(w, r)
+			respondWith(200, "", `{"offset":1}`)(w, r)
 		}))
 		defer srv.Close()
 		c := platform.NewClient(srv.URL, nil)
--- a/internal/platform/errors.go
+++ b/internal/platform/errors.go
@@ -2,8 +2,8 @@
 
 import "fmt"
 
-// UnavailableError says that the platform did not take the call: nothing
-// happened.
+// UnavailableError reports that the platform did not execute the call, or that a read failed.
+// The call had no effect.
 type UnavailableError struct {
 	Op    string
 	Cause error
@@ -16,8 +16,8 @@
 // Unwrap returns the cause.
 func (e *UnavailableError) Unwrap() error { return e.Cause }
 
-// OutcomeUnknownError says that the call may or may not have taken effect: the
-// answer was lost.
+// OutcomeUnknownError reports that the call may or may not have taken effect, because there
+// was no usable response.
 type OutcomeUnknownError struct {
 	Op    string
 	Cause error
@@ -30,18 +30,18 @@
 // Unwrap returns the cause.
 func (e *OutcomeUnknownError) Unwrap() error { return e.Cause }
 
-// TrimmedError says that the record asked for is no longer kept.
+// TrimmedError reports that the requested record is no longer retained.
 type TrimmedError struct {
 	From  uint64
 	First uint64
 }
 
 func (e *TrimmedError) Error() string {
-	return fmt.Sprintf("platform log: offset %d is trimmed, oldest is %d", e.From, e.First)
+	return fmt.Sprintf("platform log: offset %d has been trimmed; the oldest retained offset is %d", e.From, e.First)
 }
 
-// RejectedError says that the platform refused the call as wrong; repeating it
-// is of no use.
+// RejectedError reports that the platform rejected the call as invalid. A retry would be
+// rejected too.
 type RejectedError struct {
 	Op     string
 	Status int
@@ -49,5 +49,5 @@
 }
 
 func (e *RejectedError) Error() string {
-	return fmt.Sprintf("platform %s: rejected with %d: %s", e.Op, e.Status, e.Detail)
+	return fmt.Sprintf("platform %s: rejected with status %d: %s", e.Op, e.Status, e.Detail)
 }
--- a/internal/platform/wire.go
+++ b/internal/platform/wire.go
@@ -1,6 +1,6 @@
 package platform
 
-// Paths of the platform's HTTP protocol, see docs/PLATFORM.md.
+// Paths of the platform's HTTP protocol; see docs/PLATFORM.md.
 const (
 	PathLog        = "/v1/log/records"
 	PathInstances  = "/v1/instances"
@@ -12,36 +12,36 @@
 	PathTaskStop   = "/v1/tasks/stop"
 )
 
-// HeaderNotApplied is set to "true" on a 503 by which the platform vouches that
-// the call had no effect.
+// HeaderNotApplied is set to "true" on a 503 response if the platform guarantees that the call
+// had no effect.
 const HeaderNotApplied = "X-Not-Applied"
 
 // MaxRecordBytes bounds one record of the log service.
 const MaxRecordBytes = 4 << 20
 
-// AppendAnswer is the answer to an append.
+// AppendAnswer is the response body of an append.
 type AppendAnswer struct {
 	Offset uint64 `json:"offset"`
 }
 
-// TrimmedAnswer is the body of a 410.
+// TrimmedAnswer is the body of a 410 response to a read of trimmed records.
 type TrimmedAnswer struct {
 	From  uint64 `json:"from"`
 	First uint64 `json:"first"`
 }
 
-// FenceRequest asks that an instance be stopped for good.
+// FenceRequest requests that an instance be stopped permanently.
 type FenceRequest struct {
 	Instance  string `json:"instance"`
 	Operation string `json:"operation"`
 }
 
-// StartRequest asks for tasks to run.
+// StartRequest requests that tasks run.
 type StartRequest struct {
 	Tasks []Task `json:"tasks"`
 }
 
-// RenewRequest extends leases.
+// RenewRequest extends the leases of tasks.
 type RenewRequest struct {
 	IDs         []string `json:"ids"`
 	LeaseMillis int64    `json:"lease_ms"`
@@ -52,21 +52,21 @@
 	IDs []string `json:"ids"`
 }
 
-// ReportsAnswer lists the tasks' reports.
+// ReportsAnswer is the response body with the reports of all tasks.
 type ReportsAnswer struct {
 	Tasks []TaskReport `json:"tasks"`
 }
 
-// Reasons in task reports. Values are stable.
+// Reasons in task reports. The values are part of the protocol and must not change.
 const (
-	// ReasonReboot and ReasonLost end a task with its instance's boot.
+	// ReasonReboot and ReasonLost mean that the task ended with its instance's boot.
 	ReasonReboot = "instance_rebooted"
 	ReasonLost   = "instance_lost"
-	// ReasonNotLive stops a task that was started on an instance not live.
+	// ReasonNotLive means that the task was stopped because its instance was not live.
 	ReasonNotLive = "instance_not_live"
-	// ReasonUnknownInstance and ReasonTooLarge reject a task.
+	// ReasonUnknownInstance and ReasonTooLarge mean that the task was rejected.
 	ReasonUnknownInstance = "unknown_instance"
 	ReasonTooLarge        = "larger_than_worker"
-	// ReasonWorkerFault is a worker that fails what it starts.
+	// ReasonWorkerFault means that the worker fails every task that it starts.
 	ReasonWorkerFault = "worker_fault"
 )
