--- a/internal/shards/orders.go
+++ b/internal/shards/orders.go
@@ -101,7 +101,7 @@
 	platform.EndBroken: executor.EndedBroken, platform.EndAlone: executor.EndedAlone,
 }
 
-func listedOf(in platform.Look) executor.Listed {
+func listedOf(in platform.RenewalResponse) executor.Listed {
 	out := executor.Listed{Clock: in.Clock, StartedMs: in.StartedMs}
 	for _, run := range in.Running {
 		out.Running = append(out.Running, executor.ListedRun{Task: run.Task, Run: run.Run, Checkpoint: run.Checkpoint,
--- a/internal/shards/runner.go
+++ b/internal/shards/runner.go
@@ -50,7 +50,7 @@
 type Endpoints interface {
 	Start(ctx context.Context, to platform.EndpointRef, o platform.StartOrder) (platform.EndpointAnswer, error)
 	Stop(ctx context.Context, to platform.EndpointRef, task string, run int, fence int64) (platform.EndpointAnswer, error)
-	Renew(ctx context.Context, to platform.EndpointRef, r platform.Renewal) (platform.Look, error)
+	Renew(ctx context.Context, to platform.EndpointRef, r platform.Renewal) (platform.RenewalResponse, error)
 	Advise(ctx context.Context, step string, endpoints []string, timeout time.Duration) (platform.Advice, error)
 }
 
--- a/internal/shards/runner_test.go
+++ b/internal/shards/runner_test.go
@@ -91,10 +91,10 @@
 	return platform.EndpointAnswer{Clock: time.Second}, nil
 }
 
-func (e *obedientEndpoint) Renew(context.Context, platform.EndpointRef, platform.Renewal) (platform.Look, error) {
+func (e *obedientEndpoint) Renew(context.Context, platform.EndpointRef, platform.Renewal) (platform.RenewalResponse, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	look := platform.Look{EndpointAnswer: platform.EndpointAnswer{Clock: time.Second}}
+	look := platform.RenewalResponse{EndpointAnswer: platform.EndpointAnswer{Clock: time.Second}}
 	for task, run := range e.started {
 		look.Running = append(look.Running, platform.TaskRun{Task: task, Run: run})
 	}
