--- a/internal/shards/orders.go
+++ b/internal/shards/orders.go
@@ -97,7 +97,7 @@
 
 var endedHow = map[platform.EndReason]executor.HowEnded{
 	platform.EndDone: executor.EndedDone, platform.EndFailed: executor.EndedFailed,
-	platform.EndStopped: executor.EndedStopped, platform.EndLapsed: executor.EndedLapsed,
+	platform.EndStopped: executor.EndedStopped, platform.EndLeaseExpired: executor.EndedLapsed,
 	platform.EndBroken: executor.EndedBroken, platform.EndAlone: executor.EndedAlone,
 }
 
