--- a/internal/shards/orders.go
+++ b/internal/shards/orders.go
@@ -98,7 +98,7 @@
 var endedHow = map[platform.EndReason]executor.HowEnded{
 	platform.EndDone: executor.EndedDone, platform.EndFailed: executor.EndedFailed,
 	platform.EndStopped: executor.EndedStopped, platform.EndLeaseExpired: executor.EndedLapsed,
-	platform.EndGangBroken: executor.EndedBroken, platform.EndAlone: executor.EndedAlone,
+	platform.EndGangBroken: executor.EndedBroken, platform.EndGangIncomplete: executor.EndedAlone,
 }
 
 func listedOf(in platform.RenewalResponse) executor.Listed {
