--- a/internal/shards/orders.go
+++ b/internal/shards/orders.go
@@ -52,7 +52,7 @@
 	switch refused.Reason {
 	case platform.RefusedFence:
 		return executor.OrderFenced
-	case platform.RefusedOld:
+	case platform.RefusedRunEnded:
 		return executor.OrderOld
 	case platform.RefusedLate:
 		return executor.OrderLate
