--- a/internal/shards/orders.go
+++ b/internal/shards/orders.go
@@ -54,7 +54,7 @@
 		return executor.OrderFenced
 	case platform.RefusedRunEnded:
 		return executor.OrderOld
-	case platform.RefusedLate:
+	case platform.RefusedLeaseExpired:
 		return executor.OrderLate
 	case platform.RefusedRoom:
 		return executor.OrderNoRoom
