--- a/internal/shards/orders.go
+++ b/internal/shards/orders.go
@@ -56,7 +56,7 @@
 		return executor.OrderOld
 	case platform.RefusedLeaseExpired:
 		return executor.OrderLate
-	case platform.RefusedRoom:
+	case platform.RefusedNoCapacity:
 		return executor.OrderNoRoom
 	case platform.RefusedTicket:
 		return executor.OrderNoTicket
