--- a/internal/shards/orders.go
+++ b/internal/shards/orders.go
@@ -108,7 +108,7 @@
 			Percent: run.Percent})
 	}
 	for _, end := range in.Ended {
-		how, known := endedHow[end.How]
+		how, known := endedHow[end.Reason]
 		if !known {
 			how = executor.EndedStopped
 		}
