--- a/internal/executor/place.go
+++ b/internal/executor/place.go
@@ -34,7 +34,7 @@
 	e.used = e.used.Plus(needs(t.step.spec))
 	t.step.perHost[e]++
 	t.step.job.placed++
-	c.allowance.Take(t.step.job.rec.Account, declared(t.step.spec))
+	c.allowance.AddUsage(t.step.job.rec.Account, declared(t.step.spec))
 	t.beginTrial()
 }
 
--- a/internal/quota/allowance.go
+++ b/internal/quota/allowance.go
@@ -62,8 +62,8 @@
 	}
 }
 
-// Take adds an amount to the account's usage, before it may start to run.
-func (a *Allowance) Take(account string, amount Amount) {
+// AddUsage adds an amount to the account's usage, before it may start to run.
+func (a *Allowance) AddUsage(account string, amount Amount) {
 	if account != "" {
 		u := a.usageOf(account)
 		u.amount = u.amount.Plus(amount)
--- a/internal/quota/ledger_test.go
+++ b/internal/quota/ledger_test.go
@@ -41,7 +41,7 @@
 	for range 10 {
 		round(map[string]map[string]Waiting{"rooms": waiting(4)})
 		if owners["rooms"].Fits("alpha", task, 1) {
-			owners["rooms"].Take("alpha", task)
+			owners["rooms"].AddUsage("alpha", task)
 		}
 	}
 	g.Expect(owners["rooms"].Fits("alpha", task, 1)).To(BeFalse(), "the pool already uses the whole limit")
--- a/internal/quota/property_test.go
+++ b/internal/quota/property_test.go
@@ -136,7 +136,7 @@
 	}
 	o := &simOwner{allowance: NewAllowance(), config: w.randomConfigInUse(), proven: w.now}
 	for _, r := range p.running {
-		o.allowance.Take(r.account, r.amount)
+		o.allowance.AddUsage(r.account, r.amount)
 	}
 	grants, err := GrantsOf(w.records(), p.name)
 	if err != nil {
@@ -262,7 +262,7 @@
 }
 
 func (w *simulation) start(p *simPool, r simRun) {
-	p.owner.allowance.Take(r.account, r.amount)
+	p.owner.allowance.AddUsage(r.account, r.amount)
 	r.until = w.now + time.Duration(100+w.rng.IntN(2500))*time.Millisecond
 	p.running = append(p.running, r)
 	w.started++
