--- a/internal/executor/place.go
+++ b/internal/executor/place.go
@@ -50,7 +50,7 @@
 		delete(t.step.perHost, e)
 	}
 	t.step.job.placed--
-	c.allowance.Give(t.step.job.rec.Account, declared(t.step.spec))
+	c.allowance.RemoveUsage(t.step.job.rec.Account, declared(t.step.spec))
 	t.host = nil
 	t.ordered, t.confirmed, t.stopSent = 0, 0, 0
 	t.answered, t.resending, t.stopping, t.proven, t.restored, t.resumed = false, false, false, false, false, false
--- a/internal/quota/allowance.go
+++ b/internal/quota/allowance.go
@@ -70,9 +70,9 @@
 	}
 }
 
-// Give subtracts an amount from the account's usage, once it is certain that it no longer
+// RemoveUsage subtracts an amount from the account's usage, once it is certain that it no longer
 // runs.
-func (a *Allowance) Give(account string, amount Amount) {
+func (a *Allowance) RemoveUsage(account string, amount Amount) {
 	if account != "" {
 		u := a.usageOf(account)
 		u.amount = u.amount.Minus(amount)
--- a/internal/quota/ledger_test.go
+++ b/internal/quota/ledger_test.go
@@ -48,7 +48,7 @@
 	for range 10 {
 		round(map[string]map[string]Waiting{"tabs": waiting(3)}) // the tasks in rooms keep running
 	}
-	owners["rooms"].Give("alpha", task.Times(3))
+	owners["rooms"].RemoveUsage("alpha", task.Times(3))
 	for range 20 {
 		round(map[string]map[string]Waiting{"tabs": waiting(3)})
 	}
--- a/internal/quota/property_test.go
+++ b/internal/quota/property_test.go
@@ -245,7 +245,7 @@
 			if r.until > w.now {
 				return false
 			}
-			p.owner.allowance.Give(r.account, r.amount)
+			p.owner.allowance.RemoveUsage(r.account, r.amount)
 			return true
 		})
 		if w.now < p.owner.frozen {
