--- a/internal/fleetops/run.go
+++ b/internal/fleetops/run.go
@@ -225,7 +225,7 @@
 		return err
 	}
 	r.state.Saved(planlease.Boottime())
-	r.shares.Saved(planlease.Boottime())
+	r.shares.MarkSaved(planlease.Boottime())
 	for _, e := range actions.Events {
 		r.opts.Logger.Info(e.What, "epoch", r.tenure.Epoch, "instance", e.Instance, "reason", e.Reason, "wave", e.Wave, "pool", e.Pool)
 	}
--- a/internal/quota/ledger_test.go
+++ b/internal/quota/ledger_test.go
@@ -25,7 +25,7 @@
 	round := func(wants map[string]map[string]Waiting) {
 		now += 100 * time.Millisecond
 		l.Decide(now, d, pools)
-		l.Saved(now)
+		l.MarkSaved(now)
 		for _, pool := range pools {
 			ask := l.Ask(pool)
 			owners[pool].Grant(ask.Grants)
--- a/internal/quota/property_test.go
+++ b/internal/quota/property_test.go
@@ -192,7 +192,7 @@
 	for _, r := range records {
 		w.journal[r.Key] = r.Value
 	}
-	h.ledger.Saved(w.now)
+	h.ledger.MarkSaved(w.now)
 	for _, p := range w.pools {
 		w.askPool(h, p)
 	}
--- a/internal/quota/records.go
+++ b/internal/quota/records.go
@@ -36,8 +36,8 @@
 	return out, nil
 }
 
-// Saved marks the records that TakeRecords returned last as durable.
-func (l *Ledger) Saved(now time.Duration) {
+// MarkSaved marks the records that TakeRecords returned last as durable.
+func (l *Ledger) MarkSaved(now time.Duration) {
 	for _, e := range l.byAccount {
 		if e.dirty {
 			e.dirty, e.recordedAt = false, now
