--- a/internal/quota/ledger.go
+++ b/internal/quota/ledger.go
@@ -12,8 +12,9 @@
 const (
 	// reportFreshness is how long a reported demand is used after its arrival.
 	reportFreshness = 2 * time.Second
-	// minShareStep is the smallest change of a share unless it meets the pool's demand in
-	// full, because each change costs a durable record.
+	// minShareStep is the smallest change of a share, because each change costs a durable
+	// record. A raise that meets the pool's demand in full and the removal of a smaller
+	// share are exempt.
 	minShareStep = Whole / 50
 	// raisedShareHold is how long a pool keeps a share that was just raised, to give it time
 	// to receive the grant and start tasks.
@@ -85,29 +86,29 @@
 	reported := map[string]bool{}
 	for _, r := range reports {
 		reported[r.Account] = true
-		e := l.byAccount[r.Account]
-		if e == nil {
-			e = l.openAccount(r.Account)
+		s := l.byAccount[r.Account]
+		if s == nil {
+			s = l.openAccount(r.Account)
 		}
-		if e != nil {
-			e.observe(pool, poolReport{receivedAt: now, provenAt: proven, report: r})
+		if s != nil {
+			s.observe(pool, poolReport{receivedAt: now, provenAt: proven, report: r})
 		}
 	}
-	for account, e := range l.byAccount {
-		if last, found := e.lastReports[pool]; found && !reported[account] {
-			e.observe(pool, poolReport{receivedAt: now, provenAt: proven, report: Report{Account: account, Rev: last.report.Rev}})
+	for account, s := range l.byAccount {
+		if last, found := s.lastReports[pool]; found && !reported[account] {
+			s.observe(pool, poolReport{receivedAt: now, provenAt: proven, report: Report{Account: account, Rev: last.report.Rev}})
 		}
 	}
 }
 
-func (e *accountShares) observe(pool string, v poolReport) {
-	e.lastReports[pool] = v
-	p := e.Pools[pool]
-	if !e.dirty && e.hasConfirmed(pool) {
+func (s *accountShares) observe(pool string, r poolReport) {
+	s.lastReports[pool] = r
+	p := s.Pools[pool]
+	if !s.dirty && s.hasConfirmed(pool) {
 		p.Reserved = p.Share
 	}
-	p.Reserved = max(p.Reserved, v.report.Used.shareOf(e.Limit))
-	e.Pools[pool] = p
+	p.Reserved = max(p.Reserved, r.report.Used.shareOf(s.Limit))
+	s.Pools[pool] = p
 }
 
 // openAccount creates an account's shares, equal for all pools. This is safe because no task
@@ -118,15 +119,15 @@
 		return nil
 	}
 	published, _ := l.directory.Account(account)
-	e := newAccountShares()
-	e.Limit, e.Ceiling, e.Pools = published.Limit, published.Limit, map[string]poolShare{}
+	s := newAccountShares()
+	s.Limit, s.Ceiling, s.Pools = published.Limit, published.Limit, map[string]poolShare{}
 	share := Whole / Share(len(l.pools))
 	for _, pool := range l.pools {
-		e.Pools[pool] = poolShare{Share: share, Reserved: share}
+		s.Pools[pool] = poolShare{Share: share, Reserved: share}
 	}
-	e.markChanged()
-	l.byAccount[account] = e
-	return e
+	s.markChanged()
+	l.byAccount[account] = s
+	return s
 }
 
 // Decide applies changed limits and moves shares to the pools that need them. Accounts with
@@ -134,15 +135,15 @@
 func (l *Ledger) Decide(now time.Duration, directory *accounts.Directory, pools []string) {
 	l.directory, l.pools = directory, pools
 	l.preopenAccounts()
-	for account, e := range l.byAccount {
-		if e.dirty {
+	for account, s := range l.byAccount {
+		if s.dirty {
 			continue
 		}
-		limit := e.Limit // kept for an account that is no longer published, as its jobs continue
+		limit := s.Limit // kept for an account that is no longer published, as its jobs continue
 		if published, ok := directory.Account(account); ok {
 			limit = published.Limit
 		}
-		l.decideAccount(now, e, limit)
+		l.decideAccount(now, s, limit)
 	}
 }
 
@@ -164,45 +165,45 @@
 // blocked until the usage of all pools has been counted. A limit is raised only after all
 // owners have confirmed the higher Ceiling, so that each of them pauses if the limit is
 // lowered again.
-func (l *Ledger) decideAccount(now time.Duration, e *accountShares, limit accounts.Limit) {
+func (l *Ledger) decideAccount(now time.Duration, s *accountShares, limit accounts.Limit) {
 	switch {
-	case !limit.AtLeast(e.Limit):
-		e.Limit, e.Checking = e.Limit.Lower(limit), true
-		e.markChanged()
-	case e.Checking:
-		if l.allPoolsConfirmed(e) {
-			l.applyLoweredLimit(e, limit)
+	case !limit.AtLeast(s.Limit):
+		s.Limit, s.Checking = s.Limit.Lower(limit), true
+		s.markChanged()
+	case s.Checking:
+		if l.allPoolsConfirmed(s) {
+			l.applyLoweredLimit(s, limit)
 		}
-	case e.Ceiling != limit:
-		e.Ceiling = limit
-		e.markChanged()
-	case e.Limit == limit:
-		l.rebalance(now, e)
-	case l.allPoolsConfirmed(e) && e.unallocated() >= 0:
-		e.Limit = limit
-		e.markChanged()
+	case s.Ceiling != limit:
+		s.Ceiling = limit
+		s.markChanged()
+	case s.Limit == limit:
+		l.rebalance(now, s)
+	case l.allPoolsConfirmed(s) && s.unallocated() >= 0:
+		s.Limit = limit
+		s.markChanged()
 	}
 }
 
 // unallocated returns the share that no pool has or may still use. It is negative if pools
 // use more than a lowered limit allows.
-func (e *accountShares) unallocated() Share {
+func (s *accountShares) unallocated() Share {
 	free := Whole
-	for _, p := range e.Pools {
+	for _, p := range s.Pools {
 		free -= max(p.Reserved, p.Share)
 	}
 	return free
 }
 
-func (e *accountShares) markChanged() {
-	e.Rev++
-	e.dirty = true
+func (s *accountShares) markChanged() {
+	s.Rev++
+	s.dirty = true
 }
 
 // allPoolsConfirmed reports whether the owners of all pools have confirmed the newest record.
-func (l *Ledger) allPoolsConfirmed(e *accountShares) bool {
+func (l *Ledger) allPoolsConfirmed(s *accountShares) bool {
 	for _, pool := range l.pools {
-		if _, found := e.Pools[pool]; found && !e.hasConfirmed(pool) {
+		if _, found := s.Pools[pool]; found && !s.hasConfirmed(pool) {
 			return false
 		}
 	}
@@ -211,56 +212,56 @@
 
 // hasConfirmed reports whether a pool's owner has applied the newest record and was proven to
 // be the newest owner after that record became durable.
-func (e *accountShares) hasConfirmed(pool string) bool {
-	v := e.lastReports[pool]
-	return v.report.Rev >= e.Rev && v.provenAt >= e.recordedAt
+func (s *accountShares) hasConfirmed(pool string) bool {
+	last := s.lastReports[pool]
+	return last.report.Rev >= s.Rev && last.provenAt >= s.recordedAt
 }
 
 // applyLoweredLimit ends the check of a lowered limit once the shares keep all pools within
 // it. Otherwise it lowers shares, which all owners have to confirm before the next check.
-func (l *Ledger) applyLoweredLimit(e *accountShares, limit accounts.Limit) {
-	if e.unallocated() < 0 && e.lowerShares() {
-		e.markChanged()
+func (l *Ledger) applyLoweredLimit(s *accountShares, limit accounts.Limit) {
+	if s.unallocated() < 0 && s.lowerShares() {
+		s.markChanged()
 		return
 	}
-	e.Ceiling, e.Checking = limit, false
-	e.markChanged()
+	s.Ceiling, s.Checking = limit, false
+	s.markChanged()
 }
 
 // lowerShares lowers each share to the pool's usage plus an equal part of what is unused. It
 // reports whether any share changed.
-func (e *accountShares) lowerShares() bool {
+func (s *accountShares) lowerShares() bool {
 	used, total := map[string]Share{}, Share(0)
-	for pool, p := range e.Pools {
-		used[pool] = e.lastReports[pool].report.Used.shareOf(e.Limit)
-		if !e.hasConfirmed(pool) {
+	for pool, p := range s.Pools {
+		used[pool] = s.lastReports[pool].report.Used.shareOf(s.Limit)
+		if !s.hasConfirmed(pool) {
 			used[pool] = p.Reserved // the pool has no owner any more that could report its usage
 		}
 		total += used[pool]
 	}
 	lowered := false
-	for pool, p := range e.Pools {
+	for pool, p := range s.Pools {
 		share := Share(0)
 		if total < Whole {
-			share = min(p.Share, used[pool]+(Whole-total)/Share(len(e.Pools)))
+			share = min(p.Share, used[pool]+(Whole-total)/Share(len(s.Pools)))
 		}
 		lowered = lowered || share < p.Share
 		p.Share = share
-		e.Pools[pool] = p
+		s.Pools[pool] = p
 	}
 	return lowered
 }
 
 // rebalance moves shares if any pool requests more than its share.
-func (l *Ledger) rebalance(now time.Duration, e *accountShares) {
+func (l *Ledger) rebalance(now time.Duration, s *accountShares) {
 	demands, unmet := map[string]demand{}, false
 	for _, pool := range l.pools {
-		c := e.demandOf(now, pool)
-		demands[pool] = c
-		unmet = unmet || c.want > e.Pools[pool].Share
+		d := s.demandOf(now, pool)
+		demands[pool] = d
+		unmet = unmet || d.want > s.Pools[pool].Share
 	}
 	if unmet {
-		l.moveShares(now, e, demands, targetShares(demands))
+		l.moveShares(now, s, demands, targetShares(demands))
 	}
 }
 
@@ -277,65 +278,65 @@
 	recentlyRaised bool
 }
 
-// demandOf returns a pool's demand. A pool without a fresh report is assumed to need what it
-// last used.
-func (e *accountShares) demandOf(now time.Duration, pool string) demand {
-	v, ok := e.lastReports[pool]
+// demandOf returns a pool's demand. A pool whose last report is outdated is assumed to need
+// what it used then, and one that has never reported keeps its share.
+func (s *accountShares) demandOf(now time.Duration, pool string) demand {
+	last, ok := s.lastReports[pool]
 	if !ok {
-		share := e.Pools[pool].Share
+		share := s.Pools[pool].Share
 		return demand{want: share, least: share}
 	}
-	used := min(Whole, v.report.Used.shareOf(e.Limit))
-	c := demand{want: used, least: used}
-	if now-v.receivedAt < reportFreshness {
-		c.want = min(Whole, v.report.Want.shareOf(e.Limit))
-		c.least = min(Whole, v.report.Least.shareOf(e.Limit))
+	used := min(Whole, last.report.Used.shareOf(s.Limit))
+	d := demand{want: used, least: used}
+	if now-last.receivedAt < reportFreshness {
+		d.want = min(Whole, last.report.Want.shareOf(s.Limit))
+		d.least = min(Whole, last.report.Least.shareOf(s.Limit))
 	}
-	if c.least <= e.Pools[pool].Share || c.want <= used {
-		delete(e.shortSince, pool)
-	} else if e.shortSince[pool] == 0 {
-		e.shortSince[pool] = now
+	if d.least <= s.Pools[pool].Share || d.want <= used {
+		delete(s.shortSince, pool)
+	} else if s.shortSince[pool] == 0 {
+		s.shortSince[pool] = now
 	}
-	c.shortSince = e.shortSince[pool]
-	if c.want > used && now-e.raisedAt[pool] < raisedShareHold {
-		c.recentlyRaised, c.least = true, max(c.least, min(c.want, e.Pools[pool].Share))
+	d.shortSince = s.shortSince[pool]
+	if d.want > used && now-s.raisedAt[pool] < raisedShareHold {
+		d.recentlyRaised, d.least = true, max(d.least, min(d.want, s.Pools[pool].Share))
 	}
-	return c
+	return d
 }
 
 // moveShares lowers shares that are above their targets and raises others from the
 // unallocated share. Unallocated share is set aside for the pool that has waited longest
 // until it is enough to start something there.
-func (l *Ledger) moveShares(now time.Duration, e *accountShares, demands map[string]demand, targets map[string]Share) {
-	free, changed := e.unallocated(), false
+func (l *Ledger) moveShares(now time.Duration, s *accountShares, demands map[string]demand, targets map[string]Share) {
+	free, changed := s.unallocated(), false
 	order := byPriority(demands)
 	for _, pool := range order {
-		p, target := e.Pools[pool], targets[pool]
+		p, target := s.Pools[pool], targets[pool]
 		if target < p.Share && p.Share-target >= min(minShareStep, p.Share) {
 			p.Share = target
-			e.Pools[pool] = p
+			s.Pools[pool] = p
 			changed = true
 		}
 	}
 	for _, pool := range order {
-		p, c := e.Pools[pool], demands[pool]
+		p, d := s.Pools[pool], demands[pool]
 		more := min(targets[pool]-p.Share, free)
-		if more <= 0 || c.want <= p.Share {
+		if more <= 0 || d.want <= p.Share {
 			continue
 		}
-		if p.Share+more < c.least || more < minShareStep && p.Share+more < c.want {
+		if p.Share+more < d.least || more < minShareStep && p.Share+more < d.want {
 			free -= more
 			continue
 		}
 		free -= more
 		p.Share += more
 		p.Reserved = max(p.Reserved, p.Share)
-		e.Pools[pool] = p
-		e.raisedAt[pool] = now
+		s.Pools[pool] = p
+		s.raisedAt[pool] = now
 		changed = true
 	}
 	if changed {
-		e.markChanged()
+		s.markChanged()
 	}
 }
 
@@ -343,20 +344,20 @@
 // remainder. If the demands exceed the limit, it is rationed.
 func targetShares(demands map[string]demand) map[string]Share {
 	sum := Share(0)
-	for _, c := range demands {
-		sum += c.want
+	for _, d := range demands {
+		sum += d.want
 	}
 	if sum > Whole {
 		return rationShares(demands)
 	}
 	out := make(map[string]Share, len(demands))
 	left := float64(Whole - sum)
-	for pool, c := range demands {
+	for pool, d := range demands {
 		extra := left * evenSplitFraction / float64(len(demands))
 		if sum > 0 {
-			extra += left * (1 - evenSplitFraction) * float64(c.want) / float64(sum)
+			extra += left * (1 - evenSplitFraction) * float64(d.want) / float64(sum)
 		}
-		out[pool] = c.want + Share(extra)
+		out[pool] = d.want + Share(extra)
 	}
 	return out
 }
@@ -371,9 +372,9 @@
 	out, left := make(map[string]Share, len(demands)), Whole
 	var served []string
 	for _, pool := range pools {
-		if c := demands[pool]; c.least <= left {
-			out[pool] = c.least
-			left -= c.least
+		if d := demands[pool]; d.least <= left {
+			out[pool] = d.least
+			left -= d.least
 			served = append(served, pool)
 		}
 	}
@@ -412,12 +413,12 @@
 
 // Pending reports whether a change waits for its record or for a pool owner's confirmation.
 func (l *Ledger) Pending() bool {
-	for _, e := range l.byAccount {
-		if e.dirty {
+	for _, s := range l.byAccount {
+		if s.dirty {
 			return true
 		}
-		for pool := range e.Pools {
-			if e.awaitsConfirmation(pool) {
+		for pool := range s.Pools {
+			if s.awaitsConfirmation(pool) {
 				return true
 			}
 		}
@@ -427,9 +428,9 @@
 
 // awaitsConfirmation reports whether a change waits for a pool's owner, which may still use a
 // share that has been lowered or may not have received a changed limit.
-func (e *accountShares) awaitsConfirmation(pool string) bool {
-	p := e.Pools[pool]
-	return (p.Reserved > p.Share || e.Checking || e.Ceiling != e.Limit) && !e.hasConfirmed(pool)
+func (s *accountShares) awaitsConfirmation(pool string) bool {
+	p := s.Pools[pool]
+	return (p.Reserved > p.Share || s.Checking || s.Ceiling != s.Limit) && !s.hasConfirmed(pool)
 }
 
 // Ask is the request to a pool's owner: grants to apply, and what to report on.
@@ -444,16 +445,16 @@
 // Ask returns the next request to a pool's owner. It contains durable grants only.
 func (l *Ledger) Ask(pool string) Ask {
 	var a Ask
-	for account, e := range l.byAccount {
-		p, found := e.Pools[pool]
-		if e.dirty || !found {
+	for account, s := range l.byAccount {
+		p, found := s.Pools[pool]
+		if s.dirty || !found {
 			continue
 		}
-		awaiting := e.awaitsConfirmation(pool)
-		if e.lastReports[pool].report.Rev >= e.Rev && !awaiting {
+		awaiting := s.awaitsConfirmation(pool)
+		if s.lastReports[pool].report.Rev >= s.Rev && !awaiting {
 			continue
 		}
-		a.Grants = append(a.Grants, Grant{Account: account, Share: p.Share, Limit: e.Limit, Ceiling: e.Ceiling, Rev: e.Rev})
+		a.Grants = append(a.Grants, Grant{Account: account, Share: p.Share, Limit: s.Limit, Ceiling: s.Ceiling, Rev: s.Rev})
 		a.Prove = a.Prove || awaiting
 	}
 	slices.SortFunc(a.Grants, func(x, y Grant) int { return strings.Compare(x.Account, y.Account) })
--- a/internal/quota/property_test.go
+++ b/internal/quota/property_test.go
@@ -71,8 +71,8 @@
 }
 
 type message struct {
-	at time.Duration
-	do func()
+	at      time.Duration
+	deliver func()
 }
 
 const tick = 10 * time.Millisecond
@@ -94,94 +94,94 @@
 }
 
 func newSimulation(seed uint64) *simulation {
-	w := &simulation{rng: rand.New(rand.NewPCG(seed, 5)), now: time.Second, journal: map[string][]byte{}}
-	w.configs = []*accounts.Directory{randomDirectory(w.rng)}
-	for i := range 2 + w.rng.IntN(4) {
-		w.pools = append(w.pools, &simPool{name: fmt.Sprintf("pool-%d", i)})
+	s := &simulation{rng: rand.New(rand.NewPCG(seed, 5)), now: time.Second, journal: map[string][]byte{}}
+	s.configs = []*accounts.Directory{randomDirectory(s.rng)}
+	for i := range 2 + s.rng.IntN(4) {
+		s.pools = append(s.pools, &simPool{name: fmt.Sprintf("pool-%d", i)})
 	}
-	w.newHolder()
-	for _, p := range w.pools {
-		w.newOwner(p)
+	s.newHolder()
+	for _, p := range s.pools {
+		s.newOwner(p)
 	}
-	return w
+	return s
 }
 
-func (w *simulation) records() []Record {
+func (s *simulation) records() []Record {
 	var out []Record
-	for key, value := range w.journal {
+	for key, value := range s.journal {
 		out = append(out, Record{Key: key, Value: value})
 	}
 	slices.SortFunc(out, func(a, b Record) int { return slices.Compare([]byte(a.Key), []byte(b.Key)) })
 	return out
 }
 
-func (w *simulation) newHolder() {
-	if w.holder != nil {
-		w.holder.fenced = true
+func (s *simulation) newHolder() {
+	if s.holder != nil {
+		s.holder.fenced = true
 	}
-	h := &simHolder{ledger: NewLedger(), config: w.randomConfigInUse(), asked: map[string]time.Duration{}}
-	for _, r := range w.records() {
-		if err := h.ledger.Restore(r, w.now); err != nil {
+	h := &simHolder{ledger: NewLedger(), config: s.randomConfigInUse(), asked: map[string]time.Duration{}}
+	for _, r := range s.records() {
+		if err := h.ledger.Restore(r, s.now); err != nil {
 			panic(err)
 		}
 	}
-	w.holder = h
+	s.holder = h
 }
 
 // newOwner makes another owner claim a pool. It recovers the running tasks and the records.
-func (w *simulation) newOwner(p *simPool) {
+func (s *simulation) newOwner(p *simPool) {
 	if p.owner != nil {
 		p.owner.fenced = true
 		p.former = append(p.former, p.owner)
 	}
-	o := &simOwner{allowance: NewAllowance(), config: w.randomConfigInUse(), proven: w.now}
+	o := &simOwner{allowance: NewAllowance(), config: s.randomConfigInUse(), proven: s.now}
 	for _, r := range p.running {
 		o.allowance.AddUsage(r.account, r.amount)
 	}
-	grants, err := GrantsOf(w.records(), p.name)
+	grants, err := GrantsOf(s.records(), p.name)
 	if err != nil {
 		panic(err)
 	}
-	o.allowance.SetDirectory(w.configs[o.config])
+	o.allowance.SetDirectory(s.configs[o.config])
 	o.allowance.Grant(grants)
 	p.owner = o
 }
 
 // randomConfigInUse returns the index of a configuration that a process may currently use.
-func (w *simulation) randomConfigInUse() int {
-	return w.oldestInForce + w.rng.IntN(len(w.configs)-w.oldestInForce)
+func (s *simulation) randomConfigInUse() int {
+	return s.oldestInForce + s.rng.IntN(len(s.configs)-s.oldestInForce)
 }
 
-func (w *simulation) schedule(most time.Duration, do func()) {
-	w.messages = append(w.messages, message{w.now + time.Duration(w.rng.Int64N(int64(most))), do})
+func (s *simulation) schedule(most time.Duration, do func()) {
+	s.messages = append(s.messages, message{s.now + time.Duration(s.rng.Int64N(int64(most))), do})
 }
 
-func (w *simulation) deliver() {
-	waiting := w.messages
-	w.messages = nil
+func (s *simulation) deliver() {
+	waiting := s.messages
+	s.messages = nil
 	for _, m := range waiting {
-		if m.at > w.now {
-			w.messages = append(w.messages, m)
+		if m.at > s.now {
+			s.messages = append(s.messages, m)
 			continue
 		}
-		m.do()
+		m.deliver()
 	}
 }
 
-func (w *simulation) poolNames() []string {
+func (s *simulation) poolNames() []string {
 	var names []string
-	for _, p := range w.pools {
+	for _, p := range s.pools {
 		names = append(names, p.name)
 	}
 	return names
 }
 
 // runRound runs one round of a holder: decide, persist, and ask all pool owners.
-func (w *simulation) runRound(h *simHolder) {
-	if w.now < h.frozen {
+func (s *simulation) runRound(h *simHolder) {
+	if s.now < h.frozen {
 		return
 	}
-	h.ledger.Decide(w.now, w.configs[h.config], w.poolNames())
+	h.ledger.Decide(s.now, s.configs[h.config], s.poolNames())
 	records, err := h.ledger.TakeRecords()
 	if err != nil {
 		panic(err)
@@ -190,41 +190,41 @@
 		return
 	}
 	for _, r := range records {
-		w.journal[r.Key] = r.Value
+		s.journal[r.Key] = r.Value
 	}
-	h.ledger.MarkSaved(w.now)
-	for _, p := range w.pools {
-		w.askPool(h, p)
+	h.ledger.MarkSaved(s.now)
+	for _, p := range s.pools {
+		s.askPool(h, p)
 	}
 }
 
-func (w *simulation) askPool(h *simHolder, p *simPool) {
-	if w.now-h.asked[p.name] < 100*time.Millisecond || w.rng.IntN(10) == 0 {
+func (s *simulation) askPool(h *simHolder, p *simPool) {
+	if s.now-h.asked[p.name] < 100*time.Millisecond || s.rng.IntN(10) == 0 {
 		return
 	}
-	h.asked[p.name] = w.now
-	asked, ask := w.now, h.ledger.Ask(p.name)
+	h.asked[p.name] = s.now
+	asked, ask := s.now, h.ledger.Ask(p.name)
 	to := p.owner
-	if n := len(p.former); n > 0 && w.rng.IntN(4) == 0 {
+	if n := len(p.former); n > 0 && s.rng.IntN(4) == 0 {
 		to = p.former[n-1]
 	}
-	w.schedule(300*time.Millisecond, func() {
-		if w.now < to.frozen {
+	s.schedule(300*time.Millisecond, func() {
+		if s.now < to.frozen {
 			return
 		}
 		to.allowance.Grant(ask.Grants)
 		reports := to.allowance.Reports(ask.Grants, p.waitingByAccount())
 		proven := to.proven
-		if !to.fenced && (ask.Prove || w.rng.IntN(2) == 0) {
-			to.proven = w.now
-			proven = w.now
+		if !to.fenced && (ask.Prove || s.rng.IntN(2) == 0) {
+			to.proven = s.now
+			proven = s.now
 		}
-		if ask.Prove && to.fenced || w.rng.IntN(10) == 0 {
+		if ask.Prove && to.fenced || s.rng.IntN(10) == 0 {
 			return
 		}
-		answeredAt := w.now
-		w.schedule(300*time.Millisecond, func() {
-			h.ledger.Observe(w.now, asked-(answeredAt-proven), p.name, reports)
+		answeredAt := s.now
+		s.schedule(300*time.Millisecond, func() {
+			h.ledger.Observe(s.now, asked-(answeredAt-proven), p.name, reports)
 		})
 	})
 }
@@ -239,69 +239,69 @@
 	return out
 }
 
-func (w *simulation) runTasks() {
-	for _, p := range w.pools {
+func (s *simulation) runTasks() {
+	for _, p := range s.pools {
 		p.running = slices.DeleteFunc(p.running, func(r simRun) bool {
-			if r.until > w.now {
+			if r.until > s.now {
 				return false
 			}
 			p.owner.allowance.RemoveUsage(r.account, r.amount)
 			return true
 		})
-		if w.now < p.owner.frozen {
+		if s.now < p.owner.frozen {
 			continue
 		}
 		p.waiting = slices.DeleteFunc(p.waiting, func(r simRun) bool {
 			if !p.owner.allowance.Fits(r.account, r.amount, r.tasks) {
 				return false
 			}
-			w.start(p, r)
+			s.start(p, r)
 			return true
 		})
 	}
 }
 
-func (w *simulation) start(p *simPool, r simRun) {
+func (s *simulation) start(p *simPool, r simRun) {
 	p.owner.allowance.AddUsage(r.account, r.amount)
-	r.until = w.now + time.Duration(100+w.rng.IntN(2500))*time.Millisecond
+	r.until = s.now + time.Duration(100+s.rng.IntN(2500))*time.Millisecond
 	p.running = append(p.running, r)
-	w.started++
-	sum := w.running(r.account)
-	for _, d := range w.configs[w.oldestInForce:] {
+	s.started++
+	sum := s.running(r.account)
+	for _, d := range s.configs[s.oldestInForce:] {
 		a, _ := d.Account(r.account)
 		if sum.within(a.Limit, Whole) || r.tasks == 1 && sum == r.amount {
 			return
 		}
 	}
-	w.violations = append(w.violations, fmt.Sprintf("%v: %s has %+v running after a start in %s", w.now, r.account, sum, p.name))
+	s.violations = append(s.violations, fmt.Sprintf("%v: %s has %+v running after a start in %s", s.now, r.account, sum, p.name))
 }
 
 // recordStarvation records a violation for each task that has waited for 3 s without a break
 // while its account used at most half of its limit and the task would have fitted twice. It
 // skips accounts with a waiting start of more than half of the limit, which may have to wait
 // for all others to end.
-func (w *simulation) recordStarvation() {
-	for _, p := range w.pools {
+func (s *simulation) recordStarvation() {
+	for _, p := range s.pools {
 		for i := range p.waiting {
 			r := &p.waiting[i]
-			a, _ := w.configs[len(w.configs)-1].Account(r.account)
-			running := w.running(r.account)
-			if w.hasLargeStart(r.account, a.Limit) || !running.Times(2).within(a.Limit, Whole) || !running.Plus(r.amount.Times(2)).within(a.Limit, Whole) {
+			a, _ := s.configs[len(s.configs)-1].Account(r.account)
+			running := s.running(r.account)
+			if s.hasLargeStart(r.account, a.Limit) || !running.Times(2).within(a.Limit, Whole) || !running.Plus(r.amount.Times(2)).within(a.Limit, Whole) {
 				r.startableSince = 0
 				continue
 			}
 			if r.startableSince == 0 {
-				r.startableSince = w.now
+				r.startableSince = s.now
 			}
-			if w.now-r.startableSince > 3*time.Second {
-				w.violations = append(w.violations, fmt.Sprintf("%v: %s waits in %s with %+v running for %+v", w.now, r.account, p.name, running, r.amount))
+			if s.now-r.startableSince > 3*time.Second {
+				s.violations = append(s.violations, fmt.Sprintf("%v: %s waits in %s with %+v running for %+v", s.now, r.account, p.name, running, r.amount))
 			}
 		}
 	}
 }
 
-func (w *simulation) hasLargeStart(account string, limit accounts.Limit) bool {
-	for _, p := range w.pools {
+func (s *simulation) hasLargeStart(account string, limit accounts.Limit) bool {
+	for _, p := range s.pools {
 		for _, r := range p.waiting {
 			if r.account == account && !r.amount.Times(2).within(limit, Whole) {
 				return true
@@ -312,9 +312,9 @@
 }
 
 // running returns the amount that an account has running in all pools.
-func (w *simulation) running(account string) Amount {
+func (s *simulation) running(account string) Amount {
 	sum := Amount{}
-	for _, p := range w.pools {
+	for _, p := range s.pools {
 		for _, r := range p.running {
 			if r.account == account {
 				sum = sum.Plus(r.amount)
@@ -326,83 +326,83 @@
 
 // injectFault replaces or pauses an owner or the holder, revives a fenced holder, or publishes
 // a configuration.
-func (w *simulation) injectFault() {
-	p := w.pools[w.rng.IntN(len(w.pools))]
-	switch w.rng.IntN(7) {
+func (s *simulation) injectFault() {
+	p := s.pools[s.rng.IntN(len(s.pools))]
+	switch s.rng.IntN(7) {
 	case 0:
-		w.newOwner(p)
+		s.newOwner(p)
 	case 1:
-		w.newHolder()
+		s.newHolder()
 	case 2:
-		p.owner.frozen = w.now + time.Duration(w.rng.IntN(4000))*time.Millisecond
+		p.owner.frozen = s.now + time.Duration(s.rng.IntN(4000))*time.Millisecond
 	case 3:
-		w.holder.frozen = w.now + time.Duration(w.rng.IntN(4000))*time.Millisecond
+		s.holder.frozen = s.now + time.Duration(s.rng.IntN(4000))*time.Millisecond
 	case 4:
-		former := w.holder
-		w.newHolder()
-		w.schedule(2*time.Second, func() { w.runRound(former) })
+		former := s.holder
+		s.newHolder()
+		s.schedule(2*time.Second, func() { s.runRound(former) })
 	case 5:
-		w.publish()
+		s.publish()
 	}
 }
 
 // publish publishes a new configuration. Processes apply it at different times, so that for a
 // while some use it and others do not.
-func (w *simulation) publish() {
-	w.configs = append(w.configs, randomDirectory(w.rng))
-	newest := len(w.configs) - 1
+func (s *simulation) publish() {
+	s.configs = append(s.configs, randomDirectory(s.rng))
+	newest := len(s.configs) - 1
 	const apply = 2 * time.Second
-	for _, p := range w.pools {
-		w.schedule(apply, func() {
+	for _, p := range s.pools {
+		s.schedule(apply, func() {
 			if o := p.owner; o.config < newest {
 				o.config = newest
-				o.allowance.SetDirectory(w.configs[newest])
+				o.allowance.SetDirectory(s.configs[newest])
 			}
 		})
 	}
-	h := w.holder
-	w.schedule(apply, func() { h.config = max(h.config, newest) })
-	w.messages = append(w.messages, message{w.now + apply, func() {
-		w.oldestInForce = newest
-		w.holder.config = max(w.holder.config, newest)
-		for _, p := range w.pools {
+	h := s.holder
+	s.schedule(apply, func() { h.config = max(h.config, newest) })
+	s.messages = append(s.messages, message{s.now + apply, func() {
+		s.oldestInForce = newest
+		s.holder.config = max(s.holder.config, newest)
+		for _, p := range s.pools {
 			if p.owner.config < newest {
 				p.owner.config = newest
-				p.owner.allowance.SetDirectory(w.configs[newest])
+				p.owner.allowance.SetDirectory(s.configs[newest])
 			}
 		}
 	}})
 }
 
-func (w *simulation) submitTask() {
-	p := w.pools[w.rng.IntN(len(w.pools))]
-	account := accountNames[w.rng.IntN(len(accountNames))]
+func (s *simulation) submitTask() {
+	p := s.pools[s.rng.IntN(len(s.pools))]
+	account := accountNames[s.rng.IntN(len(accountNames))]
 	tasks := 1
-	if w.rng.IntN(5) == 0 {
-		tasks = 1 + w.rng.IntN(4)
+	if s.rng.IntN(5) == 0 {
+		tasks = 1 + s.rng.IntN(4)
 	}
-	amount := Amount{CPUMilli: (1 + w.rng.IntN(30)) * 100, MemoryMB: 1000}.Times(tasks)
+	amount := Amount{CPUMilli: (1 + s.rng.IntN(30)) * 100, MemoryMB: 1000}.Times(tasks)
 	if len(p.waiting) < 40 {
 		p.waiting = append(p.waiting, simRun{account: account, amount: amount, tasks: tasks})
 	}
 }
 
-func (w *simulation) advance(duration time.Duration, withFaults bool) {
-	for end := w.now + duration; w.now < end; {
-		w.now += tick
-		w.deliver()
-		if w.rng.IntN(5) == 0 {
-			w.runRound(w.holder)
+func (s *simulation) advance(duration time.Duration, withFaults bool) {
+	for end := s.now + duration; s.now < end; {
+		s.now += tick
+		s.deliver()
+		if s.rng.IntN(5) == 0 {
+			s.runRound(s.holder)
 		}
-		if w.rng.IntN(3) == 0 {
-			w.submitTask()
+		if s.rng.IntN(3) == 0 {
+			s.submitTask()
 		}
-		if withFaults && w.rng.IntN(60) == 0 {
-			w.injectFault()
+		if withFaults && s.rng.IntN(60) == 0 {
+			s.injectFault()
 		}
-		w.runTasks()
-		if w.checkStarvation {
-			w.recordStarvation()
+		s.runTasks()
+		if s.checkStarvation {
+			s.recordStarvation()
 		}
 	}
 }
@@ -430,13 +430,13 @@
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			t.Parallel()
 			g := NewWithT(t)
-			w := newSimulation(seed)
-			w.advance(20*time.Second, true)
-			w.advance(4*time.Second, false)
-			w.checkStarvation = true
-			w.advance(6*time.Second, false)
-			g.Expect(w.violations).To(BeEmpty())
-			g.Expect(w.started).To(BeNumerically(">", 100))
+			s := newSimulation(seed)
+			s.advance(20*time.Second, true)
+			s.advance(4*time.Second, false)
+			s.checkStarvation = true
+			s.advance(6*time.Second, false)
+			g.Expect(s.violations).To(BeEmpty())
+			g.Expect(s.started).To(BeNumerically(">", 100))
 		})
 	}
 }
--- a/internal/quota/records.go
+++ b/internal/quota/records.go
@@ -23,11 +23,11 @@
 // unsaved until Saved is called.
 func (l *Ledger) TakeRecords() ([]Record, error) {
 	var out []Record
-	for account, e := range l.byAccount {
-		if !e.dirty {
+	for account, s := range l.byAccount {
+		if !s.dirty {
 			continue
 		}
-		value, err := cbor.Marshal(e)
+		value, err := cbor.Marshal(s)
 		if err != nil {
 			return nil, err
 		}
@@ -38,9 +38,9 @@
 
 // MarkSaved marks the records that TakeRecords returned last as durable.
 func (l *Ledger) MarkSaved(now time.Duration) {
-	for _, e := range l.byAccount {
-		if e.dirty {
-			e.dirty, e.recordedAt = false, now
+	for _, s := range l.byAccount {
+		if s.dirty {
+			s.dirty, s.recordedAt = false, now
 		}
 	}
 }
@@ -51,17 +51,17 @@
 	if !IsRecord(r.Key) {
 		return nil
 	}
-	e := newAccountShares()
-	if err := cbor.Unmarshal(r.Value, e); err != nil {
+	s := newAccountShares()
+	if err := cbor.Unmarshal(r.Value, s); err != nil {
 		return err
 	}
-	if e.Pools == nil {
-		e.Pools = map[string]poolShare{}
+	if s.Pools == nil {
+		s.Pools = map[string]poolShare{}
 	}
 	// An owner that was proven newest before this holder's claim may still apply an earlier
 	// record.
-	e.recordedAt = now
-	l.byAccount[r.Key[len(KeyAccount):]] = e
+	s.recordedAt = now
+	l.byAccount[r.Key[len(KeyAccount):]] = s
 	return nil
 }
 
