--- a/internal/platform/client.go
+++ b/internal/platform/client.go
@@ -47,14 +47,14 @@
 // NewClient returns a client of the platform at baseURL. If hc is nil, the client gets its own
 // transport. Redirects are never followed: a 307 would send a mutating call a second time.
 func NewClient(baseURL string, hc *http.Client) *Client {
-	client := http.Client{}
+	httpClient := http.Client{}
 	if hc != nil {
-		client = *hc
+		httpClient = *hc
 	} else {
-		client.Transport = &http.Transport{MaxIdleConnsPerHost: idleConnsPerHost, DisableCompression: true}
+		httpClient.Transport = &http.Transport{MaxIdleConnsPerHost: idleConnsPerHost, DisableCompression: true}
 	}
-	client.CheckRedirect = func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
-	return &Client{base: strings.TrimRight(baseURL, "/"), httpClient: &client}
+	httpClient.CheckRedirect = func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
+	return &Client{base: strings.TrimRight(baseURL, "/"), httpClient: &httpClient}
 }
 
 // CloseIdleConnections closes the connections that no call is using.
