--- a/internal/quota/ledger.go
+++ b/internal/quota/ledger.go
@@ -218,7 +218,8 @@
 }
 
 // applyLoweredLimit ends the check of a lowered limit once the shares keep all pools within
-// it. Otherwise it lowers shares, which all owners have to confirm before the next check.
+// it or cannot be lowered further. Otherwise it lowers shares, which all owners have to
+// confirm before the next check.
 func (l *Ledger) applyLoweredLimit(s *accountShares, limit accounts.Limit) {
 	if s.unallocated() < 0 && s.lowerShares() {
 		s.markChanged()
