--- a/internal/shards/orders.go
+++ b/internal/shards/orders.go
@@ -52,11 +52,11 @@
 	switch refused.Reason {
 	case platform.RefusedFence:
 		return executor.OrderFenced
-	case platform.RefusedOld:
+	case platform.RefusedRunEnded:
 		return executor.OrderOld
-	case platform.RefusedLate:
+	case platform.RefusedLeaseExpired:
 		return executor.OrderLate
-	case platform.RefusedRoom:
+	case platform.RefusedNoCapacity:
 		return executor.OrderNoRoom
 	case platform.RefusedTicket:
 		return executor.OrderNoTicket
@@ -98,18 +98,18 @@
 
 var endReasons = map[platform.EndReason]executor.HowEnded{
 	platform.EndDone: executor.EndedDone, platform.EndFailed: executor.EndedFailed,
-	platform.EndStopped: executor.EndedStopped, platform.EndLapsed: executor.EndedLapsed,
-	platform.EndBroken: executor.EndedBroken, platform.EndAlone: executor.EndedAlone,
+	platform.EndStopped: executor.EndedStopped, platform.EndLeaseExpired: executor.EndedLapsed,
+	platform.EndGangBroken: executor.EndedBroken, platform.EndGangIncomplete: executor.EndedAlone,
 }
 
-func toListed(in platform.Look) executor.Listed {
+func toListed(in platform.RenewalResponse) executor.Listed {
 	out := executor.Listed{Clock: in.Clock, StartedMs: in.StartedMs}
 	for _, run := range in.Running {
 		out.Running = append(out.Running, executor.ListedRun{Task: run.Task, Run: run.Run, Checkpoint: run.Checkpoint,
 			Percent: run.Percent})
 	}
 	for _, end := range in.Ended {
-		how, known := endReasons[end.How]
+		how, known := endReasons[end.Reason]
 		if !known {
 			how = executor.EndedStopped
 		}
