--- a/internal/dispatch/attempt.go
+++ b/internal/dispatch/attempt.go
@@ -99,7 +99,7 @@
 	if errors.HasType(err, (*EndpointRefusedError)(nil)) {
 		return pick.ResultRefused
 	}
-	if errors.HasType(err, (*ResponseTimeoutError)(nil)) {
+	if errors.HasType(err, (*AnswerTimeoutError)(nil)) {
 		return pick.ResultTimeout
 	}
 	return pick.ResultFailed
@@ -138,14 +138,14 @@
 func verifyResponse(c *call, instance string, resp *http.Response) error {
 	got := resp.Header.Get(HeaderRequestID)
 	if got != "" && got != c.attempt {
-		return &MismatchedResponseError{Instance: instance, Want: c.attempt, Got: got}
+		return &CrossedAnswerError{Instance: instance, Want: c.attempt, Got: got}
 	}
 	if resp.StatusCode == http.StatusServiceUnavailable && resp.Header.Get(HeaderNotRun) == "true" {
 		return refusalError(instance, got != "")
 	}
 	chunked := len(resp.TransferEncoding) > 0
 	if resp.ContentLength < 0 && !chunked && resp.Body != http.NoBody {
-		return &UnframedResponseError{Instance: instance}
+		return &UnframedAnswerError{Instance: instance}
 	}
 	return nil
 }
@@ -158,7 +158,7 @@
 // and run twice.
 func refusalError(instance string, namesRequest bool) error {
 	if !namesRequest {
-		return &UnidentifiedRefusalError{Instance: instance}
+		return &UnnamedRefusalError{Instance: instance}
 	}
 	return &EndpointRefusedError{Instance: instance}
 }
--- a/internal/dispatch/conn.go
+++ b/internal/dispatch/conn.go
@@ -67,7 +67,7 @@
 
 func (l *limitedReader) Read(p []byte) (int, error) {
 	if l.remaining <= 0 {
-		return 0, &ResponseHeadTooLargeError{Limit: maxResponseHead}
+		return 0, &HeadTooLargeError{Limit: maxResponseHead}
 	}
 	if int64(len(p)) > l.remaining {
 		p = p[:l.remaining]
@@ -133,7 +133,7 @@
 			break
 		}
 	}
-	return nil, &TooManyInterimResponsesError{Limit: maxInterimResponses}
+	return nil, &InterimAnswersError{Limit: maxInterimResponses}
 }
 
 // classifyError distinguishes requests that were not sent from those that may
@@ -143,9 +143,9 @@
 		return &NotSentError{Instance: instance, Cause: err}
 	}
 	if errors.Is(err, os.ErrDeadlineExceeded) {
-		return &ResponseTimeoutError{Instance: instance}
+		return &AnswerTimeoutError{Instance: instance}
 	}
-	return &IncompleteResponseError{Instance: instance, Cause: err}
+	return &BrokenAnswerError{Instance: instance, Cause: err}
 }
 
 // openAndEmpty reports whether an idle connection is still open and has no data
@@ -231,7 +231,7 @@
 	}
 	body, err := io.ReadAll(io.LimitReader(resp.Body, maxHealthBody+1))
 	if err != nil || len(body) > maxHealthBody {
-		return &IncompleteResponseError{Instance: e.Instance, Cause: err}
+		return &BrokenAnswerError{Instance: e.Instance, Cause: err}
 	}
 	if resp.StatusCode != http.StatusOK || resp.Close {
 		return &UnhealthyError{Instance: e.Instance, Status: resp.StatusCode}
@@ -244,7 +244,7 @@
 		return err
 	}
 	if !c.openAndEmpty() { // would be taken for the response to the next request
-		return &UnsolicitedDataError{Instance: e.Instance}
+		return &UnaskedAnswerError{Instance: e.Instance}
 	}
 	c.confirmedAt, c.acceptingAt = checkedAt, checkedAt
 	return nil
--- a/internal/dispatch/errors.go
+++ b/internal/dispatch/errors.go
@@ -61,73 +61,73 @@
 	return fmt.Sprintf("endpoint %s: refused without running the request", e.Instance)
 }
 
-// UnidentifiedRefusalError reports that the endpoint stated that it did not run a
+// UnnamedRefusalError reports that the endpoint stated that it did not run a
 // request without giving the request's ID.
-type UnidentifiedRefusalError struct{ Instance string }
+type UnnamedRefusalError struct{ Instance string }
 
-func (e *UnidentifiedRefusalError) Error() string {
+func (e *UnnamedRefusalError) Error() string {
 	return fmt.Sprintf("endpoint %s: refusal carries no request ID", e.Instance)
 }
 
-// UnsolicitedDataError reports unsolicited data on a connection.
-type UnsolicitedDataError struct{ Instance string }
+// UnaskedAnswerError reports unsolicited data on a connection.
+type UnaskedAnswerError struct{ Instance string }
 
-func (e *UnsolicitedDataError) Error() string {
+func (e *UnaskedAnswerError) Error() string {
 	return fmt.Sprintf("endpoint %s: unsolicited data on the connection", e.Instance)
 }
 
-// IncompleteResponseError reports that at least part of a request was sent and no
+// BrokenAnswerError reports that at least part of a request was sent and no
 // complete response was received.
-type IncompleteResponseError struct {
+type BrokenAnswerError struct {
 	Instance string
 	Cause    error
 }
 
-func (e *IncompleteResponseError) Error() string {
+func (e *BrokenAnswerError) Error() string {
 	return fmt.Sprintf("endpoint %s: incomplete response: %v", e.Instance, e.Cause)
 }
 
 // Unwrap returns the cause.
-func (e *IncompleteResponseError) Unwrap() error { return e.Cause }
+func (e *BrokenAnswerError) Unwrap() error { return e.Cause }
 
-// ResponseTimeoutError reports that the deadline passed before the response was
+// AnswerTimeoutError reports that the deadline passed before the response was
 // complete.
-type ResponseTimeoutError struct{ Instance string }
+type AnswerTimeoutError struct{ Instance string }
 
-func (e *ResponseTimeoutError) Error() string {
+func (e *AnswerTimeoutError) Error() string {
 	return fmt.Sprintf("endpoint %s: no response before the deadline", e.Instance)
 }
 
-// UnframedResponseError reports a response with neither a length nor chunks,
+// UnframedAnswerError reports a response with neither a length nor chunks,
 // whose end cannot be distinguished from a lost connection.
-type UnframedResponseError struct{ Instance string }
+type UnframedAnswerError struct{ Instance string }
 
-func (e *UnframedResponseError) Error() string {
+func (e *UnframedAnswerError) Error() string {
 	return fmt.Sprintf("endpoint %s: response has neither length nor chunks", e.Instance)
 }
 
-// MismatchedResponseError reports a response that belongs to another request.
-type MismatchedResponseError struct {
+// CrossedAnswerError reports a response that belongs to another request.
+type CrossedAnswerError struct {
 	Instance string
 	Want     string
 	Got      string
 }
 
-func (e *MismatchedResponseError) Error() string {
+func (e *CrossedAnswerError) Error() string {
 	return fmt.Sprintf("endpoint %s: response to request %q, want %q", e.Instance, e.Got, e.Want)
 }
 
-// ResponseHeadTooLargeError reports that the head of a response exceeded the limit.
-type ResponseHeadTooLargeError struct{ Limit int64 }
+// HeadTooLargeError reports that the head of a response exceeded the limit.
+type HeadTooLargeError struct{ Limit int64 }
 
-func (e *ResponseHeadTooLargeError) Error() string {
+func (e *HeadTooLargeError) Error() string {
 	return fmt.Sprintf("response head larger than %d bytes", e.Limit)
 }
 
-// TooManyInterimResponsesError reports that an endpoint sent too many 1xx responses.
-type TooManyInterimResponsesError struct{ Limit int }
+// InterimAnswersError reports that an endpoint sent too many 1xx responses.
+type InterimAnswersError struct{ Limit int }
 
-func (e *TooManyInterimResponsesError) Error() string {
+func (e *InterimAnswersError) Error() string {
 	return fmt.Sprintf("more than %d interim (1xx) responses", e.Limit)
 }
 
--- a/internal/dispatch/serve.go
+++ b/internal/dispatch/serve.go
@@ -141,7 +141,7 @@
 func (c *call) attemptRefusal(g *gate, err error) *refusal {
 	p := &refusal{kind: TypeEndpointFailed, status: http.StatusBadGateway, ran: c.ran(), cause: err, retry: g.retryAfter()}
 	switch {
-	case errors.HasType(err, (*ResponseTimeoutError)(nil)):
+	case errors.HasType(err, (*AnswerTimeoutError)(nil)):
 		p.kind, p.status = TypeEndpointTimeout, http.StatusGatewayTimeout
 	case provesNotRun(err):
 		p.kind, p.status = TypeNoEndpoint, http.StatusServiceUnavailable
--- a/internal/node/submit.go
+++ b/internal/node/submit.go
@@ -16,19 +16,19 @@
 
 func (*StoppedError) Error() string { return "process is stopping" }
 
-// VerdictUnknownError means that a record's verdict is unknown: the record may or may not be in
+// UnsettledError means that a record's verdict is unknown: the record may or may not be in
 // the log, or may still arrive there.
-type VerdictUnknownError struct {
+type UnsettledError struct {
 	Record fleetlog.ID
 	Cause  error
 }
 
-func (e *VerdictUnknownError) Error() string {
+func (e *UnsettledError) Error() string {
 	return "record " + e.Record.String() + " has an unknown outcome: " + e.Cause.Error()
 }
 
 // Unwrap returns the cause.
-func (e *VerdictUnknownError) Unwrap() error { return e.Cause }
+func (e *UnsettledError) Unwrap() error { return e.Cause }
 
 // NotAppendedError means that a record is certainly not in the log.
 type NotAppendedError struct{ Cause error }
@@ -59,7 +59,7 @@
 	case v := <-verdicts:
 		return v, nil
 	case <-ctx.Done():
-		return fold.Verdict{}, &VerdictUnknownError{Record: rec.ID, Cause: errors.Wrap(ctx.Err(), "waiting for own record")}
+		return fold.Verdict{}, &UnsettledError{Record: rec.ID, Cause: errors.Wrap(ctx.Err(), "waiting for own record")}
 	case <-n.ctx.Done():
 		return fold.Verdict{}, &StoppedError{}
 	}
