--- a/internal/executor/accounts.go
+++ b/internal/executor/accounts.go
@@ -96,13 +96,13 @@
 
 // shareSettles is how long an account may be at its share before it is taken for as much as
 // it gets: a share follows demand within that time where the limit leaves anything.
-const shareSettles = 600 * time.Millisecond
+const shareSettleTime = 600 * time.Millisecond
 
 // accountWaitMs is how long a backlog of an account takes to drain within its share.
 func (c *Core) accountWaitMs(now time.Duration, account string, backlog float64) float64 {
 	since, blocked := c.blocked[account]
 	cpu, bounded := c.allowance.CPU(account)
-	if !blocked || !bounded || now-since < shareSettles {
+	if !blocked || !bounded || now-since < shareSettleTime {
 		return 0
 	}
 	return backlog / float64(max(1, cpu))
--- a/internal/executor/advice.go
+++ b/internal/executor/advice.go
@@ -13,26 +13,26 @@
 const (
 	// adviceMost bounds the endpoints of one call: each adds to the answer's
 	// delay.
-	adviceMost = 30
+	maxAdviceEndpoints = 30
 	// adviceLeast endpoints are asked about even for a single task, as most of
 	// them may be unfit.
-	adviceLeast = 6
+	minAdviceEndpoints = 6
 	// advicePerTask is how many endpoints are asked about for each task.
-	advicePerTask = 2
+	adviceEndpointsPerTask = 2
 	// ticketMargin is left of a ticket's time when a start is ordered with it.
 	ticketMargin = 250 * time.Millisecond
 	// adviceRetry follows a call that failed.
-	adviceRetry = 300 * time.Millisecond
+	adviceRetryDelay = 300 * time.Millisecond
 )
 
 // advice is what a step knows of the endpoints that may run it.
 type advice struct {
-	tickets map[Incarnation]string
-	until   time.Duration
+	tickets    map[Incarnation]string
+	validUntil time.Duration
 	// asked are the incarnations whose fitness is known; fitness does not change.
-	asked   map[Incarnation]bool
-	out     bool
-	retryAt time.Duration
+	unfit    map[Incarnation]bool
+	inFlight bool
+	retryAt  time.Duration
 }
 
 // AdviceCall asks which endpoints may run a step.
@@ -41,17 +41,17 @@
 	Endpoints []string
 	// Timeout is how long the service may take.
 	Timeout time.Duration
-	run     *stepRun
+	step    *stepRun
 	// about are the incarnations of Endpoints, in the same order.
-	about []Incarnation
+	incarnations []Incarnation
 }
 
 // needsAdvice reports whether the step's tasks may only start with a ticket.
-func (s *stepRun) needsAdvice() bool { return s.job.rec.Terms.Advice != nil }
+func (s *stepRun) requiresTicket() bool { return s.job.rec.Terms.Advice != nil }
 
 // ticketFor returns the step's valid ticket for an endpoint, if it has one.
 func (s *stepRun) ticketFor(now time.Duration, e *endpoint) (string, bool) {
-	if now+ticketMargin > s.advice.until {
+	if now+ticketMargin > s.advice.validUntil {
 		return "", false
 	}
 	ticket, ok := s.advice.tickets[e.incarnation()]
@@ -60,8 +60,8 @@
 
 // advised reports whether the step may start on an endpoint as far as advice
 // goes.
-func (s *stepRun) advised(now time.Duration, e *endpoint) bool {
-	if !s.needsAdvice() {
+func (s *stepRun) hasRequiredTicket(now time.Duration, e *endpoint) bool {
+	if !s.requiresTicket() {
 		return true
 	}
 	_, ok := s.ticketFor(now, e)
@@ -77,9 +77,9 @@
 		if j.rec.Terms.Advice == nil || j.rec.State.Ended() {
 			continue
 		}
-		for _, t := range j.waitingTasks() {
+		for _, t := range j.firstWaitingTasks() {
 			if call, due := c.adviceFor(now, t.step); due {
-				c.adviceOut, t.step.advice.out = true, true
+				c.adviceOut, t.step.advice.inFlight = true, true
 				return call, true
 			}
 		}
@@ -88,10 +88,10 @@
 }
 
 func (c *Core) adviceFor(now time.Duration, s *stepRun) (AdviceCall, bool) {
-	if s.advice.out || now < s.advice.retryAt {
+	if s.advice.inFlight || now < s.advice.retryAt {
 		return AdviceCall{}, false
 	}
-	expired := now+ticketMargin > s.advice.until
+	expired := now+ticketMargin > s.advice.validUntil
 	ask := c.adviceCandidates(now, s, expired)
 	if len(ask) == 0 {
 		return AdviceCall{}, false
@@ -99,9 +99,9 @@
 	terms := s.job.rec.Terms.Advice
 	timeout := time.Duration(terms.DecideMs+terms.PeriodMs*len(ask))*time.Millisecond + time.Second
 	name := s.job.rec.Job.ID + "." + strconv.Itoa(s.occ.number) + "." + strconv.Itoa(s.index)
-	call := AdviceCall{Step: name, Timeout: timeout, run: s}
+	call := AdviceCall{Step: name, Timeout: timeout, step: s}
 	for _, e := range ask {
-		call.Endpoints, call.about = append(call.Endpoints, e.id), append(call.about, e.incarnation())
+		call.Endpoints, call.incarnations = append(call.Endpoints, e.id), append(call.incarnations, e.incarnation())
 	}
 	return call, true
 }
@@ -110,7 +110,7 @@
 // where their tickets have run out, and otherwise new ones while the fit ones
 // have too little room.
 func (c *Core) adviceCandidates(now time.Duration, s *stepRun, expired bool) []*endpoint {
-	var fit, fresh []*endpoint
+	var fit, unasked []*endpoint
 	room := 0
 	for _, e := range c.endpoints {
 		if !c.isOpen(now, e) {
@@ -123,21 +123,21 @@
 			if e.free().Holds(needs(s.spec)) {
 				room++
 			}
-		case !s.advice.asked[e.incarnation()]:
-			fresh = append(fresh, e)
+		case !s.advice.unfit[e.incarnation()]:
+			unasked = append(unasked, e)
 		}
 	}
-	wanted := min(adviceMost, max(adviceLeast, advicePerTask*s.waiting))
+	wanted := min(maxAdviceEndpoints, max(minAdviceEndpoints, adviceEndpointsPerTask*s.waiting))
 	if len(fit) > 0 && room > 0 {
 		if !expired {
 			return nil
 		}
-		return mostFree(fit, wanted)
+		return mostFreeEndpoints(fit, wanted)
 	}
-	return mostFree(fresh, wanted)
+	return mostFreeEndpoints(unasked, wanted)
 }
 
-func mostFree(hosts []*endpoint, count int) []*endpoint {
+func mostFreeEndpoints(hosts []*endpoint, count int) []*endpoint {
 	slices.SortFunc(hosts, func(a, b *endpoint) int {
 		if order := cmp.Compare(b.free().CPUMilli, a.free().CPUMilli); order != 0 {
 			return order
@@ -150,28 +150,28 @@
 // AdviceDone takes in the answer to a call; ok is false where there was none.
 func (c *Core) AdviceDone(now time.Duration, call AdviceCall, tickets map[string]string, valid time.Duration, ok bool) {
 	c.adviceOut = false
-	a := &call.run.advice
-	a.out = false
+	a := &call.step.advice
+	a.inFlight = false
 	if !ok {
-		a.retryAt = now + adviceRetry
+		a.retryAt = now + adviceRetryDelay
 		return
 	}
-	if a.asked == nil {
-		a.asked, a.tickets = map[Incarnation]bool{}, map[Incarnation]string{}
+	if a.unfit == nil {
+		a.unfit, a.tickets = map[Incarnation]bool{}, map[Incarnation]string{}
 	}
-	if now+ticketMargin > a.until {
+	if now+ticketMargin > a.validUntil {
 		clear(a.tickets) // what is left has run out
 	}
-	for _, in := range call.about {
+	for _, in := range call.incarnations {
 		ticket, good := tickets[in.ID]
-		a.asked[in] = !good
+		a.unfit[in] = !good
 		if good {
 			a.tickets[in] = ticket
 		}
 	}
-	if a.until < now {
-		a.until = now + valid
+	if a.validUntil < now {
+		a.validUntil = now + valid
 	}
-	a.until = min(a.until, now+valid)
-	c.event(Event{Kind: EventAdvised, Job: call.run.job.rec.Job.ID, Task: call.Step, Run: len(tickets), AgeMs: valid.Milliseconds()})
+	a.validUntil = min(a.validUntil, now+valid)
+	c.event(Event{Kind: EventAdvised, Job: call.step.job.rec.Job.ID, Task: call.Step, Run: len(tickets), AgeMs: valid.Milliseconds()})
 }
--- a/internal/executor/dump.go
+++ b/internal/executor/dump.go
@@ -71,11 +71,11 @@
 }
 
 // dumpJobs bounds a dump.
-const dumpJobs = 500
+const maxDumpEntries = 500
 
 // Dump returns the pool's state.
 func (c *Core) Dump(now time.Duration) PoolDump {
-	d := PoolDump{Summary: c.Summary(now), Epoch: c.epoch, Starts: StartsDump{UnderWay: c.pace.underWay,
+	d := PoolDump{Summary: c.Summary(now), Epoch: c.epoch, Starts: StartsDump{UnderWay: c.pace.inFlight,
 		Limit: int(c.pace.limit), Waiting: len(c.leaving), MedianMs: c.pace.median.Milliseconds()}}
 	for _, e := range c.endpoints {
 		d.Endpoints = append(d.Endpoints, EndpointDump{ID: e.id, Addr: e.addr, StartedMs: e.startedMs, Free: e.free(), Tasks: len(e.tasks),
@@ -84,7 +84,7 @@
 			LeaseEndsMs: (c.expiryOf(e) - now).Milliseconds()})
 	}
 	slices.SortFunc(d.Endpoints, func(a, b EndpointDump) int { return cmp.Compare(a.ID, b.ID) })
-	for _, j := range c.open[:min(dumpJobs, len(c.open))] {
+	for _, j := range c.open[:min(maxDumpEntries, len(c.open))] {
 		d.Jobs = append(d.Jobs, c.dumpJob(now, j))
 	}
 	d.Failed = c.dumpFailed()
@@ -112,7 +112,7 @@
 	}
 	var out []AccountDump
 	for _, s := range c.allowance.States() {
-		if len(out) == dumpJobs {
+		if len(out) == maxDumpEntries {
 			break
 		}
 		out = append(out, AccountDump{State: s, Waiting: waiting[s.Account], Refused: c.refusedOf[s.Account],
@@ -124,7 +124,7 @@
 func (c *Core) dumpFailed() []FailedDump {
 	var out []FailedDump
 	for _, j := range slices.Backward(c.ended) {
-		if len(out) == dumpJobs {
+		if len(out) == maxDumpEntries {
 			break
 		}
 		if j.rec.State == JobFailed {
@@ -155,17 +155,17 @@
 		ObjectiveMs: (j.objective - now).Milliseconds()}
 	d.Crashes = j.dumpCrashes()
 	met := map[string]bool{}
-	for _, t := range j.waitingTasks() {
-		counts := c.obstaclesOf(now, t)
-		d.Waiting = append(d.Waiting, t.name()+": endpoints "+c.whyWaiting(now, t, counts))
+	for _, t := range j.firstWaitingTasks() {
+		counts := c.countObstacles(now, t)
+		d.Waiting = append(d.Waiting, t.name()+": endpoints "+c.describeObstacles(now, t, counts))
 		for o := range counts {
 			met[o] = true
 		}
 		met[obstacleAccount] = met[obstacleAccount] || !c.allowed(t.step, 1)
 	}
 	for _, o := range obstacles {
-		if met[o] && unblocks[o] != "" {
-			d.Unblock = append(d.Unblock, unblocks[o])
+		if met[o] && unblockedBy[o] != "" {
+			d.Unblock = append(d.Unblock, unblockedBy[o])
 		}
 	}
 	return d
--- a/internal/executor/journal.go
+++ b/internal/executor/journal.go
@@ -113,17 +113,17 @@
 					Run: t.run, Failures: t.failures, Checkpoint: t.checkpoint}
 				if t.host != nil {
 					r.Endpoint = t.host.id
-					p.noteStart(t.host)
+					p.recordStartTime(t.host)
 				}
 				p.Tasks = append(p.Tasks, r)
-				p.noteEvidence(t)
+				p.recordEvidence(t)
 			}
 		}
 	}
 	return p
 }
 
-func (p *progressRecord) noteStart(e *endpoint) {
+func (p *progressRecord) recordStartTime(e *endpoint) {
 	if e.startedMs == 0 {
 		return
 	}
@@ -134,7 +134,7 @@
 }
 
 // noteEvidence counts what is in doubt as well: the next owner could not tell.
-func (p *progressRecord) noteEvidence(t *task) {
+func (p *progressRecord) recordEvidence(t *task) {
 	known := t.evidence
 	if t.doubted != nil {
 		known = known.plus(t.doubted.evidence)
@@ -164,16 +164,16 @@
 
 // Ready is a batch of records, and what may happen once they are durable.
 type Ready struct {
-	Records []Record
-	Replies []Reply
-	starts  []Order
-	acks    map[Incarnation]int64
-	shown   []shownState
+	Records      []Record
+	Replies      []Reply
+	starts       []Order
+	acks         map[Incarnation]int64
+	stateChanges []jobStateChange
 	// taken is when it was made.
-	taken time.Duration
+	createdAt time.Duration
 }
 
-type shownState struct {
+type jobStateChange struct {
 	job   *job
 	state JobState
 }
@@ -185,12 +185,12 @@
 
 // Ready returns the changes since the last call.
 func (c *Core) Ready(now time.Duration) Ready {
-	r := Ready{starts: c.starts, Replies: c.replies, acks: c.acks, taken: now}
+	r := Ready{starts: c.starts, Replies: c.replies, acks: c.acks, createdAt: now}
 	c.undurable += len(c.starts)
 	c.starts, c.replies, c.acks = nil, nil, map[Incarnation]int64{}
 	for _, j := range c.order {
 		r.Records = append(r.Records, j.records()...)
-		r.shown = append(r.shown, shownState{j, j.rec.State})
+		r.stateChanges = append(r.stateChanges, jobStateChange{j, j.rec.State})
 		delete(c.dirty, j)
 	}
 	c.order = c.order[:0]
@@ -231,9 +231,9 @@
 	c.leaving = append(c.leaving, r.starts...)
 	c.undurable -= len(r.starts)
 	if len(r.Records) > 0 {
-		c.storeTook += (now - r.taken - c.storeTook) / storeTookShare
+		c.storeTook += (now - r.createdAt - c.storeTook) / storeDelaySmoothing
 	}
-	for _, s := range r.shown {
+	for _, s := range r.stateChanges {
 		s.job.accepted = true
 		s.job.durable = max(s.job.durable, s.state)
 	}
@@ -322,7 +322,7 @@
 	for _, o := range j.current {
 		for _, s := range o.steps {
 			s.failures = p.Gangs[gangKey(o.number, s.index)]
-			c.recount(s)
+			c.recountTasks(s)
 		}
 	}
 	c.setObjective(j)
@@ -366,7 +366,7 @@
 }
 
 // recount derives a step's counters from its tasks.
-func (c *Core) recount(s *stepRun) {
+func (c *Core) recountTasks(s *stepRun) {
 	s.left, s.waiting = 0, 0
 	for _, t := range s.tasks {
 		if t.phase != taskDone {
--- a/internal/executor/lengths.go
+++ b/internal/executor/lengths.go
@@ -19,20 +19,20 @@
 // Gain: more of the jobs of a turn are in time than by the queue's mean.
 const (
 	// learnWeight forgets a step's influence after some 30 others.
-	learnWeight = 0.03
+	minSampleWeight = 0.03
 	// fewRuns is how many runs it takes to trust experience over estimates.
 	fewRuns = 8
 	// firstTrust is the trust in estimates before a queue's steps have shown what
 	// they are worth, and firstTrustWeight, in squared logarithms of one step, how
 	// much it counts beside these.
-	firstTrust       = 0.5
-	firstTrustWeight = 0.25
+	priorSlope       = 0.5
+	priorSlopeWeight = 0.25
 	// defaultTaskMs stands in where neither the caller nor experience says how
 	// long a task takes.
 	defaultTaskMs = 1000
 	// leastRest is the part of a run's length that is still to come however long it
 	// has run.
-	leastRest = 0.1
+	minRemainingShare = 0.1
 )
 
 // lengths is what was learnt of the lengths of a queue's runs: means, variances and
@@ -51,44 +51,44 @@
 func (l *lengths) add(ms float64, runs, estimateMs int) {
 	l.steps++
 	l.runs += runs
-	w := max(learnWeight, 1/float64(l.steps))
-	off := math.Log(max(1, ms)) - l.actual
-	l.actual += w * off
-	l.varActual = (1 - w) * (l.varActual + w*off*off)
+	w := max(minSampleWeight, 1/float64(l.steps))
+	deviation := math.Log(max(1, ms)) - l.actual
+	l.actual += w * deviation
+	l.varActual = (1 - w) * (l.varActual + w*deviation*deviation)
 	if estimateMs <= 0 {
 		return
 	}
 	if l.estimate == 0 {
 		l.estimate = math.Log(float64(estimateMs))
 	}
-	offEstimate := math.Log(float64(estimateMs)) - l.estimate
-	l.estimate += w * offEstimate
-	l.varEstimate = (1 - w) * (l.varEstimate + w*offEstimate*offEstimate)
-	l.covariance = (1 - w) * (l.covariance + w*off*offEstimate)
+	estimateDeviation := math.Log(float64(estimateMs)) - l.estimate
+	l.estimate += w * estimateDeviation
+	l.varEstimate = (1 - w) * (l.varEstimate + w*estimateDeviation*estimateDeviation)
+	l.covariance = (1 - w) * (l.covariance + w*deviation*estimateDeviation)
 }
 
 // known reports whether enough was seen to trust it.
-func (l *lengths) known() bool { return l != nil && l.runs >= fewRuns }
+func (l *lengths) hasEnoughRuns() bool { return l != nil && l.runs >= fewRuns }
 
 // meanMs is the mean length of the queue's runs.
 func (l *lengths) meanMs() float64 { return math.Exp(l.actual + l.varActual/2) }
 
 // expectMs is the expected length of a run by its caller's estimate.
-func (l *lengths) expectMs(estimateMs int) float64 {
+func (l *lengths) expectedMs(estimateMs int) float64 {
 	if estimateMs <= 0 || l.estimate == 0 {
 		return l.meanMs()
 	}
-	prior := firstTrustWeight / float64(l.steps)
-	trust := (l.covariance + prior*firstTrust) / (l.varEstimate + prior)
-	trust = min(1, max(0, trust))
-	left := max(0, l.varActual-trust*l.covariance)
-	return math.Exp(l.actual + trust*(math.Log(float64(estimateMs))-l.estimate) + left/2)
+	prior := priorSlopeWeight / float64(l.steps)
+	slope := (l.covariance + prior*priorSlope) / (l.varEstimate + prior)
+	slope = min(1, max(0, slope))
+	residualVariance := max(0, l.varActual-slope*l.covariance)
+	return math.Exp(l.actual + slope*(math.Log(float64(estimateMs))-l.estimate) + residualVariance/2)
 }
 
 // expectMs is how long a task of a step is expected to take before any has ended.
 func (c *Core) expectMs(queue string, s *jobs.Step) float64 {
-	if l := c.learned[queue]; l.known() {
-		return l.expectMs(s.EstimateMs)
+	if l := c.learned[queue]; l.hasEnoughRuns() {
+		return l.expectedMs(s.EstimateMs)
 	}
 	if s.EstimateMs > 0 {
 		return float64(s.EstimateMs)
@@ -107,7 +107,7 @@
 // Learned is how long a run of a queue's tasks takes by what has been seen; zero
 // before enough has.
 func (c *Core) Learned(queue string) time.Duration {
-	if l := c.learned[queue]; l.known() {
+	if l := c.learned[queue]; l.hasEnoughRuns() {
 		return time.Duration(l.meanMs() * float64(time.Millisecond))
 	}
 	return 0
@@ -149,14 +149,14 @@
 		for _, a := range steps[i].After {
 			begins = max(begins, ends[a])
 		}
-		ends[i] = begins + c.lengthOf(j, i)
+		ends[i] = begins + c.stepTaskMs(j, i)
 		longest = max(longest, ends[i])
 	}
 	return longest
 }
 
 // lengthOf is how long the tasks of a job's step take.
-func (c *Core) lengthOf(j *job, step int) float64 {
+func (c *Core) stepTaskMs(j *job, step int) float64 {
 	if len(j.current) > 0 && step < len(j.current[0].steps) {
 		return c.taskMs(j.current[0].steps[step])
 	}
@@ -164,7 +164,7 @@
 }
 
 // restMs is the longest chain of work that a job still has before it.
-func (c *Core) restMs(now time.Duration, j *job) float64 {
+func (c *Core) remainingMs(now time.Duration, j *job) float64 {
 	longest := 0.0
 	for _, o := range j.current {
 		ends := make([]float64, len(o.steps))
@@ -173,14 +173,14 @@
 			for _, a := range s.spec.After {
 				begins = max(begins, ends[a])
 			}
-			ends[i] = begins + c.restOfStep(now, s)
+			ends[i] = begins + c.remainingStepMs(now, s)
 			longest = max(longest, ends[i])
 		}
 	}
 	return longest
 }
 
-func (c *Core) restOfStep(now time.Duration, s *stepRun) float64 {
+func (c *Core) remainingStepMs(now time.Duration, s *stepRun) float64 {
 	if s.left == 0 {
 		return 0
 	}
@@ -188,13 +188,13 @@
 	if s.waiting > 0 {
 		return whole
 	}
-	return max(leastRest*whole, whole-float64((now-s.placedAt).Milliseconds()))
+	return max(minRemainingShare*whole, whole-float64((now-s.placedAt).Milliseconds()))
 }
 
 // hopeless reports whether a job can no longer end within its objective, even
 // if all of its tasks began at once.
 func (c *Core) hopeless(now time.Duration, j *job) bool {
-	return now+time.Duration(c.restMs(now, j)*float64(time.Millisecond)) > j.objective
+	return now+time.Duration(c.remainingMs(now, j)*float64(time.Millisecond)) > j.objective
 }
 
 // setObjective works out when a job is late by what is known of its lengths.
--- a/internal/executor/lengths_test.go
+++ b/internal/executor/lengths_test.go
@@ -10,7 +10,7 @@
 
 // errorOf is the typical error, in logarithms, of predictions for steps whose lengths
 // and estimates spread about the truth as given.
-func errorOf(predict func(l *lengths, estimateMs int) float64, spread, off float64) float64 {
+func predictionError(predict func(l *lengths, estimateMs int) float64, spread, off float64) float64 {
 	rng := rand.New(rand.NewPCG(1, 1))
 	var l lengths
 	sum, n := 0.0, 0
@@ -27,7 +27,7 @@
 }
 
 var _ = Describe("the expected length of a run", func() {
-	byBoth := func(l *lengths, estimateMs int) float64 { return l.expectMs(estimateMs) }
+	byBoth := func(l *lengths, estimateMs int) float64 { return l.expectedMs(estimateMs) }
 	byMean := func(l *lengths, _ int) float64 { return l.meanMs() }
 	byEstimate := func(_ *lengths, estimateMs int) float64 { return float64(estimateMs) }
 
@@ -35,14 +35,14 @@
 	// alone a short job seems in time until it is late; by the estimate alone jobs are
 	// refused that could be in time.
 	It("is nearer to the truth than mean and estimate alone", func() {
-		both := errorOf(byBoth, 0.48, 0.5)
-		Expect(both).To(BeNumerically("<", 0.8*errorOf(byMean, 0.48, 0.5)))
-		Expect(both).To(BeNumerically("<", 0.8*errorOf(byEstimate, 0.48, 0.5)))
+		both := predictionError(byBoth, 0.48, 0.5)
+		Expect(both).To(BeNumerically("<", 0.8*predictionError(byMean, 0.48, 0.5)))
+		Expect(both).To(BeNumerically("<", 0.8*predictionError(byEstimate, 0.48, 0.5)))
 	})
 
 	It("leaves estimates aside that say nothing, and follows those that say all", func() {
-		Expect(errorOf(byBoth, 0.1, 1.5)).To(BeNumerically("<", 1.2*errorOf(byMean, 0.1, 1.5)))
-		Expect(errorOf(byBoth, 0.8, 0.05)).To(BeNumerically("<", 0.5*errorOf(byMean, 0.8, 0.05)))
+		Expect(predictionError(byBoth, 0.1, 1.5)).To(BeNumerically("<", 1.2*predictionError(byMean, 0.1, 1.5)))
+		Expect(predictionError(byBoth, 0.8, 0.05)).To(BeNumerically("<", 0.5*predictionError(byMean, 0.8, 0.05)))
 	})
 
 	It("is the mean where callers give no estimate", func() {
@@ -50,7 +50,7 @@
 		for range 10 {
 			l.add(400, 2, 0)
 		}
-		Expect(l.expectMs(0)).To(BeNumerically("~", 400, 1))
-		Expect(l.expectMs(5000)).To(BeNumerically("~", 400, 1))
+		Expect(l.expectedMs(0)).To(BeNumerically("~", 400, 1))
+		Expect(l.expectedMs(5000)).To(BeNumerically("~", 400, 1))
 	})
 })
--- a/internal/executor/loans.go
+++ b/internal/executor/loans.go
@@ -20,8 +20,8 @@
 }
 
 type loan struct {
-	milli float64
-	at    time.Duration
+	cpuMilli float64
+	at       time.Duration
 }
 
 // Lent takes in the room that comes to this pool.
@@ -51,7 +51,7 @@
 			backlog -= drained
 			passed = until
 		}
-		room += l.milli
+		room += l.cpuMilli
 	}
 	return passed + backlog/room
 }
--- a/internal/executor/pace_test.go
+++ b/internal/executor/pace_test.go
@@ -10,7 +10,7 @@
 
 // line is what starts go through one after the other: an owner's processor or link.
 // Each takes work of it, also where its answer comes after the timeout.
-type line struct {
+type serialLink struct {
 	work    time.Duration
 	timeout time.Duration
 	busy    time.Duration
@@ -18,26 +18,26 @@
 }
 
 type answerDue struct {
-	at    time.Duration
-	slot  *slot
-	heard bool
+	at     time.Duration
+	slot   *slot
+	inTime bool
 }
 
-func (l *line) send(now time.Duration, s *slot) {
+func (l *serialLink) send(now time.Duration, s *slot) {
 	l.busy = max(l.busy, now) + l.work
 	at := l.busy + 2*time.Millisecond
-	l.answers = append(l.answers, answerDue{at: min(at, now+l.timeout), slot: s, heard: at <= now+l.timeout})
+	l.answers = append(l.answers, answerDue{at: min(at, now+l.timeout), slot: s, inTime: at <= now+l.timeout})
 }
 
 // mute sends a start that nobody answers.
-func (l *line) mute(now time.Duration, s *slot) {
+func (l *serialLink) sendUnanswered(now time.Duration, s *slot) {
 	l.answers = append(l.answers, answerDue{at: now + l.timeout, slot: s})
 }
 
 // hear takes in the answers and timeouts of this moment, and returns how many were heard.
-func (l *line) hear(now time.Duration, p *pace) (heard, timedOut int) {
-	for _, a := range l.due(now) {
-		if a.heard {
+func (l *serialLink) deliverDue(now time.Duration, p *pace) (heard, timedOut int) {
+	for _, a := range l.takeDue(now) {
+		if a.inTime {
 			p.answered(now, a.slot)
 			heard++
 		} else {
@@ -50,7 +50,7 @@
 }
 
 // due hands out the answers and timeouts of this moment.
-func (l *line) due(now time.Duration) (out []answerDue) {
+func (l *serialLink) takeDue(now time.Duration) (out []answerDue) {
 	rest := l.answers[:0]
 	for _, a := range l.answers {
 		if a.at <= now {
@@ -68,11 +68,11 @@
 // sent again, as an owner does.
 func goodput(rate float64, paced bool) float64 {
 	const lasts, tick = 10 * time.Second, time.Millisecond
-	l := &line{work: 5 * time.Millisecond, timeout: 700 * time.Millisecond}
+	l := &serialLink{work: 5 * time.Millisecond, timeout: 700 * time.Millisecond}
 	p := newPace()
 	waiting, heard := 0.0, 0
 	for now := time.Duration(0); now < lasts; now += tick {
-		answered, again := l.hear(now, &p)
+		answered, again := l.deliverDue(now, &p)
 		heard += answered
 		waiting += float64(again) + rate*tick.Seconds()
 		for waiting >= 1 && (!paced || p.free() > 0) {
@@ -103,18 +103,18 @@
 func TestMuteEndpointsDoNotSlowTheOthers(t *testing.T) {
 	g := NewWithT(t)
 	const rate, mute, lasts = 1000.0, 240, 3 * time.Second
-	l := &line{work: 200 * time.Microsecond, timeout: 700 * time.Millisecond}
+	l := &serialLink{work: 200 * time.Microsecond, timeout: 700 * time.Millisecond}
 	p := newPace()
 	waiting, dark, heard := 0.0, 0, 0
 	for now := time.Duration(0); now < lasts; now += time.Millisecond {
-		answered, _ := l.hear(now, &p)
+		answered, _ := l.deliverDue(now, &p)
 		heard += answered
 		waiting += rate * time.Millisecond.Seconds()
 		for waiting >= 1 && p.free() > 0 {
 			waiting--
 			if now > time.Second && dark < mute {
 				dark++
-				l.mute(now, p.sent(now))
+				l.sendUnanswered(now, p.sent(now))
 				continue
 			}
 			l.send(now, p.sent(now))
@@ -128,15 +128,15 @@
 // time any more, so that no answer tells that there is too much under way.
 func TestAnOwnerThatHearsNothingSendsLess(t *testing.T) {
 	g := NewWithT(t)
-	l := &line{timeout: 700 * time.Millisecond}
+	l := &serialLink{timeout: 700 * time.Millisecond}
 	p := newPace()
 	for now := time.Duration(0); now < 5*time.Second; now += time.Millisecond {
-		l.hear(now, &p)
+		l.deliverDue(now, &p)
 		for p.free() > 0 {
-			l.mute(now, p.sent(now))
+			l.sendUnanswered(now, p.sent(now))
 		}
 	}
-	g.Expect(int(p.limit)).To(Equal(paceLeast))
+	g.Expect(int(p.limit)).To(Equal(minStartLimit))
 	g.Expect(p.slow).To(BeTrue(), "people are told")
 }
 
@@ -146,10 +146,10 @@
 func TestQuietSecondsSayNothingOfTheRate(t *testing.T) {
 	g := NewWithT(t)
 	p := newPace()
-	l := &line{work: 200 * time.Microsecond, timeout: 700 * time.Millisecond}
+	l := &serialLink{work: 200 * time.Microsecond, timeout: 700 * time.Millisecond}
 	turn := func(from time.Duration) {
 		for now := from; now < from+100*time.Millisecond; now += time.Millisecond {
-			l.hear(now, &p)
+			l.deliverDue(now, &p)
 			for p.free() > 0 {
 				l.send(now, p.sent(now))
 			}
@@ -176,7 +176,7 @@
 			p.answered(now+6*time.Millisecond, s)
 		}
 	}
-	g.Expect(p.limit).To(BeNumerically(">", 5*paceFirst))
+	g.Expect(p.limit).To(BeNumerically(">", 5*initialStartLimit))
 	g.Expect(p.startsWait(100)).To(BeZero(), "nothing waits while the limit is not in the way")
 }
 
@@ -186,13 +186,13 @@
 	g := NewWithT(t)
 	c := New("pool", 1, Limits{}, 0)
 	now := time.Second
-	for range 3 * paceAnswers {
+	for range 3 * fullWindowAnswers {
 		s := c.pace.sent(now)
 		now += 10 * time.Millisecond
 		c.OrderDone(now, Order{Kind: OrderStart, slot: s}, OrderDone, Answer{})
 	}
 	g.Expect(c.TakeEvents()).To(BeEmpty(), "answers are fast")
-	for range 3 * paceAnswers {
+	for range 3 * fullWindowAnswers {
 		s := c.pace.sent(now)
 		now += 100 * time.Millisecond
 		c.OrderDone(now, Order{Kind: OrderStart, slot: s}, OrderDone, Answer{})
@@ -201,6 +201,6 @@
 	g.Expect(events).NotTo(BeEmpty())
 	g.Expect(events[0].Kind).To(Equal(EventPaced))
 	starts := c.Dump(now).Starts
-	g.Expect(starts.Limit).To(BeNumerically("<", paceFirst))
+	g.Expect(starts.Limit).To(BeNumerically("<", initialStartLimit))
 	g.Expect(starts.MedianMs).To(BeNumerically("==", 100))
 }
--- a/internal/executor/reserve.go
+++ b/internal/executor/reserve.go
@@ -11,34 +11,34 @@
 const (
 	// reserveFor bounds a reservation: what has not ended on the endpoint by
 	// then does not end soon, and another endpoint may do better.
-	reserveFor = 4 * time.Second
+	reservationDuration = 4 * time.Second
 	// reserveShare is the most of the open endpoints that is kept at a time, so
 	// that the loss of many does not stop the short tasks.
-	reserveShare = 0.25
+	maxReservedShare = 0.25
 	// reservePerRound bounds the tasks that one round looks at: each costs a
 	// look at every endpoint.
-	reservePerRound = 4
+	maxReservationTriesPerRound = 4
 )
 
 // reserve keeps endpoints for lasting tasks that find none with room, and for suspects that
 // find none on which nothing has just begun.
 func (c *Core) reserve(now time.Duration, hosts []*endpoint) {
 	kept := c.dropReservations(now)
-	most := max(1, int(reserveShare*float64(len(hosts))))
-	looked := 0
-	for _, t := range append(c.lastingWaiting(now), c.suspectsWaiting(now)...) {
-		if len(kept) >= most || looked == reservePerRound {
+	most := max(1, int(maxReservedShare*float64(len(hosts))))
+	tried := 0
+	for _, t := range append(c.startableLongRunningTasks(now), c.suspectsWaiting(now)...) {
+		if len(kept) >= most || tried == maxReservationTriesPerRound {
 			return
 		}
 		if kept[t] {
 			continue
 		}
-		looked++
+		tried++
 		if c.choose(now, t, hosts) != nil {
 			continue // it is placed in this round
 		}
-		if e := c.choiceToKeep(now, t, hosts); e != nil {
-			e.keptFor, e.keptUntil = t, now+reserveFor
+		if e := c.endpointToReserve(now, t, hosts); e != nil {
+			e.keptFor, e.keptUntil = t, now+reservationDuration
 			kept[t] = true
 			c.event(Event{Kind: EventKept, Job: t.step.job.rec.Job.ID, Task: t.name(), Endpoint: e.id, Run: len(e.tasks)})
 		}
@@ -63,7 +63,7 @@
 }
 
 // lastingWaiting returns the lasting tasks that could start now.
-func (c *Core) lastingWaiting(now time.Duration) []*task {
+func (c *Core) startableLongRunningTasks(now time.Duration) []*task {
 	var out []*task
 	for _, j := range c.open {
 		if j.rec.State.Ended() {
@@ -85,10 +85,10 @@
 
 // choiceToKeep returns the endpoint that would take the task once its short
 // tasks have ended, and has the most room already.
-func (c *Core) choiceToKeep(now time.Duration, t *task, hosts []*endpoint) *endpoint {
+func (c *Core) endpointToReserve(now time.Duration, t *task, hosts []*endpoint) *endpoint {
 	var best *endpoint
 	for _, e := range hosts {
-		if e.keptFor != nil || !e.withoutShort().Holds(needs(t.step.spec)) || c.mismatch(now, t, e) != obstacleNone {
+		if e.keptFor != nil || !e.capacityWithoutShortTasks().Holds(needs(t.step.spec)) || c.mismatch(now, t, e) != obstacleNone {
 			continue
 		}
 		if best == nil || e.free().CPUMilli > best.free().CPUMilli {
@@ -99,7 +99,7 @@
 }
 
 // withoutShort is the room left beside the tasks that last.
-func (e *endpoint) withoutShort() Room {
+func (e *endpoint) capacityWithoutShortTasks() Room {
 	room := e.capacity
 	for t := range e.tasks {
 		if t.step.spec.LongRunning {
--- a/internal/executor/speed.go
+++ b/internal/executor/speed.go
@@ -21,24 +21,24 @@
 	// slowBelow is the share of the usual speed below which an endpoint is slow,
 	// and fineAbove the share above which it no longer is. Runs of one queue
 	// differ by half of their mean, so that sound endpoints seem slow now and then.
-	slowBelow = 0.3
-	fineAbove = 0.6
+	slowSpeedShare      = 0.3
+	recoveredSpeedShare = 0.6
 	// speedWindow is the running time, of all tasks together, that a judgement
 	// rests on: half a second of five tasks.
-	speedWindow = 2500 * time.Millisecond
+	maxSpeedWeight = 2500 * time.Millisecond
 	// speedLeast is the running time needed before there is a judgement at all:
 	// the start of a run shows no progress for some 100 ms.
-	speedLeast = 900 * time.Millisecond
+	minSpeedWeight = 900 * time.Millisecond
 	// fewEndpoints is how many judged endpoints it takes to know what is usual.
-	fewEndpoints = 3
+	minRatedEndpoints = 3
 	// usualMost bounds what counts as usual speed, should all endpoints be faster
 	// than they were when the queue's runs were learnt.
-	usualMost = 1.5
+	maxUsualSpeed = 1.5
 	// rescueFactor is how many times longer a run's rest must take than all of
 	// it elsewhere: the stop takes some time and what was done is lost.
 	rescueFactor = 2.0
 	// mostRescues of a task: it may be slow by itself.
-	mostRescues = 1
+	maxRescues = 1
 )
 
 // speed is how fast an endpoint works, beside what its queues' runs have taken
@@ -55,7 +55,7 @@
 	if passed <= 0 {
 		return
 	}
-	s.weight = min(speedWindow, s.weight+passed)
+	s.weight = min(maxSpeedWeight, s.weight+passed)
 	share := 1 - math.Exp(-float64(passed)/float64(s.weight))
 	if s.value == 0 && s.weight == passed {
 		share = 1
@@ -64,7 +64,7 @@
 }
 
 // known reports whether enough was seen for a judgement.
-func (s *speed) known() bool { return s.weight >= speedLeast }
+func (s *speed) hasEnoughData() bool { return s.weight >= minSpeedWeight }
 
 // noteProgress learns an endpoint's speed from a run that it lists at clock, its
 // own time: the answer may have been held up on its way, or here.
@@ -74,7 +74,7 @@
 		return // listings can overtake each other
 	}
 	t.listedAt = clock
-	if at == 0 || percent < before || !showsSpeed(t) || !c.knownWork(t.step.job) {
+	if at == 0 || percent < before || !indicatesSpeed(t) || !c.hasLearnedLengths(t.step.job) {
 		return
 	}
 	t.host.speed.add(float64(percent-before)/100*c.taskMs(t.step), clock-at)
@@ -82,11 +82,11 @@
 
 // knownWork reports whether runs of the job's queue have shown how long they are.
 // Callers' estimates would make an endpoint slow whose jobs were estimated short.
-func (c *Core) knownWork(j *job) bool { return c.learned[j.rec.Queue].known() }
+func (c *Core) hasLearnedLengths(j *job) bool { return c.learned[j.rec.Queue].hasEnoughRuns() }
 
 // showsSpeed reports whether a run's progress says something of its endpoint: a
 // gang waits for its members, and away from its data a task is slow anywhere.
-func showsSpeed(t *task) bool {
+func indicatesSpeed(t *task) bool {
 	s := t.step.spec
 	atData := s.DataRack == "" || s.DataRack == t.host.rack
 	return !s.LongRunning && !s.Gang && atData && !t.stopping
@@ -97,27 +97,27 @@
 	usual := c.usualSpeed()
 	for _, e := range c.endpoints {
 		s := &e.speed
-		if !s.known() {
+		if !s.hasEnoughData() {
 			continue
 		}
 		was := s.slow
-		s.slow = s.value < slowBelow*usual && (was || e.ofSeveralJobs()) || was && s.value < fineAbove*usual
+		s.slow = s.value < slowSpeedShare*usual && (was || e.runsSeveralJobs()) || was && s.value < recoveredSpeedShare*usual
 		if s.slow != was {
 			kind := EventSlow
 			if was {
 				kind = EventFine
 			}
-			c.event(Event{Kind: kind, Endpoint: e.id, Run: len(e.tasks), Reason: percentOf(s.value / usual)})
+			c.event(Event{Kind: kind, Endpoint: e.id, Run: len(e.tasks), Reason: formatRelativeSpeed(s.value / usual)})
 		}
 	}
 }
 
 // ofSeveralJobs reports whether tasks of two jobs or more run there. Those of one
 // job may all be long by themselves, and packed they fill an endpoint.
-func (e *endpoint) ofSeveralJobs() bool {
+func (e *endpoint) runsSeveralJobs() bool {
 	var first *job
 	for t := range e.tasks {
-		if t.confirmed == 0 || !showsSpeed(t) {
+		if t.confirmed == 0 || !indicatesSpeed(t) {
 			continue
 		}
 		if first != nil && first != t.step.job {
@@ -132,21 +132,21 @@
 func (c *Core) usualSpeed() float64 {
 	var values []float64
 	for _, e := range c.endpoints {
-		if e.speed.known() {
+		if e.speed.hasEnoughData() {
 			values = append(values, e.speed.value)
 		}
 	}
-	if len(values) < fewEndpoints {
+	if len(values) < minRatedEndpoints {
 		return 1
 	}
 	slices.Sort(values)
-	return min(usualMost, values[len(values)/2])
+	return min(maxUsualSpeed, values[len(values)/2])
 }
 
 // rescue stops a run on a slow endpoint that ends sooner if it begins anew
 // elsewhere. Its checkpoint, where it has one, is kept.
 func (c *Core) rescue(e *endpoint, t *task) {
-	if !e.speed.slow || t.rescues >= mostRescues || t.confirmed == 0 || t.stopping || !showsSpeed(t) {
+	if !e.speed.slow || t.rescues >= maxRescues || t.confirmed == 0 || t.stopping || !indicatesSpeed(t) {
 		return
 	}
 	left := (1 - float64(t.percent)/100) / max(e.speed.value, 0.01)
@@ -160,7 +160,7 @@
 
 // probed reports whether a slow endpoint has the one task already that shows
 // how it does.
-func (e *endpoint) probed() bool {
+func (e *endpoint) hasProbeTask() bool {
 	for t := range e.tasks {
 		if !t.step.spec.LongRunning && !t.stopping {
 			return true
--- a/internal/executor/summary.go
+++ b/internal/executor/summary.go
@@ -42,13 +42,13 @@
 	Lasting bool `json:"lasting" cbor:"4,keyasint"`
 }
 
-func (e *endpoint) load() HostLoad {
+func (e *endpoint) hostLoad() HostLoad {
 	return HostLoad{Endpoint: e.id, UsedMilli: e.used.CPUMilli, Tasks: len(e.tasks), Lasting: e.hasLasting()}
 }
 
 // hopelessShare is how much of the ready work of jobs that are late anyway
 // counts as need for instances: it has to be done, but not soon.
-const hopelessShare = 0.3
+const lateJobShare = 0.3
 
 // Summary returns the pool's state in figures.
 func (c *Core) Summary(now time.Duration) Summary {
@@ -60,19 +60,19 @@
 		s.Endpoints++
 		s.CapacityMilli += e.capacity.CPUMilli
 		s.RunningCPUMilli += e.used.CPUMilli
-		s.Hosts = append(s.Hosts, e.load())
+		s.Hosts = append(s.Hosts, e.hostLoad())
 		s.LastingCPUMilli += e.lastingCPU()
 	}
 	slices.SortFunc(s.Hosts, func(a, b HostLoad) int { return cmp.Compare(a.Endpoint, b.Endpoint) })
 	s.OfferedCoreMs = c.offered
-	s.LeastHosts, s.Starved = c.leastHosts(), c.starved(now)
+	s.LeastHosts, s.Starved = c.minLongRunningHosts(), c.countUnplaceableSteps(now)
 	for _, j := range c.open {
 		if j.rec.State.Ended() || lasting(&j.rec.Job) {
 			continue
 		}
 		w := c.remaining(j)
 		if c.hopeless(now, j) {
-			w.ready *= hopelessShare
+			w.ready *= lateJobShare
 		}
 		s.ReadyCoreMs += w.ready / 1000
 		s.BacklogCoreMs += (w.ready + w.running + w.later) / 1000
@@ -87,7 +87,7 @@
 
 // leastHosts is how many endpoints the steps of lasting tasks need at least:
 // those that serve and those that fill never share one.
-func (c *Core) leastHosts() int {
+func (c *Core) minLongRunningHosts() int {
 	serving, filling := 0, 0
 	for _, j := range c.open {
 		if j.rec.State.Ended() {
@@ -114,13 +114,13 @@
 
 // starved counts steps of lasting tasks of which one waits and finds no
 // endpoint, though room in the pool's sum may be left.
-func (c *Core) starved(now time.Duration) int {
+func (c *Core) countUnplaceableSteps(now time.Duration) int {
 	n := 0
 	for _, j := range c.open {
 		if j.rec.State.Ended() || !lasting(&j.rec.Job) {
 			continue
 		}
-		for _, t := range j.waitingTasks() {
+		for _, t := range j.firstWaitingTasks() {
 			found := false
 			for _, e := range c.endpoints {
 				found = found || c.obstacle(now, t, e) == obstacleNone
