--- a/internal/executor/accounts.go
+++ b/internal/executor/accounts.go
@@ -9,26 +9,26 @@
 	"cyclamenwheel/internal/quota"
 )
 
-// Limits of client accounts. Load: one account sends several times its usual. What it has
-// running is bounded over all pools; its tasks beyond that wait without holding room or
-// endpoints that others could use.
+// Limits of client accounts. Load: one account sends several times its usual demand. Its
+// running tasks are bounded across all pools; tasks beyond that bound wait without occupying
+// capacity or endpoints that others could use.
 
-// declared is what a task counts as against its account's limit.
+// declared returns the resources that a task counts for against its account's limit.
 func declared(s *jobs.Step) quota.Amount {
 	return quota.Amount{CPUMilli: s.CPUMilli, MemoryMB: s.MemoryMB, GPUs: s.GPUs}
 }
 
-// SetAccounts takes in the published client accounts.
+// SetAccounts applies the published client accounts.
 func (c *Core) SetAccounts(d *accounts.Directory) { c.allowance.SetDirectory(d) }
 
-// TakeShares takes in this pool's shares of accounts' limits.
+// TakeShares applies this pool's shares of the accounts' limits.
 func (c *Core) TakeShares(now time.Duration, grants []quota.Grant) {
 	c.sharesTold = now
 	c.allowance.Grant(grants)
 }
 
-// AccountReports is what accounts use and want here: those asked about and all that have
-// something here.
+// AccountReports returns the usage and demand of the accounts in asked and of every account
+// with tasks in this pool.
 func (c *Core) AccountReports(asked []quota.Grant) []quota.Report {
 	wants := map[string]quota.Waiting{}
 	for _, j := range c.open {
@@ -47,13 +47,13 @@
 	return c.allowance.Reports(asked, wants)
 }
 
-// allowed reports whether so many more tasks of a step are within its account's limit.
+// allowed reports whether this many more tasks of a step fit within its account's limit.
 func (c *Core) allowed(s *stepRun, tasks int) bool {
 	return c.allowance.Fits(s.job.rec.Account, declared(s.spec).Times(tasks), tasks)
 }
 
-// admits is allowed for a step whose turn has come; it notes since when an account is at its
-// share.
+// admits is allowed for a step that is ready to start; it also records since when the account
+// has been at its share.
 func (c *Core) admits(now time.Duration, s *stepRun, tasks int) bool {
 	if c.allowed(s, tasks) {
 		return true
@@ -65,8 +65,8 @@
 	return false
 }
 
-// forgetBlocked drops accounts of which nothing waits any more: their next jobs begin with
-// whatever share they get.
+// forgetBlocked drops accounts that have no waiting jobs: their next jobs start afresh with the
+// share they get.
 func (c *Core) forgetBlocked() {
 	if len(c.blocked) == 0 {
 		return
@@ -80,9 +80,9 @@
 	maps.DeleteFunc(c.blocked, func(account string, _ time.Duration) bool { return !waiting[account] })
 }
 
-// withinShares is how much of a backlog can run in a time, in milli-core-milliseconds. Load:
-// one account hands in many times its limit; its jobs beyond that don't stand before those of
-// others.
+// withinShares returns how much of a backlog, in milli-core-milliseconds, can run within ms
+// milliseconds. Load: one account submits many times its limit; the jobs beyond the limit don't
+// delay those of other accounts.
 func (c *Core) withinShares(backlog map[string]float64, ms float64) float64 {
 	sum := 0.0
 	for account, work := range backlog {
@@ -94,11 +94,11 @@
 	return sum
 }
 
-// shareSettles is how long an account may be at its share before it is taken for as much as
-// it gets: a share follows demand within that time where the limit leaves anything.
+// shareSettleTime is how long an account may be at its share before that share is taken as
+// final: within this time a share follows demand as far as the limit allows.
 const shareSettleTime = 600 * time.Millisecond
 
-// accountWaitMs is how long a backlog of an account takes to drain within its share.
+// accountWaitMs returns how long an account's backlog takes to drain within its share.
 func (c *Core) accountWaitMs(now time.Duration, account string, backlog float64) float64 {
 	since, blocked := c.blocked[account]
 	cpu, bounded := c.allowance.CPU(account)
@@ -108,16 +108,16 @@
 	return backlog / float64(max(1, cpu))
 }
 
-// canEverRun reports whether each task of a job, and each gang, is within the limit of
-// its account.
+// canEverRun reports whether each task of a job, and each gang as a whole, fits within its
+// account's limit.
 func (c *Core) canEverRun(j *job) bool {
 	for i := range j.rec.Job.Steps {
 		s := &j.rec.Job.Steps[i]
-		together := 1
+		tasksTogether := 1
 		if s.Gang {
-			together = s.Count
+			tasksTogether = s.Count
 		}
-		if !c.allowance.CanEverFit(j.rec.Account, declared(s).Times(together)) {
+		if !c.allowance.CanEverFit(j.rec.Account, declared(s).Times(tasksTogether)) {
 			return false
 		}
 	}
--- a/internal/executor/accounts_test.go
+++ b/internal/executor/accounts_test.go
@@ -19,8 +19,8 @@
 }
 
 var _ = Describe("a job of a client account", func() {
-	// Another account's caller is shown the job, or cancels it.
-	It("is shown to its own account only, also by the next owner", func() {
+	// Guards against showing a job to another account's caller, who could then cancel it.
+	It("is shown to its own account only, also after a change of owner", func() {
 		w := newWorld(1, 2)
 		o := w.takeOver()
 		j := jobOf(1, small(1))
@@ -30,15 +30,15 @@
 			Expect(o.core.Shows(j.ID, executor.Caller{Queue: "q", Account: "alpha"})).To(BeTrue())
 			Expect(o.core.Shows(j.ID, executor.Caller{Queue: "q", Account: "beta"})).To(BeFalse())
 			Expect(o.core.Shows(j.ID, executor.Caller{Queue: "other"})).To(BeFalse())
-			Expect(o.core.Shows(j.ID, executor.Caller{Queue: "q"})).To(BeTrue(), "its queue asks for no key any more")
+			Expect(o.core.Shows(j.ID, executor.Caller{Queue: "q"})).To(BeTrue(), "the queue no longer requires a key")
 			o.stopped = true
 			o = w.takeOver()
 		}
 	})
 
-	// A job handed in under another account's id is taken for a repetition: its caller is
-	// told that it was accepted, and it never runs.
-	It("is not confirmed to another account that uses its id", func() {
+	// Guards against taking a job with another account's ID for a resubmission: its caller
+	// would see it accepted, and it would never run.
+	It("is not confirmed to another account that submits its ID", func() {
 		w := newWorld(1, 2)
 		o := w.takeOver()
 		j := jobOf(1, small(1))
@@ -50,8 +50,8 @@
 		Expect(verdict).To(Equal(executor.VerdictAccepted))
 	})
 
-	// A job that was accepted before accounts were known is shown to nobody.
-	It("is anybody's where it was handed in without one", func() {
+	// Guards against hiding jobs that were accepted before accounts existed.
+	It("is shown to every caller if it was submitted without an account", func() {
 		w := newWorld(1, 2)
 		o := w.takeOver()
 		j := jobOf(1, small(1))
@@ -60,7 +60,7 @@
 	})
 })
 
-// limited lets an account have milli-cores running in this pool.
+// limited gives an account a limit of milli milli-cores in this pool.
 func limited(w *world, o *owner, account string, milli int, rev int64) {
 	d := accounts.NewDirectory()
 	limit := accounts.Limit{CPUMilli: milli}
@@ -71,15 +71,16 @@
 	o.core.TakeShares(w.now, []quota.Grant{{Account: account, Share: quota.Whole, Limit: limit, Ceiling: limit, Rev: rev}})
 }
 
-// noteAccount notes a start that brings the account above its limit.
+// noteAccount records a violation if the account's running tasks exceed its limit.
 func (w *world) noteAccount() {
 	if running := 1000 * w.runningTasks(); w.account != "" && running > w.limitMilli {
 		w.broken = append(w.broken, fmt.Sprintf("%v: the account has %d of %d running", w.now, running, w.limitMilli))
 	}
 }
 
-// An account has more running than its limit, or nothing at all, where orders and answers are
-// lost or late, owners are killed, cut off or slow, and endpoints fall silent or crash.
+// Guards against an account that exceeds its limit, or runs nothing at all, when orders and
+// answers are lost or late, owners are killed, partitioned or slow, and endpoints become
+// unresponsive or crash.
 func TestRandomDaysOfAnAccountAtItsLimit(t *testing.T) {
 	for seed := uint64(1); seed <= uint64(seeds/3+additionalSeeds()); seed++ {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
@@ -98,8 +99,8 @@
 }
 
 var _ = Describe("a client account's limit", func() {
-	// An account that sends more than its limit has all of it running.
-	It("bounds what runs, also after a change of owner", func() {
+	// Guards against running all that an account submits beyond its limit.
+	It("bounds its running tasks, also after a change of owner", func() {
 		w := newWorld(1, 4)
 		o := w.takeOver()
 		w.run(10 * step)
@@ -119,8 +120,9 @@
 		Expect(w.state(o, j)).To(Equal("completed"))
 	})
 
-	// A new owner that does not know its share starts what its predecessor has given away.
-	It("lets nothing start without a share on record", func() {
+	// Guards against a new owner without a recorded share that starts what its predecessor
+	// gave away.
+	It("lets no task start without a recorded share", func() {
 		w := newWorld(1, 4)
 		o := w.takeOver()
 		w.run(10 * step)
@@ -134,8 +136,8 @@
 		Expect(w.state(o, j)).To(Equal("completed"))
 	})
 
-	// Jobs of other accounts wait behind one that is at its limit.
-	It("does not hold up other accounts' jobs", func() {
+	// Guards against jobs of other accounts that wait behind an account at its limit.
+	It("does not delay other accounts' jobs", func() {
 		w := newWorld(1, 2)
 		o := w.takeOver()
 		w.run(10 * step)
@@ -156,9 +158,9 @@
 		Expect(w.state(o, other)).To(Equal("completed"))
 	})
 
-	// An account that was at its share some time ago has its next jobs refused, though the share
-	// follows its demand within moments.
-	It("refuses none of its next jobs for what it waited for before", func() {
+	// Guards against refusing the next jobs of an account that was at its share some time ago,
+	// although the share follows its demand quickly.
+	It("does not refuse later jobs because earlier ones had to wait", func() {
 		w := newWorld(1, 4)
 		o := w.takeOver()
 		w.run(10 * step)
@@ -179,8 +181,8 @@
 		}
 	})
 
-	// A part of a gang starts, waits for members that its account has no room for, and holds
-	// room meanwhile.
+	// Guards against a gang that starts in part, waits for members beyond its account's limit,
+	// and occupies capacity meanwhile.
 	It("lets a gang start as a whole or not at all", func() {
 		w := newWorld(1, 4)
 		o := w.takeOver()
@@ -190,7 +192,7 @@
 		together.Gang, together.CPUMilli = true, 1000
 		verdict, refusal := o.core.Submit(w.now, jobOf(1, together), accepting("alpha"), 1)
 		Expect(verdict).To(Equal(executor.VerdictRefused), "it can never start")
-		Expect(refusal).To(Equal(executor.Refusal{Reason: executor.RefusedAccount}), "and nothing is gained by coming back")
+		Expect(refusal).To(Equal(executor.Refusal{Reason: executor.RefusedAccount}), "a retry would not help")
 		limited(w, o, "alpha", 5000, 2)
 		w.lengthOf = func(jobs.TaskName) time.Duration { return 400 * time.Millisecond }
 		o.core.Submit(w.now, jobOf(2, small(2)), accepting("alpha"), 2)
@@ -205,8 +207,9 @@
 		Expect(w.broken).To(BeEmpty())
 	})
 
-	// The holder of the shares takes back what a pool's new owner still has running.
-	It("counts what runs of a predecessor's starts", func() {
+	// Guards against usage missing from a new owner's reports: the holder of the shares would
+	// take back shares that running tasks still use.
+	It("counts the running tasks that a previous owner started", func() {
 		w := newWorld(1, 2)
 		o := w.takeOver()
 		w.run(10 * step)
--- a/internal/executor/advice.go
+++ b/internal/executor/advice.go
@@ -7,29 +7,28 @@
 	"time"
 )
 
-// Advice. Load: only a slow service knows which endpoints may run a step, and
-// it answers one call of a node at a time. A step asks for as many endpoints as
-// it can use, once, and keeps the answer while it holds.
+// Advice. Load: only a slow external service can tell which endpoints may run a step, and it
+// answers one call of a node at a time. A step asks for as many endpoints as it can use in one
+// call and reuses the answer while it is valid.
 const (
-	// adviceMost bounds the endpoints of one call: each adds to the answer's
-	// delay.
+	// maxAdviceEndpoints bounds the endpoints of one call, as each adds to the answer's delay.
 	maxAdviceEndpoints = 30
-	// adviceLeast endpoints are asked about even for a single task, as most of
-	// them may be unfit.
+	// minAdviceEndpoints are asked about even for a single task, as most of them may be unfit.
 	minAdviceEndpoints = 6
-	// advicePerTask is how many endpoints are asked about for each task.
+	// adviceEndpointsPerTask is how many endpoints are asked about for each task.
 	adviceEndpointsPerTask = 2
-	// ticketMargin is left of a ticket's time when a start is ordered with it.
+	// ticketMargin is the validity that a ticket must have left when a start is ordered with
+	// it.
 	ticketMargin = 250 * time.Millisecond
-	// adviceRetry follows a call that failed.
+	// adviceRetryDelay is the delay after a failed call.
 	adviceRetryDelay = 300 * time.Millisecond
 )
 
-// advice is what a step knows of the endpoints that may run it.
+// advice caches what the service has answered for a step.
 type advice struct {
 	tickets    map[Incarnation]string
 	validUntil time.Duration
-	// asked are the incarnations whose fitness is known; fitness does not change.
+	// unfit is true for incarnations known to be unfit; fitness does not change.
 	unfit    map[Incarnation]bool
 	inFlight bool
 	retryAt  time.Duration
@@ -39,14 +38,14 @@
 type AdviceCall struct {
 	Step      string
 	Endpoints []string
-	// Timeout is how long the service may take.
+	// Timeout bounds the call.
 	Timeout time.Duration
 	step    *stepRun
-	// about are the incarnations of Endpoints, in the same order.
+	// incarnations are those of Endpoints, in the same order.
 	incarnations []Incarnation
 }
 
-// needsAdvice reports whether the step's tasks may only start with a ticket.
+// requiresTicket reports whether the step's tasks may only start with a ticket.
 func (s *stepRun) requiresTicket() bool { return s.job.rec.Terms.Advice != nil }
 
 // ticketFor returns the step's valid ticket for an endpoint, if it has one.
@@ -58,8 +57,7 @@
 	return ticket, ok
 }
 
-// advised reports whether the step may start on an endpoint as far as advice
-// goes.
+// hasRequiredTicket reports whether the step has a valid ticket for an endpoint or needs none.
 func (s *stepRun) hasRequiredTicket(now time.Duration, e *endpoint) bool {
 	if !s.requiresTicket() {
 		return true
@@ -68,7 +66,7 @@
 	return ok
 }
 
-// DueAdvice returns the next call to make, if one is due and none is under way.
+// DueAdvice returns the next call to make, if one is due and none is in flight.
 func (c *Core) DueAdvice(now time.Duration) (AdviceCall, bool) {
 	if c.adviceOut {
 		return AdviceCall{}, false
@@ -92,43 +90,42 @@
 		return AdviceCall{}, false
 	}
 	expired := now+ticketMargin > s.advice.validUntil
-	ask := c.adviceCandidates(now, s, expired)
-	if len(ask) == 0 {
+	candidates := c.adviceCandidates(now, s, expired)
+	if len(candidates) == 0 {
 		return AdviceCall{}, false
 	}
 	terms := s.job.rec.Terms.Advice
-	timeout := time.Duration(terms.DecideMs+terms.PeriodMs*len(ask))*time.Millisecond + time.Second
+	timeout := time.Duration(terms.DecideMs+terms.PeriodMs*len(candidates))*time.Millisecond + time.Second
 	name := s.job.rec.Job.ID + "." + strconv.Itoa(s.occ.number) + "." + strconv.Itoa(s.index)
 	call := AdviceCall{Step: name, Timeout: timeout, step: s}
-	for _, e := range ask {
+	for _, e := range candidates {
 		call.Endpoints, call.incarnations = append(call.Endpoints, e.id), append(call.incarnations, e.incarnation())
 	}
 	return call, true
 }
 
-// adviceCandidates returns the endpoints to ask about: those known to be fit
-// where their tickets have run out, and otherwise new ones while the fit ones
-// have too little room.
+// adviceCandidates returns the endpoints to ask about: the known fit ones if their tickets have
+// expired, and otherwise unasked ones while the fit ones have no free capacity.
 func (c *Core) adviceCandidates(now time.Duration, s *stepRun, expired bool) []*endpoint {
 	var fit, unasked []*endpoint
-	room := 0
+	fitWithCapacity := 0
 	for _, e := range c.endpoints {
 		if !c.isOpen(now, e) {
 			continue
 		}
-		_, good := s.advice.tickets[e.incarnation()]
+		_, fitKnown := s.advice.tickets[e.incarnation()]
 		switch {
-		case good:
+		case fitKnown:
 			fit = append(fit, e)
 			if e.free().Holds(needs(s.spec)) {
-				room++
+				fitWithCapacity++
 			}
 		case !s.advice.unfit[e.incarnation()]:
 			unasked = append(unasked, e)
 		}
 	}
 	wanted := min(maxAdviceEndpoints, max(minAdviceEndpoints, adviceEndpointsPerTask*s.waiting))
-	if len(fit) > 0 && room > 0 {
+	if len(fit) > 0 && fitWithCapacity > 0 {
 		if !expired {
 			return nil
 		}
@@ -147,7 +144,7 @@
 	return hosts[:min(count, len(hosts))]
 }
 
-// AdviceDone takes in the answer to a call; ok is false where there was none.
+// AdviceDone applies the answer to a call; ok is false if there was none.
 func (c *Core) AdviceDone(now time.Duration, call AdviceCall, tickets map[string]string, valid time.Duration, ok bool) {
 	c.adviceOut = false
 	a := &call.step.advice
@@ -160,13 +157,13 @@
 		a.unfit, a.tickets = map[Incarnation]bool{}, map[Incarnation]string{}
 	}
 	if now+ticketMargin > a.validUntil {
-		clear(a.tickets) // what is left has run out
+		clear(a.tickets) // the remaining tickets have expired
 	}
-	for _, in := range call.incarnations {
-		ticket, good := tickets[in.ID]
-		a.unfit[in] = !good
-		if good {
-			a.tickets[in] = ticket
+	for _, incarnation := range call.incarnations {
+		ticket, fit := tickets[incarnation.ID]
+		a.unfit[incarnation] = !fit
+		if fit {
+			a.tickets[incarnation] = ticket
 		}
 	}
 	if a.validUntil < now {
--- a/internal/executor/bench_test.go
+++ b/internal/executor/bench_test.go
@@ -9,8 +9,7 @@
 	"cyclamenwheel/internal/jobs"
 )
 
-// pool returns an owner of endpoints with room for nothing more, and jobs that
-// wait.
+// pool returns an owner of fully occupied endpoints and jobs that wait.
 func pool(endpoints, waiting int) (*world, *owner) {
 	w := newWorld(1, 0)
 	for i := range endpoints {
@@ -25,7 +24,7 @@
 	return w, o
 }
 
-// BenchmarkRound is a round of decisions with a backlog and no room.
+// BenchmarkRound measures a round of decisions with a backlog and no free capacity.
 func BenchmarkRound(b *testing.B) {
 	for _, endpoints := range []int{10, 80, 340} {
 		b.Run(fmt.Sprintf("endpoints=%d", endpoints), func(b *testing.B) {
@@ -39,7 +38,7 @@
 	}
 }
 
-// BenchmarkTask is a task from its job's submission to its end.
+// BenchmarkTask measures a task from its job's submission to its end.
 func BenchmarkTask(b *testing.B) {
 	w := newWorld(1, 0)
 	for i := range 80 {
@@ -56,7 +55,7 @@
 	}
 }
 
-// BenchmarkRestore is a takeover of jobs that run.
+// BenchmarkRestore measures a takeover with running jobs.
 func BenchmarkRestore(b *testing.B) {
 	for _, running := range []int{100, 1000} {
 		b.Run(fmt.Sprintf("jobs=%d", running), func(b *testing.B) {
--- a/internal/executor/dump.go
+++ b/internal/executor/dump.go
@@ -8,20 +8,20 @@
 	"cyclamenwheel/internal/quota"
 )
 
-// PoolDump is a pool's state for people.
+// PoolDump is a readable snapshot of a pool's state.
 type PoolDump struct {
 	Summary   Summary        `json:"summary"`
 	Epoch     int64          `json:"epoch"`
 	Starts    StartsDump     `json:"starts"`
 	Endpoints []EndpointDump `json:"endpoints"`
 	Jobs      []JobDump      `json:"jobs"`
-	// Accounts are what client accounts use here, and their shares of their limits.
+	// Accounts are the client accounts' usage of this pool and their shares of their limits.
 	Accounts []AccountDump `json:"accounts,omitempty"`
-	// Failed are the jobs that have failed of late, the newest first.
+	// Failed are the recently failed jobs, newest first.
 	Failed []FailedDump `json:"failed,omitempty"`
 }
 
-// FailedDump is a job that was given up.
+// FailedDump describes a failed job.
 type FailedDump struct {
 	ID         string `json:"id"`
 	Queue      string `json:"queue"`
@@ -29,14 +29,14 @@
 	EndedAgoMs int64  `json:"ended_ago_ms"`
 }
 
-// StartsDump is how starts leave.
+// StartsDump describes the limit of starts in flight.
 type StartsDump struct {
 	UnderWay int `json:"under_way"`
-	// Limit is how many may be under way.
+	// Limit is how many starts may be in flight.
 	Limit int `json:"limit"`
-	// Waiting are decided and durable, and wait for their turn to leave.
+	// Waiting counts the starts that are durable and wait to be sent.
 	Waiting int `json:"waiting"`
-	// MedianMs is how long the last ones took.
+	// MedianMs is the median answer time of the last window of starts.
 	MedianMs int64 `json:"median_ms"`
 }
 
@@ -64,13 +64,13 @@
 	Running     int      `json:"running"`
 	ObjectiveMs int64    `json:"objective_in_ms"`
 	Waiting     []string `json:"waiting,omitempty"`
-	// Unblock is what would let the waiting tasks go on.
+	// Unblock lists the events that would let the waiting tasks start.
 	Unblock []string `json:"unblock,omitempty"`
-	// Crashes are its tasks under which endpoints have crashed.
+	// Crashes are the tasks with evidence of having crashed their endpoints.
 	Crashes []string `json:"crashes,omitempty"`
 }
 
-// dumpJobs bounds a dump.
+// maxDumpEntries bounds each list of a dump.
 const maxDumpEntries = 500
 
 // Dump returns the pool's state.
@@ -92,14 +92,14 @@
 	return d
 }
 
-// AccountDump is a client account's part of a pool.
+// AccountDump is a client account's usage of a pool.
 type AccountDump struct {
 	quota.State
-	// Waiting counts its jobs of which no task has begun, Refused those that were turned
-	// away since this owner claimed the pool.
+	// Waiting counts the account's jobs of which no task has started. Refused counts those
+	// refused since this owner claimed the pool.
 	Waiting int `json:"waiting"`
 	Refused int `json:"refused"`
-	// ToldAgoMs is how long ago the holder of the shares last spoke.
+	// ToldAgoMs is how long ago the holder of the shares last reported them.
 	ToldAgoMs int64 `json:"told_ago_ms"`
 }
 
@@ -134,7 +134,7 @@
 	return out
 }
 
-// dumpCrashes returns what speaks for a job's tasks crashing their endpoints.
+// dumpCrashes returns the evidence that a job's tasks crash their endpoints.
 func (j *job) dumpCrashes() []string {
 	var out []string
 	for _, o := range j.current {
@@ -150,7 +150,7 @@
 }
 
 func (c *Core) dumpJob(now time.Duration, j *job) JobDump {
-	state, _ := c.State(j.rec.Job.ID) // an unknown one is still being accepted
+	state, _ := c.State(j.rec.Job.ID) // a job without a visible state is still being accepted
 	d := JobDump{ID: j.rec.Job.ID, Queue: j.rec.Queue, Account: j.rec.Account, State: state.String(), Running: j.placed,
 		ObjectiveMs: (j.objective - now).Milliseconds()}
 	d.Crashes = j.dumpCrashes()
--- a/internal/executor/explain.go
+++ b/internal/executor/explain.go
@@ -9,15 +9,15 @@
 )
 
 const (
-	// waitsLong is how long a task may wait, though its turn has come, before
-	// the log says why; waitsEvery spaces those lines.
+	// longWaitThreshold is how long a ready task may wait before the log explains why;
+	// explainInterval is the least time between these explanations.
 	longWaitThreshold = 2 * time.Second
 	explainInterval   = 2 * time.Second
-	// waitsShown bounds the tasks that one round explains.
+	// maxExplainedTasks bounds the tasks that one round explains.
 	maxExplainedTasks = 3
 )
 
-// explainWaiting says of a few tasks that wait for long what they wait for.
+// explainWaiting logs what a few long-waiting tasks wait for.
 func (c *Core) explainWaiting(now time.Duration) {
 	if now-c.explained < explainInterval {
 		return
@@ -39,7 +39,7 @@
 	}
 }
 
-// waitingTasks returns one task of each step whose turn has come.
+// firstWaitingTasks returns one waiting task of each step that is ready to start.
 func (j *job) firstWaitingTasks() []*task {
 	var out []*task
 	for s := range j.readySteps() {
@@ -50,7 +50,7 @@
 	return out
 }
 
-// obstaclesOf counts the pool's endpoints by what keeps a task from them.
+// countObstacles counts the pool's endpoints by what prevents a task from starting on them.
 func (c *Core) countObstacles(now time.Duration, t *task) map[string]int {
 	counts := map[string]int{}
 	for _, e := range c.endpoints {
@@ -59,7 +59,7 @@
 	return counts
 }
 
-// whyWaiting tells people what keeps a task waiting.
+// describeObstacles returns a readable summary of what a task waits for.
 func (c *Core) describeObstacles(now time.Duration, t *task, counts map[string]int) string {
 	var parts []string
 	if !c.allowed(t.step, 1) {
@@ -71,33 +71,37 @@
 		}
 	}
 	if now < t.notBefore {
-		parts = append(parts, "backs off")
+		parts = append(parts, "in backoff")
 	}
 	return strings.Join(parts, ", ")
 }
 
-// Obstacles, in the order in which they are told.
+// Obstacles, in the order in which they are listed.
 const (
-	// obstacleAccount is no endpoint's: the task waits for others of its client account.
-	obstacleAccount        = "its account's limit"
-	obstacleNone           = "open"
-	obstacleFull           = "full"
-	obstacleRequirement    = "unlike"
-	obstacleSpread         = "with too many of its step"
-	obstacleSharing        = "with tasks it must not share with"
-	obstacleTicket         = "without a ticket"
-	obstacleUnlisted       = "not listed"
-	obstacleDraining       = "draining"
-	obstacleVacating       = "vacating"
-	obstacleNotReported    = "not heard from yet"
-	obstacleUnresponsive   = "silent"
-	obstacleUnknownRuns    = "with unknown runs"
-	obstacleQuarantined    = "quarantined"
-	obstacleReserved       = "kept for a lasting task"
-	obstacleSlow           = "slow"
-	obstacleLateEnd        = "with an end that came too late"
-	obstacleOutdatedEntry  = "with an entry too old to go by"
-	obstacleTrial          = "where a task that may crash it has just begun"
+	// obstacleAccount does not concern an endpoint: the task waits for others of its client
+	// account.
+	obstacleAccount = "its account's limit"
+	obstacleNone    = "open"
+	obstacleFull    = "full"
+	// obstacleRequirement: neither the endpoint's kind nor its rack is the required one.
+	obstacleRequirement  = "unlike"
+	obstacleSpread       = "at the step's limit of tasks per endpoint"
+	obstacleSharing      = "with tasks that it must not share an endpoint with"
+	obstacleTicket       = "without a ticket"
+	obstacleUnlisted     = "not listed"
+	obstacleDraining     = "draining"
+	obstacleVacating     = "vacating"
+	obstacleNotReported  = "not yet reported to this owner"
+	obstacleUnresponsive = "silent"
+	obstacleUnknownRuns  = "with runs unknown to this owner"
+	obstacleQuarantined  = "quarantined"
+	obstacleReserved     = "reserved for another task"
+	obstacleSlow         = "slow"
+	// obstacleLateEnd: the endpoint lists the end of an abandoned run that must not be
+	// acknowledged, as its task has started again elsewhere.
+	obstacleLateEnd        = "with the end of an abandoned run"
+	obstacleOutdatedEntry  = "with an outdated service discovery entry"
+	obstacleTrial          = "where a suspect task of another job has just started"
 	obstacleOutdatedReport = "not heard of late"
 	obstacleRecentStart    = "where others have just begun"
 )
@@ -106,29 +110,29 @@
 	obstacleDraining, obstacleVacating, obstacleNotReported, obstacleUnresponsive, obstacleUnknownRuns, obstacleQuarantined, obstacleReserved, obstacleSlow, obstacleLateEnd,
 	obstacleOutdatedEntry, obstacleTrial, obstacleOutdatedReport, obstacleRecentStart}
 
-// unblocks is what ends an obstacle, where something does.
+// unblockedBy maps an obstacle to the event that removes it, where there is one.
 var unblockedBy = map[string]string{
 	obstacleAccount:        "the end of a task of the same account, or a higher limit",
 	obstacleFull:           "a task that ends on a full endpoint, or an instance that comes to the pool",
-	obstacleSpread:         "one more endpoint, for a step whose tasks must be apart",
-	obstacleSharing:        "an endpoint without tasks that serve or fill, whichever the other is",
-	obstacleTicket:         "an answer of the advice service",
-	obstacleUnlisted:       "an entry in service discovery that can be read",
+	obstacleSpread:         "another endpoint, as the step limits its tasks per endpoint",
+	obstacleSharing:        "an endpoint without tasks of the kind (serving or filling) that it can't share with",
+	obstacleTicket:         "a ticket from the advice service",
+	obstacleUnlisted:       "a readable entry in service discovery",
 	obstacleVacating:       "the end of the operation on the endpoint's instance",
-	obstacleNotReported:    "the endpoint's first answer to this owner",
-	obstacleUnresponsive:   "the endpoint's answer, or the end of its lease",
-	obstacleUnknownRuns:    "the end of runs that this owner does not know",
+	obstacleNotReported:    "the endpoint's first report to this owner",
+	obstacleUnresponsive:   "the endpoint's next report, or the expiry of its lease",
+	obstacleUnknownRuns:    "the end of the runs unknown to this owner",
 	obstacleQuarantined:    "the end of the quarantine",
-	obstacleReserved:       "the lasting task that the endpoint is kept for",
+	obstacleReserved:       "the start of the task that the endpoint is reserved for, or the end of the reservation",
 	obstacleLateEnd:        "a move or the maintenance of the endpoint's instance",
 	obstacleOutdatedEntry:  "the endpoint's next entry in service discovery",
-	obstacleTrial:          "the endpoint's next answers, or its end",
-	obstacleOutdatedReport: "the endpoint's answer",
-	obstacleRecentStart:    "an endpoint kept for the task alone: others may be blamed for its crashes",
-	obstacleSlow:           "progress of the one task that tries the slow endpoint",
+	obstacleTrial:          "the endpoint's next reports, or its crash",
+	obstacleOutdatedReport: "the endpoint's next report",
+	obstacleRecentStart:    "an endpoint reserved for the suspect task alone, so that a crash is attributed to it",
+	obstacleSlow:           "progress of the one task that probes the slow endpoint",
 }
 
-// obstacle returns what keeps a task from an endpoint.
+// obstacle returns what prevents a task from starting on an endpoint.
 func (c *Core) obstacle(now time.Duration, t *task, e *endpoint) string {
 	if closed := c.closedBy(now, e); closed != obstacleNone {
 		return closed
@@ -154,7 +158,7 @@
 	return c.mismatch(now, t, e)
 }
 
-// closedBy returns what keeps every task from an endpoint.
+// closedBy returns what prevents every task from starting on an endpoint.
 func (c *Core) closedBy(now time.Duration, e *endpoint) string {
 	switch {
 	case !e.listed:
@@ -179,8 +183,8 @@
 	return obstacleNone
 }
 
-// mismatch returns what keeps a task from an endpoint, however empty that is of
-// tasks that end by themselves.
+// mismatch returns what prevents a task from starting on an endpoint however much capacity its
+// short tasks leave.
 func (c *Core) mismatch(now time.Duration, t *task, e *endpoint) string {
 	s := t.step.spec
 	switch {
@@ -196,7 +200,7 @@
 	return obstacleNone
 }
 
-// percentOf writes a share for the log.
+// formatRelativeSpeed formats a speed, relative to the usual one, for the log.
 func formatRelativeSpeed(share float64) string {
 	return strconv.Itoa(int(100*share)) + "% of the usual speed"
 }
--- a/internal/executor/journal.go
+++ b/internal/executor/journal.go
@@ -9,9 +9,9 @@
 	"cyclamenwheel/internal/routing"
 )
 
-// Keys of the records of a pool. A job has one record that is written when it
-// is accepted, cancelled and ended, and one of its tasks' progress that is
-// written with each change and removed when the job has ended.
+// Key prefixes of a pool's records. A job has one record that is written when it is accepted,
+// cancelled and ended, and a progress record that is written with each change of its tasks and
+// removed when the job has ended.
 const (
 	keyJob      = "j"
 	keyProgress = "p"
@@ -23,40 +23,40 @@
 	Value []byte
 }
 
-// jobRecord is what is kept of a job. Once it has ended, Job holds its ID only.
+// jobRecord is the stored part of a job. Once the job has ended, Job holds its ID only.
 type jobRecord struct {
 	Job        jobs.Job      `cbor:"1,keyasint"`
 	Queue      string        `cbor:"2,keyasint"`
 	Terms      routing.Terms `cbor:"3,keyasint"`
 	AcceptedMs int64         `cbor:"4,keyasint"`
-	// OfferedMs is when the caller first handed it in, by the owner's time of day.
+	// OfferedMs is when the caller first submitted the job, by the owner's wall clock.
 	OfferedMs int64    `cbor:"7,keyasint,omitempty"`
 	State     JobState `cbor:"5,keyasint,omitempty"`
 	EndedMs   int64    `cbor:"6,keyasint,omitempty"`
-	// Reason says why it has failed, for operators.
+	// Reason is why the job has failed, for operators.
 	Reason string `cbor:"8,keyasint,omitempty"`
 	// Account is the client account that the job belongs to, "" for none.
 	Account string `cbor:"9,keyasint,omitempty"`
 }
 
-// progressRecord is what is kept of a job's tasks that have begun.
+// progressRecord is the stored part of those tasks of a job that have been started.
 type progressRecord struct {
 	// FirstOpen is the lowest occurrence that has not ended.
 	FirstOpen int            `cbor:"1,keyasint,omitempty"`
 	Tasks     []taskRecord   `cbor:"2,keyasint,omitempty"`
 	Gangs     map[string]int `cbor:"3,keyasint,omitempty"`
-	// Begun reports that some task was known to run.
+	// Begun reports that an endpoint has confirmed a run of some task.
 	Begun bool `cbor:"5,keyasint,omitempty"`
-	// Ended are occurrences above FirstOpen that have ended.
+	// Ended lists the occurrences above FirstOpen that have ended.
 	Ended []int `cbor:"4,keyasint,omitempty"`
-	// Started are the starts of the incarnations that Tasks are placed on, by endpoint, in
-	// ms since 1970; absent where not told.
+	// Started is when the incarnations that Tasks are placed on were started, by endpoint, in
+	// ms since 1970; absent where not reported.
 	Started map[string]int64 `cbor:"6,keyasint,omitempty"`
-	// Crashes is what speaks for tasks crashing their endpoints, by taskKey.
+	// Crashes is the evidence that tasks crash their endpoints, by taskKey.
 	Crashes map[string]evidence `cbor:"7,keyasint,omitempty"`
 }
 
-// taskRecord is an array on the wire, as there are many.
+// taskRecord is encoded as an array to keep it short: a journal holds many of them.
 type taskRecord struct {
 	_          struct{} `cbor:",toarray"`
 	Occurrence int
@@ -69,8 +69,8 @@
 	Checkpoint string
 }
 
-// MalformedRecordError says that a record of the journal can't be read. Going
-// on without it could run a task twice, so the pool is not taken over.
+// MalformedRecordError reports a journal record that can't be decoded. Continuing without the
+// record could run a task twice, so the takeover of the pool fails.
 type MalformedRecordError struct {
 	Key   string
 	Cause error
@@ -78,11 +78,11 @@
 
 func (e *MalformedRecordError) Error() string { return "record " + e.Key + ": " + e.Cause.Error() }
 
-// Unwrap returns the decoder's failure.
+// Unwrap returns the decoder's error.
 func (e *MalformedRecordError) Unwrap() error { return e.Cause }
 
-// Encode returns the value of a record. It panics only on types that can't be
-// encoded, which tests find.
+// Encode returns the encoded value of a record. It panics only on types that can't be encoded,
+// which tests detect.
 func Encode(v any) []byte {
 	data, err := cbor.Marshal(v)
 	if err != nil {
@@ -133,22 +133,23 @@
 	p.Started[e.id] = e.startedMs
 }
 
-// noteEvidence counts what is in doubt as well: the next owner could not tell.
+// recordEvidence includes evidence that is not yet certain, as the next owner could not resolve
+// it.
 func (p *progressRecord) recordEvidence(t *task) {
-	known := t.evidence
+	total := t.evidence
 	if t.doubted != nil {
-		known = known.plus(t.doubted.evidence)
+		total = total.plus(t.doubted.evidence)
 	}
-	if known.Crashes == 0 {
+	if total.Crashes == 0 {
 		return
 	}
 	if p.Crashes == nil {
 		p.Crashes = map[string]evidence{}
 	}
-	p.Crashes[taskKey(t.step.occ.number, t.step.index, t.index)] = known
+	p.Crashes[taskKey(t.step.occ.number, t.step.index, t.index)] = total
 }
 
-// taskKey names a task within its job's record.
+// taskKey identifies a task within its job's record.
 func taskKey(occurrence, step, index int) string {
 	return jobs.TaskName{Occurrence: occurrence, Step: step, Index: index}.String()
 }
@@ -162,14 +163,14 @@
 	}
 }
 
-// Ready is a batch of records, and what may happen once they are durable.
+// Ready is a batch of records and the actions that may follow once they are durable.
 type Ready struct {
 	Records      []Record
 	Replies      []Reply
 	starts       []Order
 	acks         map[Incarnation]int64
 	stateChanges []jobStateChange
-	// taken is when it was made.
+	// createdAt is when the batch was created.
 	createdAt time.Duration
 }
 
@@ -205,8 +206,8 @@
 	return r
 }
 
-// records returns what has to be written of a changed job. The job itself is
-// written only when it is new or has ended.
+// records returns the records to write for a changed job. The job itself is written only when
+// it is new or has ended.
 func (j *job) records() []Record {
 	var out []Record
 	id := j.rec.Job.ID
@@ -226,7 +227,7 @@
 	return out
 }
 
-// Advance takes in that the records of r are durable.
+// Advance marks the records of r as durable and lets the actions that waited for them proceed.
 func (c *Core) Advance(now time.Duration, r Ready) {
 	c.leaving = append(c.leaving, r.starts...)
 	c.undurable -= len(r.starts)
@@ -302,8 +303,8 @@
 	for _, t := range p.Tasks {
 		highest = max(highest, t.Occurrence)
 	}
-	// A job that does not recur has begun by being accepted, whether or not any
-	// of its tasks has left a trace.
+	// A job that does not recur begins when it is accepted, whether or not any of its tasks
+	// has left a record.
 	if j.rec.Job.Occurrences == 0 {
 		highest = max(highest, 0)
 	}
@@ -330,13 +331,13 @@
 	j.queued = true
 }
 
-// longestWait bounds how long a restored job is taken to have waited: the time of day
-// may have jumped meanwhile.
+// longestWait bounds how long a restored job counts as having waited, as the wall clock may
+// have jumped in between.
 const longestWait = 30 * time.Second
 
-// waited is how long ago a restored job was handed in. Counted from the change of
-// owner instead, each job looks in time again: those that no longer are come before
-// those that could be, and after the loss of all processes all of them are late.
+// waited returns how long ago a restored job was submitted. Counted from the takeover instead,
+// every job would seem on time again: jobs that are already late would precede jobs that can
+// still be on time, and after the loss of all processes every job would be late.
 func (c *Core) waited(j *job) time.Duration {
 	ago := time.Duration(c.wallMs-j.rec.OfferedMs) * time.Millisecond
 	if j.rec.OfferedMs == 0 || j.rec.Job.Occurrences > 0 {
@@ -365,7 +366,7 @@
 	}
 }
 
-// recount derives a step's counters from its tasks.
+// recountTasks derives a step's counters from its tasks.
 func (c *Core) recountTasks(s *stepRun) {
 	s.left, s.waiting = 0, 0
 	for _, t := range s.tasks {
--- a/internal/executor/kinds_test.go
+++ b/internal/executor/kinds_test.go
@@ -18,7 +18,7 @@
 		return s
 	}
 
-	It("starts with all of its tasks, under one number", func() {
+	It("starts with all of its tasks, under one run number", func() {
 		w := newWorld(1, 2)
 		o := w.takeOver()
 		w.run(200 * time.Millisecond)
@@ -37,7 +37,7 @@
 		Expect(w.state(o, j)).To(Equal("completed"))
 	})
 
-	It("holds no room while a part of it finds none", func() {
+	It("occupies no capacity until all of its tasks fit", func() {
 		w := newWorld(1, 2)
 		o := w.takeOver()
 		w.run(200 * time.Millisecond)
@@ -49,9 +49,9 @@
 		Expect(w.state(o, j)).To(Equal("completed"))
 	})
 
-	// One endpoint of a running gang dies. The other members would wait for the
-	// lost ones; all are stopped and begin again together under a new number.
-	It("begins again as a whole when a member is lost", func() {
+	// Guards against members that wait for ever for those lost with a crashed endpoint: all
+	// are stopped and restarted together under a new run number.
+	It("restarts as a whole when a member is lost", func() {
 		w := newWorld(1, 3)
 		o := w.takeOver()
 		w.run(200 * time.Millisecond)
@@ -83,7 +83,7 @@
 })
 
 var _ = Describe("a recurring job", func() {
-	It("runs each occurrence when it is due, also under a new owner", func() {
+	It("runs each occurrence when it is due, also after a change of owner", func() {
 		w := newWorld(1, 2)
 		o := w.takeOver()
 		w.run(200 * time.Millisecond)
@@ -106,9 +106,9 @@
 		Expect(w.broken).To(BeEmpty())
 	})
 
-	// A recurring job's second occurrence ends before its first, whose tasks take
-	// long. Its owner dies, and the successor must not run the second one again.
-	It("does not run an occurrence again that ended before an earlier one", func() {
+	// Guards against a new owner that runs an occurrence again. The second one ends before the
+	// first, whose tasks take long, and then the owner is replaced.
+	It("does not repeat an occurrence that ended before an earlier one", func() {
 		w := newWorld(1, 2)
 		o := w.takeOver()
 		w.run(200 * time.Millisecond)
@@ -134,9 +134,9 @@
 })
 
 var _ = Describe("a step that names a predecessor twice", func() {
-	// A caller's job stands still for good: its owner has died between the two
-	// steps, and the successor waits for two predecessors where there is one.
-	It("begins once that has ended, also under a new owner", func() {
+	// Guards against a job that never continues: its owner is replaced between the two steps,
+	// and the next owner waits for two predecessors where there is one.
+	It("starts when the predecessor has ended, also after a change of owner", func() {
 		w := newWorld(1, 2)
 		o := w.takeOver()
 		w.run(100 * time.Millisecond)
@@ -152,7 +152,7 @@
 })
 
 var _ = Describe("a queue with advice", func() {
-	It("starts tasks only where a ticket was given, and asks again when it runs out", func() {
+	It("starts tasks only with a ticket, and asks for a new one when it expires", func() {
 		w := newWorld(1, 3)
 		o := w.takeOver()
 		w.run(200 * time.Millisecond)
--- a/internal/executor/lengths.go
+++ b/internal/executor/lengths.go
@@ -7,47 +7,49 @@
 	"cyclamenwheel/internal/jobs"
 )
 
-// How long runs take. Load: the steps of one queue differ by half of their mean, and
-// callers' estimates are off by as much; the tasks of one step are alike. By the
-// queue's mean alone, short jobs seem in time until they are late, and long ones
-// that could still be in time are put last.
+// Prediction of run lengths. Load: the steps of one queue differ by half of their mean, and
+// callers' estimates are off by as much; the tasks of one step are alike. Predicted by the
+// queue's mean alone, short jobs seem on time until they are late, and long jobs that could
+// still be on time are put last.
 //
-// Before a step's first task has ended its length is drawn from the caller's estimate
-// and the queue's mean, each trusted as far as it has proved right; from then on it
-// is what that task took.
+// Until a step's first task has ended, its length is predicted from the caller's estimate and
+// the queue's mean, weighted by how accurate estimates have been; from then on it is the mean
+// length of the tasks that have ended.
 //
-// Gain: more of the jobs of a turn are in time than by the queue's mean.
+// Under a load peak, more jobs are on time than with the queue's mean alone.
 const (
-	// learnWeight forgets a step's influence after some 30 others.
+	// minSampleWeight is the least weight of a new step in the averages, so that a step's
+	// influence fades after some 30 others.
 	minSampleWeight = 0.03
-	// fewRuns is how many runs it takes to trust experience over estimates.
+	// fewRuns is how many measured runs it takes to use the model instead of callers'
+	// estimates alone.
 	fewRuns = 8
-	// firstTrust is the trust in estimates before a queue's steps have shown what
-	// they are worth, and firstTrustWeight, in squared logarithms of one step, how
-	// much it counts beside these.
+	// priorSlope is the assumed regression slope of lengths on estimates before a queue has
+	// shown how accurate its estimates are. priorSlopeWeight is its weight against the
+	// measurements, in squared logarithms of one step.
 	priorSlope       = 0.5
 	priorSlopeWeight = 0.25
-	// defaultTaskMs stands in where neither the caller nor experience says how
-	// long a task takes.
+	// defaultTaskMs is assumed where there is neither an estimate nor a measurement.
 	defaultTaskMs = 1000
-	// leastRest is the part of a run's length that is still to come however long it
-	// has run.
+	// minRemainingShare is the part of a run's length that is assumed to remain however long
+	// the run has taken.
 	minRemainingShare = 0.1
 )
 
-// lengths is what was learnt of the lengths of a queue's runs: means, variances and
-// the covariance of the logarithms of lengths and callers' estimates, in ms.
+// lengths models the run lengths of a queue: the means, variances and covariance of the
+// logarithms of lengths and callers' estimates, in ms.
 type lengths struct {
-	// steps and runs are how many it rests on.
+	// steps and runs are the sample sizes.
 	steps, runs int
-	// actual and estimate are the means, the others spread about them.
+	// actual and estimate are the means; the other fields are the variances and the
+	// covariance.
 	actual, estimate       float64
 	varActual, varEstimate float64
 	covariance             float64
 }
 
-// add takes in a step of which runs tasks took ms each. An estimate of zero says
-// nothing.
+// add adds a step of which runs tasks took ms each. An estimate of zero means that there is
+// none.
 func (l *lengths) add(ms float64, runs, estimateMs int) {
 	l.steps++
 	l.runs += runs
@@ -67,13 +69,13 @@
 	l.covariance = (1 - w) * (l.covariance + w*deviation*estimateDeviation)
 }
 
-// known reports whether enough was seen to trust it.
+// hasEnoughRuns reports whether the model rests on enough runs to be used.
 func (l *lengths) hasEnoughRuns() bool { return l != nil && l.runs >= fewRuns }
 
-// meanMs is the mean length of the queue's runs.
+// meanMs returns the mean length of the queue's runs.
 func (l *lengths) meanMs() float64 { return math.Exp(l.actual + l.varActual/2) }
 
-// expectMs is the expected length of a run by its caller's estimate.
+// expectedMs returns the expected length of a run, given its caller's estimate.
 func (l *lengths) expectedMs(estimateMs int) float64 {
 	if estimateMs <= 0 || l.estimate == 0 {
 		return l.meanMs()
@@ -85,7 +87,7 @@
 	return math.Exp(l.actual + slope*(math.Log(float64(estimateMs))-l.estimate) + residualVariance/2)
 }
 
-// expectMs is how long a task of a step is expected to take before any has ended.
+// expectMs returns the expected length of a step's tasks before any of them has ended.
 func (c *Core) expectMs(queue string, s *jobs.Step) float64 {
 	if l := c.learned[queue]; l.hasEnoughRuns() {
 		return l.expectedMs(s.EstimateMs)
@@ -96,7 +98,7 @@
 	return defaultTaskMs
 }
 
-// taskMs is how long a task of a step takes, by what is known now.
+// taskMs returns the current prediction of the length of a step's tasks.
 func (c *Core) taskMs(s *stepRun) float64 {
 	if s.ran > 0 {
 		return s.ranMs / float64(s.ran)
@@ -104,8 +106,8 @@
 	return c.expectMs(s.job.rec.Queue, s.spec)
 }
 
-// Learned is how long a run of a queue's tasks takes by what has been seen; zero
-// before enough has.
+// Learned returns the mean measured length of a queue's runs, or zero before there are enough
+// of them.
 func (c *Core) Learned(queue string) time.Duration {
 	if l := c.learned[queue]; l.hasEnoughRuns() {
 		return time.Duration(l.meanMs() * float64(time.Millisecond))
@@ -123,10 +125,10 @@
 	c.learntChanged = true
 }
 
-// noteLength takes in how long a task took that has ended well. A restored run began
-// before this owner saw it, one that was resumed had done a part of its work before,
-// and what a slow endpoint takes says nothing of the queue: learnt as they are, jobs
-// would seem in time when they are not, and sound endpoints slow.
+// noteLength records the length of a task that has succeeded. It skips restored runs, which
+// began before this owner observed them, resumed runs, which had done a part of their work
+// before, and runs on slow endpoints, which are not typical of the queue. Included, they would
+// make jobs seem on time when they are not, and healthy endpoints slow.
 func (c *Core) noteLength(now time.Duration, t *task) {
 	if t.confirmed == 0 || t.restored || t.resumed || t.host.speed.slow {
 		return
@@ -139,23 +141,23 @@
 	}
 }
 
-// chainMs is the longest chain of a job's work.
+// chainMs returns the length of a job's critical path.
 func (c *Core) chainMs(j *job) float64 {
 	steps := j.rec.Job.Steps
 	ends := make([]float64, len(steps))
 	longest := 0.0
 	for i := range steps {
-		begins := 0.0
+		start := 0.0
 		for _, a := range steps[i].After {
-			begins = max(begins, ends[a])
+			start = max(start, ends[a])
 		}
-		ends[i] = begins + c.stepTaskMs(j, i)
+		ends[i] = start + c.stepTaskMs(j, i)
 		longest = max(longest, ends[i])
 	}
 	return longest
 }
 
-// lengthOf is how long the tasks of a job's step take.
+// stepTaskMs returns the predicted length of the tasks of a job's step.
 func (c *Core) stepTaskMs(j *job, step int) float64 {
 	if len(j.current) > 0 && step < len(j.current[0].steps) {
 		return c.taskMs(j.current[0].steps[step])
@@ -163,17 +165,17 @@
 	return c.expectMs(j.rec.Queue, &j.rec.Job.Steps[step])
 }
 
-// restMs is the longest chain of work that a job still has before it.
+// remainingMs returns the length of the critical path that remains of a job.
 func (c *Core) remainingMs(now time.Duration, j *job) float64 {
 	longest := 0.0
 	for _, o := range j.current {
 		ends := make([]float64, len(o.steps))
 		for i, s := range o.steps {
-			begins := 0.0
+			start := 0.0
 			for _, a := range s.spec.After {
-				begins = max(begins, ends[a])
+				start = max(start, ends[a])
 			}
-			ends[i] = begins + c.remainingStepMs(now, s)
+			ends[i] = start + c.remainingStepMs(now, s)
 			longest = max(longest, ends[i])
 		}
 	}
@@ -191,13 +193,13 @@
 	return max(minRemainingShare*whole, whole-float64((now-s.placedAt).Milliseconds()))
 }
 
-// hopeless reports whether a job can no longer end within its objective, even
-// if all of its tasks began at once.
+// hopeless reports whether a job can no longer end within its objective, even if all of its
+// tasks started at once.
 func (c *Core) hopeless(now time.Duration, j *job) bool {
 	return now+time.Duration(c.remainingMs(now, j)*float64(time.Millisecond)) > j.objective
 }
 
-// setObjective works out when a job is late by what is known of its lengths.
+// setObjective sets the time from which a job is late, by the current prediction of its length.
 func (c *Core) setObjective(j *job) {
 	chain := c.chainMs(j) * j.rec.Terms.Stretch
 	j.objective = j.offered + time.Duration(chain*float64(time.Millisecond)) + j.rec.Terms.Slack
--- a/internal/executor/lengths_test.go
+++ b/internal/executor/lengths_test.go
@@ -8,8 +8,8 @@
 	. "github.com/onsi/gomega"
 )
 
-// errorOf is the typical error, in logarithms, of predictions for steps whose lengths
-// and estimates spread about the truth as given.
+// predictionError returns the typical error, in logarithms, of predictions for steps whose
+// lengths vary by spread and whose estimates are off by off.
 func predictionError(predict func(l *lengths, estimateMs int) float64, spread, off float64) float64 {
 	rng := rand.New(rand.NewPCG(1, 1))
 	var l lengths
@@ -31,16 +31,16 @@
 	byMean := func(l *lengths, _ int) float64 { return l.meanMs() }
 	byEstimate := func(_ *lengths, estimateMs int) float64 { return float64(estimateMs) }
 
-	// Steps differ by half of their mean and estimates are off by as much. By the mean
-	// alone a short job seems in time until it is late; by the estimate alone jobs are
-	// refused that could be in time.
-	It("is nearer to the truth than mean and estimate alone", func() {
+	// Guards against predictions by one source alone, when lengths and estimates both vary by
+	// half: by the mean alone a short job seems on time until it is late; by the estimate
+	// alone jobs are refused that could be on time.
+	It("is more accurate than the mean or the estimate alone", func() {
 		both := predictionError(byBoth, 0.48, 0.5)
 		Expect(both).To(BeNumerically("<", 0.8*predictionError(byMean, 0.48, 0.5)))
 		Expect(both).To(BeNumerically("<", 0.8*predictionError(byEstimate, 0.48, 0.5)))
 	})
 
-	It("leaves estimates aside that say nothing, and follows those that say all", func() {
+	It("ignores useless estimates and follows accurate ones", func() {
 		Expect(predictionError(byBoth, 0.1, 1.5)).To(BeNumerically("<", 1.2*predictionError(byMean, 0.1, 1.5)))
 		Expect(predictionError(byBoth, 0.8, 0.05)).To(BeNumerically("<", 0.5*predictionError(byMean, 0.8, 0.05)))
 	})
--- a/internal/executor/loans.go
+++ b/internal/executor/loans.go
@@ -6,16 +6,16 @@
 	"time"
 )
 
-// Room that is on its way. Load: a queue's turn begins with more than its pool
-// holds, instances are called at once and work two seconds later. A job that comes
-// while they are on their way can still be in time on them, and one that is refused
-// comes back a second later, when it can't. Counted in, the room takes the jobs of a
-// turn's first seconds.
+// Capacity that is about to arrive. Load: a queue's demand peak exceeds its pool's capacity;
+// instances are requested at once and are usable two seconds later. A job submitted meanwhile
+// can still be on time on them, but one that is refused comes back a second later, when it no
+// longer can. Counting the announced capacity lets the pool accept the jobs of a peak's first
+// seconds.
 
-// Loan is processor room that will come to a pool.
+// Loan is CPU capacity that will be added to a pool.
 type Loan struct {
 	CPUMilli int `cbor:"1,keyasint"`
-	// InMs is when, from the moment that this is said.
+	// InMs is how long after this message the capacity arrives.
 	InMs int64 `cbor:"2,keyasint"`
 }
 
@@ -24,7 +24,7 @@
 	at       time.Duration
 }
 
-// Lent takes in the room that comes to this pool.
+// Lent replaces the list of capacity that is about to be added to this pool.
 func (c *Core) Lent(now time.Duration, loans []Loan) {
 	c.loans = c.loans[:0]
 	for _, l := range loans {
@@ -34,24 +34,24 @@
 	c.loansUntil = now + vacateFor
 }
 
-// waitMs is how long a backlog, in milli-core-ms, takes to drain with the room that
-// is here and what comes meanwhile.
-func (c *Core) waitMs(now time.Duration, backlog, room float64) float64 {
-	passed := 0.0
+// waitMs returns how long a backlog, in milli-core-ms, takes to drain with the present capacity
+// and what arrives meanwhile.
+func (c *Core) waitMs(now time.Duration, backlog, cpuMilli float64) float64 {
+	elapsed := 0.0
 	if now > c.loansUntil {
-		return backlog / room
+		return backlog / cpuMilli
 	}
 	for _, l := range c.loans {
 		until := float64((l.at - now).Milliseconds())
-		drained := (until - passed) * room
+		drained := (until - elapsed) * cpuMilli
 		if drained >= backlog {
 			break
 		}
-		if until > passed {
+		if until > elapsed {
 			backlog -= drained
-			passed = until
+			elapsed = until
 		}
-		room += l.cpuMilli
+		cpuMilli += l.cpuMilli
 	}
-	return passed + backlog/room
+	return elapsed + backlog/cpuMilli
 }
--- a/internal/executor/pace.go
+++ b/internal/executor/pace.go
@@ -5,77 +5,76 @@
 	"time"
 )
 
-// Pace of starts. Load: a turn of demand asks for more starts a second than the owner's
-// processor or link carries. Sent all at once, each start waits behind the others until
-// its answer comes too late to be heard; it is sent again, renewals and the store's
-// answers wait in the same line, leases run out, and the owner carries less the more is
-// asked of it. So only as many starts are under way as are answered about as fast as
-// ever. What does not fit stays undecided: it goes to the best job of a later moment,
-// and holds no room meanwhile.
+// Limit of starts in flight. Load: a demand peak asks for more starts per second than the
+// owner's processor or link carries. Sent all at once, each start queues behind the others
+// until its answer arrives after the timeout and it is sent again; lease renewals and the
+// store's answers wait in the same queue, leases expire, and throughput falls as load rises. So
+// the owner keeps only as many starts in flight as are answered without a rise in latency.
+// Starts beyond the limit stay undecided: their slots go to the best job at a later moment, and
+// they occupy no capacity meanwhile.
 //
-// Renewals and stops are not paced: what runs must go on, and ends free room.
+// Renewals and stops are not limited: running tasks must continue, and ends free capacity.
 const (
-	// paceFirst is allowed before anything is known of the answers.
+	// initialStartLimit applies before any answer was measured.
 	initialStartLimit = 64
-	// paceLeast lets an owner go on whose link is full of other things: a few starts at a
-	// time leave it room for its peers, whose datagrams a full link drops.
+	// minStartLimit lets an owner continue whose link is full of other traffic. A few starts
+	// at a time leave bandwidth for its peers, whose datagrams a full link drops.
 	minStartLimit = 2
-	// paceMost is far above what one process carries.
+	// maxStartLimit is far above what one process carries.
 	maxStartLimit = 2048
-	// paceWindow and paceAnswers end a window: as many answers make a median, and a
-	// slow owner is judged after a time.
+	// A window ends after fullWindowAnswers answers, enough for a median, or after
+	// windowDuration, so that a slow owner is detected in time.
 	windowDuration    = 150 * time.Millisecond
 	fullWindowAnswers = 24
-	// paceEnough answers are needed to judge a window at all.
+	// minWindowAnswers is how many answers it takes to evaluate a window at all.
 	minWindowAnswers = 6
-	// slowFactor times the best median of late is slow, and below slowFloor nothing is.
+	// A median is slow above slowAnswerFactor times the recent best median, but never below
+	// minSlowAnswer.
 	slowAnswerFactor = 4
 	minSlowAnswer    = 25 * time.Millisecond
-	// paceCut follows a slow window. paceRise and paceStep follow one in which the
-	// limit was reached and answers were fast.
+	// limitCutFactor applies after a slow window. limitGrowth and minLimitGrowth apply after a
+	// window in which the limit was reached and answers were fast.
 	limitCutFactor = 0.7
 	limitGrowth    = 0.1
 	minLimitGrowth = 4
-	// slotFactor times what counts as slow is how long a start without an answer holds
-	// its place among those under way. Load: a rack goes dark in a turn of demand. The
-	// starts that were sent there would hold all places until their timeout, and the
-	// rest of the pool would start nothing meanwhile.
+	// slotHoldFactor times the slow threshold is how long an unanswered start holds its slot.
+	// Load: a rack fails during a demand peak. The starts sent there would hold all slots
+	// until their timeout, and the rest of the pool would start nothing meanwhile.
 	slotHoldFactor = 4
-	// hushed is how long no start may have been answered for timeouts to count as slow
-	// answers: they tell of the owner only where nobody answers it.
+	// noAnswerPeriod is how long no start may have been answered before timeouts count as slow
+	// answers: timeouts indicate an overloaded owner only if no endpoint answers it.
 	noAnswerPeriod = 300 * time.Millisecond
-	// bestFades lets the best median rise again, so that a lasting change of the
+	// bestMedianGrowth lets the best median rise again, so that a lasting change of the
 	// network's delay is not taken for overload for ever.
 	bestMedianGrowth = 1.01
 )
 
 const (
-	// decideAhead is how far ahead of their leaving starts are decided, beside what
-	// the journal takes.
+	// decideAhead is how long before they are sent starts are decided, in addition to the
+	// journal's delay.
 	decideAhead = 100 * time.Millisecond
-	// freely times the limit is decided at once while it is not in the way.
+	// unlimitedFactor times the limit may be decided at once while the limit is not reached.
 	unlimitedFactor = 4
-	// storeTookShare is the inverse of a new value's weight in storeTook.
+	// storeDelaySmoothing is the inverse of a new value's weight in storeTook.
 	storeDelaySmoothing = 8
 )
 
-// mostPlaced is how many starts this round may decide. Each that is decided long
-// before it leaves holds room that others could use, for a job that may no longer be
-// the best.
+// mostPlaced returns how many starts this round may decide. A start decided long before it is
+// sent occupies capacity that others could use, for a job that may no longer be the best.
 func (c *Core) mostPlaced() int {
-	most := c.pace.limit
+	limit := c.pace.limit
 	if len(c.leaving) == 0 && c.pace.free() > 0 {
-		most *= unlimitedFactor
+		limit *= unlimitedFactor
 	}
-	most = max(most, c.pace.answerRate*(decideAhead+c.storeTook).Seconds())
-	return int(most) - len(c.leaving) - c.undurable - len(c.starts)
+	limit = max(limit, c.pace.answerRate*(decideAhead+c.storeTook).Seconds())
+	return int(limit) - len(c.leaving) - c.undurable - len(c.starts)
 }
 
-// pacedEvery spaces the log's lines on the limit.
+// pacedLogInterval is the least time between log lines about the limit.
 const pacedLogInterval = time.Second
 
-// explainPace says in the log that fewer starts may be under way, with the limit as run
-// and the median of their times as age.
+// explainPace logs that the limit was lowered, with the limit as the event's run and the median
+// answer time as its age.
 func (c *Core) explainPace(now time.Duration) {
 	if !c.pace.slow || now-c.pacedAt < pacedLogInterval {
 		return
@@ -84,47 +83,48 @@
 	c.event(Event{Kind: EventPaced, Run: int(c.pace.limit), Reason: "answers are slow", AgeMs: c.pace.median.Milliseconds()})
 }
 
-// slot is a start's place among those under way.
+// slot is held by a start in flight.
 type slot struct {
 	sent     time.Duration
 	released bool
 }
 
-// pace decides how many starts may be under way. The median of their times tells an
-// owner that is overrun from endpoints that are slow: a minority of those does not move
-// it. Endpoints that are mute count only where none is heard.
+// pace limits the starts in flight. Using the median answer time distinguishes an overloaded
+// owner from slow endpoints, as a minority of them does not shift it. Unresponsive endpoints
+// count only if no endpoint answers.
 type pace struct {
 	limit    float64
 	inFlight int
-	// slots are those of the starts sent last, the oldest first.
+	// slots are those of the starts sent last, oldest first.
 	slots []*slot
-	// heard is when a start was last answered.
+	// lastAnswer is when a start was last answered.
 	lastAnswer time.Duration
-	// reached: the limit was in the way in this window.
+	// limitReached reports whether the limit was reached in this window.
 	limitReached bool
-	// median is that of the last window; slow: it lowered the limit.
+	// median is that of the last window; slow reports that it lowered the limit.
 	median time.Duration
 	slow   bool
-	// took are the times of this window's starts, the first of which was sent at began.
+	// durations are the answer times of this window; windowStart is when the first of these
+	// starts was sent.
 	durations   []time.Duration
 	windowStart time.Duration
-	// best is the least median of late.
+	// bestMedian is the lowest recent median.
 	bestMedian time.Duration
-	// rate is how many starts a second were answered while the limit was in the way.
+	// answerRate is how many starts per second were answered while the limit was reached.
 	answerRate float64
 }
 
 func newPace() pace { return pace{limit: initialStartLimit} }
 
-// slowFrom is the least time that counts as slow.
+// slowAnswerThreshold returns the answer time above which a median is slow.
 func (p *pace) slowAnswerThreshold() time.Duration {
 	return max(minSlowAnswer, slowAnswerFactor*p.bestMedian)
 }
 
-// free is how many more starts may leave.
+// free returns how many more starts may be sent.
 func (p *pace) free() int { return int(p.limit) - p.inFlight }
 
-// sent takes in that a start has left.
+// sent takes a slot for a start that has been sent.
 func (p *pace) sent(now time.Duration) *slot {
 	s := &slot{sent: now}
 	p.slots = append(p.slots, s)
@@ -133,7 +133,7 @@
 	return s
 }
 
-// release gives a start's place back.
+// release frees a start's slot.
 func (p *pace) release(s *slot) {
 	if s.released {
 		return
@@ -142,7 +142,7 @@
 	p.inFlight--
 }
 
-// pass gives back the places of starts that have waited for too long.
+// pass frees the slots of starts that have been unanswered for too long.
 func (p *pace) pass(now time.Duration) {
 	for len(p.slots) > 0 && (p.slots[0].released || now-p.slots[0].sent > slotHoldFactor*p.slowAnswerThreshold()) {
 		p.release(p.slots[0])
@@ -150,7 +150,7 @@
 	}
 }
 
-// unanswered takes in that a start's timeout is over.
+// unanswered records that a start has timed out.
 func (p *pace) unanswered(now time.Duration, s *slot) {
 	p.release(s)
 	if now-p.lastAnswer > noAnswerPeriod {
@@ -158,7 +158,7 @@
 	}
 }
 
-// answered takes in a start's answer.
+// answered records that a start was answered.
 func (p *pace) answered(now time.Duration, s *slot) {
 	p.release(s)
 	p.lastAnswer = now
@@ -167,7 +167,7 @@
 
 func (p *pace) recordDuration(now, took time.Duration) {
 	if len(p.durations) == 0 {
-		p.windowStart = now - took // what passed without starts says nothing of their rate
+		p.windowStart = now - took // idle time before the first start must not lower the rate
 	}
 	p.durations = append(p.durations, took)
 	due := len(p.durations) >= fullWindowAnswers || now-p.windowStart >= windowDuration && len(p.durations) >= minWindowAnswers
@@ -196,7 +196,7 @@
 	p.durations, p.limitReached = p.durations[:0], p.free() <= 0
 }
 
-// noteRate keeps a moving average.
+// updateAnswerRate updates the moving average of the rate.
 func (p *pace) updateAnswerRate(rate float64) {
 	const share = 0.2
 	if p.answerRate == 0 {
@@ -206,8 +206,8 @@
 	p.answerRate += share * (rate - p.answerRate)
 }
 
-// startsWait is how long it takes until as many starts as wait have left, and 0 where
-// the limit is not in the way.
+// startsWait returns how long it takes to send as many starts as wait, or 0 if the limit is not
+// reached.
 func (p *pace) startsWait(waiting int) time.Duration {
 	if p.answerRate == 0 || p.free() > 0 {
 		return 0
--- a/internal/executor/pace_test.go
+++ b/internal/executor/pace_test.go
@@ -8,8 +8,8 @@
 	. "github.com/onsi/gomega"
 )
 
-// line is what starts go through one after the other: an owner's processor or link.
-// Each takes work of it, also where its answer comes after the timeout.
+// serialLink simulates an owner's processor or link, which handles starts one after the other.
+// Each costs work, even if its answer arrives after the timeout.
 type serialLink struct {
 	work    time.Duration
 	timeout time.Duration
@@ -29,27 +29,28 @@
 	l.answers = append(l.answers, answerDue{at: min(at, now+l.timeout), slot: s, inTime: at <= now+l.timeout})
 }
 
-// mute sends a start that nobody answers.
+// sendUnanswered sends a start that is never answered.
 func (l *serialLink) sendUnanswered(now time.Duration, s *slot) {
 	l.answers = append(l.answers, answerDue{at: now + l.timeout, slot: s})
 }
 
-// hear takes in the answers and timeouts of this moment, and returns how many were heard.
-func (l *serialLink) deliverDue(now time.Duration, p *pace) (heard, timedOut int) {
+// deliverDue delivers the answers and timeouts due at now, and returns how many of each there
+// were.
+func (l *serialLink) deliverDue(now time.Duration, p *pace) (answered, timedOut int) {
 	for _, a := range l.takeDue(now) {
 		if a.inTime {
 			p.answered(now, a.slot)
-			heard++
+			answered++
 		} else {
 			p.unanswered(now, a.slot)
 			timedOut++
 		}
 	}
 	p.pass(now)
-	return heard, timedOut
+	return answered, timedOut
 }
 
-// due hands out the answers and timeouts of this moment.
+// takeDue removes and returns the answers and timeouts due at now.
 func (l *serialLink) takeDue(now time.Duration) (out []answerDue) {
 	rest := l.answers[:0]
 	for _, a := range l.answers {
@@ -63,30 +64,30 @@
 	return out
 }
 
-// goodput plays ten seconds of starts at a rate through a line that carries 200 a second,
-// and returns how many a second were answered in time. A start that was not heard of is
-// sent again, as an owner does.
+// goodput simulates ten seconds of starts at a rate, over a link that carries 200 a second, and
+// returns how many per second were answered in time. An unanswered start is sent again, as an
+// owner does.
 func goodput(rate float64, paced bool) float64 {
 	const lasts, tick = 10 * time.Second, time.Millisecond
 	l := &serialLink{work: 5 * time.Millisecond, timeout: 700 * time.Millisecond}
 	p := newPace()
-	waiting, heard := 0.0, 0
+	waiting, answeredInTime := 0.0, 0
 	for now := time.Duration(0); now < lasts; now += tick {
-		answered, again := l.deliverDue(now, &p)
-		heard += answered
-		waiting += float64(again) + rate*tick.Seconds()
+		answered, timedOut := l.deliverDue(now, &p)
+		answeredInTime += answered
+		waiting += float64(timedOut) + rate*tick.Seconds()
 		for waiting >= 1 && (!paced || p.free() > 0) {
 			waiting--
 			l.send(now, p.sent(now))
 		}
 	}
-	return float64(heard) / lasts.Seconds()
+	return float64(answeredInTime) / lasts.Seconds()
 }
 
-// Callers see fewer jobs done the more of them come. An owner sends each start as it is
-// decided; beyond what its link carries, answers come after the timeout, the starts are
-// sent again, and soon none is heard in time.
-func TestGoodputStaysFlatAboveWhatAnOwnerCarries(t *testing.T) {
+// Guards against throughput that falls as load rises: an owner that sends each start as it is
+// decided gets answers after the timeout once its link is saturated, the starts are sent again,
+// and soon none is answered in time.
+func TestGoodputStaysFlatUnderOverload(t *testing.T) {
 	g := NewWithT(t)
 	const carried = 200.0
 	for _, load := range []float64{0.5, 0.9, 1, 1.5, 2, 3, 5} {
@@ -94,39 +95,39 @@
 		t.Logf("load %.1f: %.0f a second paced, %.0f unpaced", load, paced, unpaced)
 		g.Expect(paced).To(BeNumerically(">=", 0.9*min(load, 1)*carried), fmt.Sprint("load ", load))
 	}
-	g.Expect(goodput(3*carried, false)).To(BeNumerically("<", 0.5*carried), "without pace the load is not one that overruns")
+	g.Expect(goodput(3*carried, false)).To(BeNumerically("<", 0.5*carried), "without a limit this load must overload the link")
 }
 
-// A pool starts next to nothing for seconds though its owner is idle: a rack has gone
-// dark, and the starts that were sent there hold all places under way until their
-// timeout; then they count as slow answers, and the limit falls to its least.
-func TestMuteEndpointsDoNotSlowTheOthers(t *testing.T) {
+// Guards against a pool that starts almost nothing for seconds although its owner is idle: a
+// rack has failed, its unanswered starts hold all slots until their timeout, and then count as
+// slow answers that cut the limit to its minimum.
+func TestUnresponsiveEndpointsDoNotSlowTheOthers(t *testing.T) {
 	g := NewWithT(t)
-	const rate, mute, lasts = 1000.0, 240, 3 * time.Second
+	const rate, unanswered, lasts = 1000.0, 240, 3 * time.Second
 	l := &serialLink{work: 200 * time.Microsecond, timeout: 700 * time.Millisecond}
 	p := newPace()
-	waiting, dark, heard := 0.0, 0, 0
+	waiting, failed, answeredInTime := 0.0, 0, 0
 	for now := time.Duration(0); now < lasts; now += time.Millisecond {
 		answered, _ := l.deliverDue(now, &p)
-		heard += answered
+		answeredInTime += answered
 		waiting += rate * time.Millisecond.Seconds()
 		for waiting >= 1 && p.free() > 0 {
 			waiting--
-			if now > time.Second && dark < mute {
-				dark++
+			if now > time.Second && failed < unanswered {
+				failed++
 				l.sendUnanswered(now, p.sent(now))
 				continue
 			}
 			l.send(now, p.sent(now))
 		}
 	}
-	g.Expect(dark).To(Equal(mute))
-	g.Expect(heard).To(BeNumerically(">=", 0.95*(rate*lasts.Seconds()-mute)))
+	g.Expect(failed).To(Equal(unanswered))
+	g.Expect(answeredInTime).To(BeNumerically(">=", 0.95*(rate*lasts.Seconds()-unanswered)))
 }
 
-// Callers see no job begin for as long as an owner's link is full: nothing is answered in
-// time any more, so that no answer tells that there is too much under way.
-func TestAnOwnerThatHearsNothingSendsLess(t *testing.T) {
+// Guards against a limit that stays high while an owner's link is saturated: with no answer in
+// time, no answer time shows that too many starts are in flight.
+func TestTimeoutsLowerTheStartLimit(t *testing.T) {
 	g := NewWithT(t)
 	l := &serialLink{timeout: 700 * time.Millisecond}
 	p := newPace()
@@ -137,13 +138,12 @@
 		}
 	}
 	g.Expect(int(p.limit)).To(Equal(minStartLimit))
-	g.Expect(p.slow).To(BeTrue(), "people are told")
+	g.Expect(p.slow).To(BeTrue(), "the lowered limit must be visible to operators")
 }
 
-// Callers are refused as a turn of demand begins, though their jobs could start at once:
-// the pool has been quiet, and its owner takes the seconds without starts for a time in
-// which it could send no more than a few.
-func TestQuietSecondsSayNothingOfTheRate(t *testing.T) {
+// Guards against refusing jobs at the beginning of a demand peak though they could start at
+// once: an idle period must not count as a low start rate.
+func TestIdleTimeDoesNotLowerTheStartRate(t *testing.T) {
 	g := NewWithT(t)
 	p := newPace()
 	l := &serialLink{work: 200 * time.Microsecond, timeout: 700 * time.Millisecond}
@@ -160,9 +160,9 @@
 	g.Expect(p.startsWait(100)).To(BeNumerically("<", time.Second))
 }
 
-// A turn of demand takes longer than it must: the owner could carry ten times the starts
-// that it began with, and goes on with as many as in the quiet before.
-func TestTheLimitFollowsAnOwnerThatCarriesMore(t *testing.T) {
+// Guards against a limit that stays at its initial value though the owner carries ten times as
+// many starts, which prolongs a demand peak.
+func TestStartLimitGrowsWithFastAnswers(t *testing.T) {
 	g := NewWithT(t)
 	p := newPace()
 	now := time.Duration(0)
@@ -180,9 +180,9 @@
 	g.Expect(p.startsWait(100)).To(BeZero(), "nothing waits while the limit is not in the way")
 }
 
-// An engineer is asked why a job began late, and has the log and the dump only: its tasks
-// were decided in time and left late.
-func TestThePaceIsTold(t *testing.T) {
+// Guards against a late start that can't be explained from the log and the dump: its task was
+// decided in time and sent late because of the limit.
+func TestStartLimitIsReported(t *testing.T) {
 	g := NewWithT(t)
 	c := New("pool", 1, Limits{}, 0)
 	now := time.Second
--- a/internal/executor/reserve.go
+++ b/internal/executor/reserve.go
@@ -2,26 +2,26 @@
 
 import "time"
 
-// Reservations. Load: a pool in its turn of demand is full of short tasks that
-// end one by one, while an endpoint with lasting tasks dies or leaves. The holes
-// that short tasks leave are smaller than a lasting task and go to the next short
-// one, so that lasting tasks wait for as long as the turn goes on and their users
-// see them away. An endpoint kept for a lasting task takes no more short ones, so that
-// its room comes together within a run or two of these.
+// Reservations. Load: a pool under peak demand is full of short tasks that end one by one while
+// an endpoint with long-running tasks crashes or leaves. The capacity that a short task frees
+// is smaller than a long-running task needs and goes to the next short one, so that
+// long-running tasks wait as long as the peak lasts and their users see an outage. An endpoint
+// reserved for a long-running task gets no more short ones, so that enough capacity becomes
+// free within one or two of their runs.
 const (
-	// reserveFor bounds a reservation: what has not ended on the endpoint by
-	// then does not end soon, and another endpoint may do better.
+	// reservationDuration bounds a reservation: tasks that have not ended on the endpoint by
+	// then will not end soon, and another endpoint may be better.
 	reservationDuration = 4 * time.Second
-	// reserveShare is the most of the open endpoints that is kept at a time, so
-	// that the loss of many does not stop the short tasks.
+	// maxReservedShare is the largest share of the open endpoints that may be reserved at a
+	// time, so that the loss of many endpoints does not stop the short tasks.
 	maxReservedShare = 0.25
-	// reservePerRound bounds the tasks that one round looks at: each costs a
-	// look at every endpoint.
+	// maxReservationTriesPerRound bounds the tasks considered per round, as each requires a
+	// scan of all endpoints.
 	maxReservationTriesPerRound = 4
 )
 
-// reserve keeps endpoints for lasting tasks that find none with room, and for suspects that
-// find none on which nothing has just begun.
+// reserve reserves endpoints for long-running tasks that find no free capacity, and for suspect
+// tasks that find no endpoint without recently started tasks.
 func (c *Core) reserve(now time.Duration, hosts []*endpoint) {
 	kept := c.dropReservations(now)
 	most := max(1, int(maxReservedShare*float64(len(hosts))))
@@ -35,7 +35,7 @@
 		}
 		tried++
 		if c.choose(now, t, hosts) != nil {
-			continue // it is placed in this round
+			continue // this round places it
 		}
 		if e := c.endpointToReserve(now, t, hosts); e != nil {
 			e.keptFor, e.keptUntil = t, now+reservationDuration
@@ -45,8 +45,8 @@
 	}
 }
 
-// dropReservations ends those that have served their purpose or lasted too
-// long, and returns the tasks of the others.
+// dropReservations ends the reservations that are used or expired, and returns the tasks of the
+// others.
 func (c *Core) dropReservations(now time.Duration) map[*task]bool {
 	kept := map[*task]bool{}
 	for _, e := range c.endpoints {
@@ -62,7 +62,7 @@
 	return kept
 }
 
-// lastingWaiting returns the lasting tasks that could start now.
+// startableLongRunningTasks returns the long-running tasks that could start now.
 func (c *Core) startableLongRunningTasks(now time.Duration) []*task {
 	var out []*task
 	for _, j := range c.open {
@@ -83,8 +83,8 @@
 	return out
 }
 
-// choiceToKeep returns the endpoint that would take the task once its short
-// tasks have ended, and has the most room already.
+// endpointToReserve returns the endpoint with the most free capacity among those that would fit
+// the task once their short tasks have ended.
 func (c *Core) endpointToReserve(now time.Duration, t *task, hosts []*endpoint) *endpoint {
 	var best *endpoint
 	for _, e := range hosts {
@@ -98,13 +98,13 @@
 	return best
 }
 
-// withoutShort is the room left beside the tasks that last.
+// capacityWithoutShortTasks returns the capacity that the long-running tasks leave.
 func (e *endpoint) capacityWithoutShortTasks() Room {
-	room := e.capacity
+	capacity := e.capacity
 	for t := range e.tasks {
 		if t.step.spec.LongRunning {
-			room = room.Minus(needs(t.step.spec))
+			capacity = capacity.Minus(needs(t.step.spec))
 		}
 	}
-	return room
+	return capacity
 }
--- a/internal/executor/speed.go
+++ b/internal/executor/speed.go
@@ -6,51 +6,50 @@
 	"time"
 )
 
-// Speed of endpoints. Load: some endpoints work several times as slowly as the
-// others for a few seconds, or stand still, while they are healthy, answer at
-// once and end each task well. A job of some ten tasks that are spread over the
-// pool meets one of them almost always and is late as a whole; to wait for ends
-// is to learn it five runs too late. Progress is listed with each renewal, so a
-// slow endpoint shows within half a second. It gets one task at a time, which
-// shows whether it has recovered, and what would take longer there than anew
-// elsewhere is stopped and started elsewhere.
+// Speed of endpoints. Load: some endpoints are several times slower than the others for a few
+// seconds, or make no progress, while they are healthy, answer at once and complete each task.
+// A job with about ten tasks spread over the pool almost always has one on such an endpoint,
+// and the whole job is late; detecting them by completed runs would take five runs. Endpoints
+// report progress with each renewal, so a slow endpoint is detected within half a second. It
+// then gets one task at a time as a probe for its recovery, and a run that would take longer
+// there than from its start elsewhere is stopped and restarted elsewhere.
 //
-// An endpoint is judged against the others of its pool: tasks that are long by
-// themselves are so everywhere.
+// An endpoint is compared with the others of its pool, as inherently long tasks are long
+// everywhere.
 const (
-	// slowBelow is the share of the usual speed below which an endpoint is slow,
-	// and fineAbove the share above which it no longer is. Runs of one queue
-	// differ by half of their mean, so that sound endpoints seem slow now and then.
+	// slowSpeedShare is the share of the usual speed below which an endpoint is slow, and
+	// recoveredSpeedShare the share above which it no longer is. Runs of one queue differ by
+	// half of their mean, so that healthy endpoints occasionally seem slow.
 	slowSpeedShare      = 0.3
 	recoveredSpeedShare = 0.6
-	// speedWindow is the running time, of all tasks together, that a judgement
-	// rests on: half a second of five tasks.
+	// maxSpeedWeight is the running time, over all tasks together, that a speed rests on: half
+	// a second of five tasks.
 	maxSpeedWeight = 2500 * time.Millisecond
-	// speedLeast is the running time needed before there is a judgement at all:
-	// the start of a run shows no progress for some 100 ms.
+	// minSpeedWeight is the running time needed to rate an endpoint at all: a run reports no
+	// progress in its first 100 ms or so.
 	minSpeedWeight = 900 * time.Millisecond
-	// fewEndpoints is how many judged endpoints it takes to know what is usual.
+	// minRatedEndpoints is how many rated endpoints it takes to determine the usual speed.
 	minRatedEndpoints = 3
-	// usualMost bounds what counts as usual speed, should all endpoints be faster
-	// than they were when the queue's runs were learnt.
+	// maxUsualSpeed bounds the usual speed, should all endpoints be faster than when the
+	// queue's run lengths were measured.
 	maxUsualSpeed = 1.5
-	// rescueFactor is how many times longer a run's rest must take than all of
-	// it elsewhere: the stop takes some time and what was done is lost.
+	// rescueFactor is how many times longer the rest of a run must take than the whole run
+	// elsewhere: the stop takes time and the work done is lost.
 	rescueFactor = 2.0
-	// mostRescues of a task: it may be slow by itself.
+	// maxRescues bounds the restarts of one task, as the task itself may be slow.
 	maxRescues = 1
 )
 
-// speed is how fast an endpoint works, beside what its queues' runs have taken
-// elsewhere: 1 is as fast.
+// speed is an endpoint's speed relative to the measured lengths of the queues' runs: 1 is as
+// fast.
 type speed struct {
 	value float64
-	// weight is the running time that value rests on, up to speedWindow.
+	// weight is the running time that value rests on, up to maxSpeedWeight.
 	weight time.Duration
 	slow   bool
 }
 
-// add takes in progress worth workMs that a run made within passed.
+// add adds progress worth workMs that a run made in the time passed.
 func (s *speed) add(workMs float64, passed time.Duration) {
 	if passed <= 0 {
 		return
@@ -63,36 +62,36 @@
 	s.value += share * (workMs/(float64(passed)/float64(time.Millisecond)) - s.value)
 }
 
-// known reports whether enough was seen for a judgement.
+// hasEnoughData reports whether the endpoint can be rated.
 func (s *speed) hasEnoughData() bool { return s.weight >= minSpeedWeight }
 
-// noteProgress learns an endpoint's speed from a run that it lists at clock, its
-// own time: the answer may have been held up on its way, or here.
+// noteProgress updates an endpoint's speed from a run's reported progress. clock is the
+// endpoint's own clock, as the report may have been delayed on its way or in this process.
 func (c *Core) noteProgress(clock time.Duration, t *task, percent int) {
-	before, at := t.percent, t.listedAt
-	if clock <= at {
-		return // listings can overtake each other
+	lastPercent, lastReport := t.percent, t.listedAt
+	if clock <= lastReport {
+		return // reports can arrive out of order
 	}
 	t.listedAt = clock
-	if at == 0 || percent < before || !indicatesSpeed(t) || !c.hasLearnedLengths(t.step.job) {
+	if lastReport == 0 || percent < lastPercent || !indicatesSpeed(t) || !c.hasLearnedLengths(t.step.job) {
 		return
 	}
-	t.host.speed.add(float64(percent-before)/100*c.taskMs(t.step), clock-at)
+	t.host.speed.add(float64(percent-lastPercent)/100*c.taskMs(t.step), clock-lastReport)
 }
 
-// knownWork reports whether runs of the job's queue have shown how long they are.
-// Callers' estimates would make an endpoint slow whose jobs were estimated short.
+// hasLearnedLengths reports whether enough runs of the job's queue were measured. By callers'
+// estimates alone, an endpoint would seem slow whose jobs were estimated too short.
 func (c *Core) hasLearnedLengths(j *job) bool { return c.learned[j.rec.Queue].hasEnoughRuns() }
 
-// showsSpeed reports whether a run's progress says something of its endpoint: a
-// gang waits for its members, and away from its data a task is slow anywhere.
+// indicatesSpeed reports whether a run's progress indicates its endpoint's speed: a gang member
+// waits for the others, and a task away from its data is slow on any endpoint.
 func indicatesSpeed(t *task) bool {
 	s := t.step.spec
 	atData := s.DataRack == "" || s.DataRack == t.host.rack
 	return !s.LongRunning && !s.Gang && atData && !t.stopping
 }
 
-// judgeSpeeds compares the pool's endpoints with each other.
+// judgeSpeeds compares the pool's endpoints with each other and marks the slow ones.
 func (c *Core) judgeSpeeds() {
 	usual := c.usualSpeed()
 	for _, e := range c.endpoints {
@@ -100,11 +99,11 @@
 		if !s.hasEnoughData() {
 			continue
 		}
-		was := s.slow
-		s.slow = s.value < slowSpeedShare*usual && (was || e.runsSeveralJobs()) || was && s.value < recoveredSpeedShare*usual
-		if s.slow != was {
+		wasSlow := s.slow
+		s.slow = s.value < slowSpeedShare*usual && (wasSlow || e.runsSeveralJobs()) || wasSlow && s.value < recoveredSpeedShare*usual
+		if s.slow != wasSlow {
 			kind := EventSlow
-			if was {
+			if wasSlow {
 				kind = EventFine
 			}
 			c.event(Event{Kind: kind, Endpoint: e.id, Run: len(e.tasks), Reason: formatRelativeSpeed(s.value / usual)})
@@ -112,8 +111,8 @@
 	}
 }
 
-// ofSeveralJobs reports whether tasks of two jobs or more run there. Those of one
-// job may all be long by themselves, and packed they fill an endpoint.
+// runsSeveralJobs reports whether tasks of two or more jobs run on the endpoint. The tasks of
+// one job may all be inherently long, and packed together they fill an endpoint.
 func (e *endpoint) runsSeveralJobs() bool {
 	var first *job
 	for t := range e.tasks {
@@ -128,7 +127,7 @@
 	return false
 }
 
-// usualSpeed is the median of the endpoints that are judged.
+// usualSpeed returns the median speed of the rated endpoints, at most maxUsualSpeed.
 func (c *Core) usualSpeed() float64 {
 	var values []float64
 	for _, e := range c.endpoints {
@@ -143,14 +142,14 @@
 	return min(maxUsualSpeed, values[len(values)/2])
 }
 
-// rescue stops a run on a slow endpoint that ends sooner if it begins anew
-// elsewhere. Its checkpoint, where it has one, is kept.
+// rescue stops a run on a slow endpoint if it would end sooner when restarted elsewhere. Its
+// checkpoint, if any, is kept.
 func (c *Core) rescue(e *endpoint, t *task) {
 	if !e.speed.slow || t.rescues >= maxRescues || t.confirmed == 0 || t.stopping || !indicatesSpeed(t) {
 		return
 	}
-	left := (1 - float64(t.percent)/100) / max(e.speed.value, 0.01)
-	if left < rescueFactor {
+	remaining := (1 - float64(t.percent)/100) / max(e.speed.value, 0.01)
+	if remaining < rescueFactor {
 		return
 	}
 	t.rescues++
@@ -158,8 +157,8 @@
 	c.stopFor(t, "endpoint slow")
 }
 
-// probed reports whether a slow endpoint has the one task already that shows
-// how it does.
+// hasProbeTask reports whether an endpoint already runs the one task that a slow endpoint gets
+// as a probe.
 func (e *endpoint) hasProbeTask() bool {
 	for t := range e.tasks {
 		if !t.step.spec.LongRunning && !t.stopping {
--- a/internal/executor/speed_test.go
+++ b/internal/executor/speed_test.go
@@ -9,14 +9,14 @@
 	"cyclamenwheel/internal/jobs"
 )
 
-// inTime hands in a job of four tasks each 150 ms and returns the share that is
-// shown as completed within limit.
+// inTime submits a job of four tasks every 150 ms and returns the share that is shown as
+// completed within limit.
 func (w *world) inTime(o *owner, from, count int, limit time.Duration) float64 {
-	var handedIn []jobs.Job
+	var submitted []jobs.Job
 	at := map[string]time.Duration{}
 	took := map[string]time.Duration{}
-	note := func() {
-		for _, j := range handedIn {
+	recordCompleted := func() {
+		for _, j := range submitted {
 			if took[j.ID] == 0 && w.state(o, j) == "completed" {
 				took[j.ID] = w.now - at[j.ID]
 			}
@@ -26,18 +26,18 @@
 		j := jobOf(from+n, small(4))
 		w.submit(o, j)
 		at[j.ID] = w.now
-		handedIn = append(handedIn, j)
+		submitted = append(submitted, j)
 		for range 15 {
 			w.run(step)
-			note()
+			recordCompleted()
 		}
 	}
 	for range 300 {
 		w.run(step)
-		note()
+		recordCompleted()
 	}
 	good := 0
-	for _, j := range handedIn {
+	for _, j := range submitted {
 		if took[j.ID] > 0 && took[j.ID] <= limit {
 			good++
 		}
@@ -45,7 +45,7 @@
 	return float64(good) / float64(count)
 }
 
-// roomy lets each endpoint take sixteen tasks.
+// roomy gives each endpoint capacity for sixteen tasks.
 func roomy(w *world) *world {
 	for _, h := range w.hosts {
 		h.capacity.CPUMilli = 16000
@@ -54,21 +54,21 @@
 }
 
 var _ = Describe("a slow endpoint", func() {
-	// One endpoint of five works ten times as slowly as the others while it is
-	// healthy and ends all it starts. Each job has four tasks, so that most jobs
-	// have one there and callers see them all late.
-	It("gets so little that nine of ten jobs are in time", func() {
+	// Guards against most jobs being late because of one endpoint of five that is healthy and
+	// completes all tasks, but ten times as slowly: each job has four tasks, and most have one
+	// there.
+	It("gets so few tasks that nine of ten jobs are on time", func() {
 		w := roomy(newWorld(1, 5))
 		o := w.takeOver()
 		w.run(100 * time.Millisecond)
-		w.inTime(o, 1, 10, time.Second) // the queue's runs are known
+		w.inTime(o, 1, 10, time.Second) // measures the queue's run lengths
 		w.hosts["i-00"].took = 3 * time.Second
 		Expect(w.inTime(o, 100, 60, time.Second)).To(BeNumerically(">=", 0.9))
 		Expect(w.broken).To(BeEmpty())
 	})
 
-	// The same endpoint works as usual again. Left alone for good it would be room
-	// that callers are refused for.
+	// Guards against avoiding an endpoint for good after it has recovered: callers would be
+	// refused although it has free capacity.
 	It("is used again once it works as fast as the others", func() {
 		w := newWorld(1, 5)
 		o := w.takeOver()
@@ -84,9 +84,9 @@
 		Expect(len(slow.highest) - before).To(BeNumerically(">", 12))
 	})
 
-	// A queue's tasks are all long today, a tenth of what they used to be in
-	// progress everywhere. No endpoint is at fault, and none may be avoided.
-	It("is not one that is as slow as all others", func() {
+	// Guards against avoiding healthy endpoints when all tasks of a queue are longer than
+	// before and progress is slow everywhere.
+	It("is not an endpoint that is as slow as all others", func() {
 		w := newWorld(1, 5)
 		o := w.takeOver()
 		w.run(100 * time.Millisecond)
@@ -110,10 +110,10 @@
 })
 
 var _ = Describe("a new owner's predictions", func() {
-	// Callers are refused, or accepted in vain, by predictions of how long a task
-	// takes. A new owner sees the last part only of what ran before it; taken for
-	// whole runs, these make it predict a fraction of the truth.
-	It("don't rest on runs that began before it", func() {
+	// Guards against wrong admission by a new owner's predictions: it observes only the last
+	// part of the runs that its predecessor started, and counted as whole runs these make its
+	// predictions far too short.
+	It("don't use runs that began before the takeover", func() {
 		w := newWorld(1, 3)
 		o := w.takeOver()
 		w.run(100 * time.Millisecond)
--- a/internal/executor/summary.go
+++ b/internal/executor/summary.go
@@ -6,39 +6,38 @@
 	"time"
 )
 
-// Summary is a pool's state in figures, for the fleet's decisions and dumps.
+// Summary is a pool's state in figures, for the fleet's decisions and for dumps.
 type Summary struct {
 	Pool string `json:"pool" cbor:"1,keyasint"`
-	// BacklogCoreMs is work accepted and not yet running.
+	// BacklogCoreMs is the accepted work that has not ended; running tasks count as half done.
 	BacklogCoreMs float64 `json:"backlog_core_ms" cbor:"2,keyasint"`
-	// ReadyCoreMs is the part of it that could run at once, given room.
+	// ReadyCoreMs is the part of BacklogCoreMs that could start at once, given capacity.
 	ReadyCoreMs float64 `json:"ready_core_ms" cbor:"11,keyasint"`
-	// RunningCPUMilli is what runs now.
+	// RunningCPUMilli is the CPU in use by running tasks.
 	RunningCPUMilli int `json:"running_cpu_milli" cbor:"3,keyasint"`
 	CapacityMilli   int `json:"capacity_milli" cbor:"4,keyasint"`
 	Endpoints       int `json:"endpoints" cbor:"5,keyasint"`
 	WaitingTasks    int `json:"waiting_tasks" cbor:"6,keyasint"`
 	Jobs            int `json:"jobs" cbor:"7,keyasint"`
-	// LastingCPUMilli is the part of RunningCPUMilli that does not end by
-	// itself.
+	// LastingCPUMilli is the part of RunningCPUMilli used by long-running tasks.
 	LastingCPUMilli int `json:"lasting_cpu_milli" cbor:"8,keyasint"`
-	// OfferedCoreMs counts all work offered since the epoch began, accepted or
-	// not, each job once.
+	// OfferedCoreMs counts all work submitted since the epoch began, accepted or not, each job
+	// once.
 	OfferedCoreMs float64    `json:"offered_core_ms" cbor:"9,keyasint"`
 	Hosts         []HostLoad `json:"hosts" cbor:"10,keyasint"`
-	// LeastHosts is how many endpoints the lasting tasks need to be apart from
-	// each other as their steps ask, however small they are.
+	// LeastHosts is how many endpoints the long-running tasks need to satisfy their steps'
+	// limits of tasks per endpoint, however small the tasks are.
 	LeastHosts int `json:"least_hosts" cbor:"12,keyasint"`
-	// Starved counts steps of lasting tasks that find no endpoint.
+	// Starved counts the steps of long-running tasks that find no endpoint.
 	Starved int `json:"starved" cbor:"13,keyasint"`
 }
 
-// HostLoad is how an endpoint in use is loaded.
+// HostLoad is the load of an endpoint that may get tasks.
 type HostLoad struct {
 	Endpoint  string `json:"endpoint" cbor:"1,keyasint"`
 	UsedMilli int    `json:"used_milli" cbor:"2,keyasint"`
 	Tasks     int    `json:"tasks" cbor:"3,keyasint"`
-	// Lasting reports tasks that don't end by themselves.
+	// Lasting reports whether the endpoint has long-running tasks.
 	Lasting bool `json:"lasting" cbor:"4,keyasint"`
 }
 
@@ -46,8 +45,8 @@
 	return HostLoad{Endpoint: e.id, UsedMilli: e.used.CPUMilli, Tasks: len(e.tasks), Lasting: e.hasLasting()}
 }
 
-// hopelessShare is how much of the ready work of jobs that are late anyway
-// counts as need for instances: it has to be done, but not soon.
+// lateJobShare is how much of the ready work of jobs that will be late anyway counts as demand
+// for instances: the work has to be done, but not soon.
 const lateJobShare = 0.3
 
 // Summary returns the pool's state in figures.
@@ -85,8 +84,8 @@
 	return s
 }
 
-// leastHosts is how many endpoints the steps of lasting tasks need at least:
-// those that serve and those that fill never share one.
+// minLongRunningHosts returns how many endpoints the long-running steps need at least: serving
+// and filling steps never share an endpoint.
 func (c *Core) minLongRunningHosts() int {
 	serving, filling := 0, 0
 	for _, j := range c.open {
@@ -112,8 +111,8 @@
 	return serving + filling
 }
 
-// starved counts steps of lasting tasks of which one waits and finds no
-// endpoint, though room in the pool's sum may be left.
+// countUnplaceableSteps counts the long-running steps with a waiting task that finds no
+// endpoint, even if the pool's total free capacity would be enough.
 func (c *Core) countUnplaceableSteps(now time.Duration) int {
 	n := 0
 	for _, j := range c.open {
--- a/internal/executor/uneven_test.go
+++ b/internal/executor/uneven_test.go
@@ -13,58 +13,58 @@
 	"cyclamenwheel/internal/routing"
 )
 
-// turns is a load that comes by turns of more than a pool holds. Each job has two
-// steps of four tasks; lengths and estimates spread as callers' do.
-type turns struct {
-	w       *world
-	o       *owner
-	rng     *rand.Rand
-	lengths map[string][2]time.Duration
-	offers  []*offer
+// peakLoad is a load with recurring demand peaks beyond a pool's capacity. Each job has two steps
+// of four tasks; lengths and estimates vary as callers' do.
+type peakLoad struct {
+	w           *world
+	o           *owner
+	rng         *rand.Rand
+	lengths     map[string][2]time.Duration
+	submissions []*submission
 }
 
-// offer is a job and what its caller sees.
-type offer struct {
-	job            jobs.Job
-	at, due, again time.Duration
-	accepted       bool
-	ended          time.Duration
+// submission is a job and its caller's view of it.
+type submission struct {
+	job              jobs.Job
+	at, due, retryAt time.Duration
+	accepted         bool
+	ended            time.Duration
 }
 
 const (
-	turnLasts  = 3 * time.Second
-	turnEvery  = 6 * time.Second
-	betweenUp  = 110 * time.Millisecond
-	usualRun   = 600 // ms
-	runSpread  = 0.48
-	estimateBy = 0.5
-	mostTries  = 4
+	peakDuration   = 3 * time.Second
+	peakInterval   = 6 * time.Second
+	submitInterval = 110 * time.Millisecond
+	medianRunMs    = 600 // ms
+	runSpread      = 0.48
+	estimateSpread = 0.5
+	maxAttempts    = 4
 )
 
-var turnTerms = routing.Terms{Attempts: 3, Stretch: 1.6, Slack: 600 * time.Millisecond}
+var peakTerms = routing.Terms{Attempts: 3, Stretch: 1.6, Slack: 600 * time.Millisecond}
 
-func (t *turns) offer(n int) {
+func (t *peakLoad) addJob(n int) {
 	var estimates [2]int
 	var lengths [2]time.Duration
 	for i := range lengths {
-		ms := usualRun * math.Exp(runSpread*t.rng.NormFloat64())
+		ms := medianRunMs * math.Exp(runSpread*t.rng.NormFloat64())
 		lengths[i] = time.Duration(ms) * time.Millisecond
-		estimates[i] = int(ms * math.Exp(estimateBy*t.rng.NormFloat64()))
+		estimates[i] = int(ms * math.Exp(estimateSpread*t.rng.NormFloat64()))
 	}
 	j := jobOf(n, small(4), small(4, 0))
 	j.Steps[0].EstimateMs, j.Steps[1].EstimateMs = estimates[0], estimates[1]
 	t.lengths[j.ID] = lengths
-	due := time.Duration(turnTerms.Stretch*float64(lengths[0]+lengths[1])) + turnTerms.Slack
-	t.offers = append(t.offers, &offer{job: j, at: t.w.now, due: t.w.now + due, again: t.w.now})
+	due := time.Duration(peakTerms.Stretch*float64(lengths[0]+lengths[1])) + peakTerms.Slack
+	t.submissions = append(t.submissions, &submission{job: j, at: t.w.now, due: t.w.now + due, retryAt: t.w.now})
 }
 
-// call hands in what is due to be, and notes what has completed.
-func (t *turns) call() {
-	for _, f := range t.offers {
-		if !f.accepted && t.w.now >= f.again && f.again < f.at+mostTries*time.Second {
-			verdict, refusal := t.o.core.Submit(t.w.now, f.job, executor.Accepting{Queue: "q", Terms: turnTerms}, 1)
+// submitDue submits the jobs that are due and records which have completed.
+func (t *peakLoad) submitDue() {
+	for _, f := range t.submissions {
+		if !f.accepted && t.w.now >= f.retryAt && f.retryAt < f.at+maxAttempts*time.Second {
+			verdict, refusal := t.o.core.Submit(t.w.now, f.job, executor.Accepting{Queue: "q", Terms: peakTerms}, 1)
 			f.accepted = verdict != executor.VerdictRefused
-			f.again = t.w.now + refusal.RetryAfter
+			f.retryAt = t.w.now + refusal.RetryAfter
 		}
 		if f.accepted && f.ended == 0 && t.w.state(t.o, f.job) == "completed" {
 			f.ended = t.w.now
@@ -72,31 +72,31 @@
 	}
 }
 
-// inTime is the share of jobs that end within their objective.
-func (t *turns) inTime() float64 {
+// inTime returns the share of jobs that end within their objective.
+func (t *peakLoad) inTime() float64 {
 	good := 0
-	for _, f := range t.offers {
+	for _, f := range t.submissions {
 		if f.ended > 0 && f.ended <= f.due {
 			good++
 		}
 	}
-	return float64(good) / float64(len(t.offers))
+	return float64(good) / float64(len(t.submissions))
 }
 
-// play runs some turns on a pool of eight endpoints.
-func play(seed uint64) float64 {
+// simulatePeaks simulates some demand peaks on a pool of eight endpoints.
+func simulatePeaks(seed uint64) float64 {
 	w := newWorld(seed, 8)
-	t := &turns{w: w, rng: rand.New(rand.NewPCG(seed, 1)), lengths: map[string][2]time.Duration{}}
+	t := &peakLoad{w: w, rng: rand.New(rand.NewPCG(seed, 1)), lengths: map[string][2]time.Duration{}}
 	w.lengthOf = func(n jobs.TaskName) time.Duration { return t.lengths[n.Job][n.Step] }
 	t.o = w.takeOver()
 	w.run(300 * time.Millisecond)
 	begin := w.now
-	for n := 1; w.now-begin < 8*turnEvery; {
-		if (w.now-begin)%turnEvery < turnLasts && w.now-begin >= time.Duration(n)*betweenUp/2 && (w.now-begin)%betweenUp < step {
-			t.offer(n)
+	for n := 1; w.now-begin < 8*peakInterval; {
+		if (w.now-begin)%peakInterval < peakDuration && w.now-begin >= time.Duration(n)*submitInterval/2 && (w.now-begin)%submitInterval < step {
+			t.addJob(n)
 			n++
 		}
-		t.call()
+		t.submitDue()
 		w.run(step)
 	}
 	Expect(w.broken).To(BeEmpty())
@@ -104,14 +104,14 @@
 }
 
 var _ = Describe("jobs of uneven length", func() {
-	// A queue's turn asks for half as much again as its pool has. Jobs whose lengths
-	// nobody knows are taken for the queue's mean: short ones wait behind others until
-	// they are late, and long ones that could be in time are put last.
-	It("are ordered by what is known of each", func() {
+	// Guards against ordering jobs by their queue's mean length alone when demand is half as
+	// much again as the pool's capacity: short jobs wait behind others until they are late,
+	// and long ones that could be on time are put last.
+	It("are ordered by their predicted lengths", func() {
 		sum := 0.0
 		const seeds = 12
 		for seed := range uint64(seeds) {
-			sum += play(seed + 1)
+			sum += simulatePeaks(seed + 1)
 		}
 		GinkgoWriter.Printf("in time: %.3f\n", sum/seeds)
 		Expect(sum / seeds).To(BeNumerically(">=", 0.70))
