--- a/internal/executor/core.go
+++ b/internal/executor/core.go
@@ -329,13 +329,14 @@
 	// strangers counts the listed runs that this owner has no record of.
 	strangers int
 
-	// looked is when a lease renewal under this epoch was last answered.
-	looked     time.Duration
-	lookedEver bool
-	lookOut    bool
-	nextLook   time.Duration
-	// failedLook counts the renewals that went unanswered since the last answer.
-	failedLook int
+	// lastPollAnswer is when a poll under this epoch was last answered; hasReported is set once one
+	// has been.
+	lastPollAnswer time.Duration
+	hasReported    bool
+	pollInFlight   bool
+	nextPoll       time.Duration
+	// failedPolls counts the polls that went unanswered since the last answer.
+	failedPolls int
 
 	// clock is the newest reading of the endpoint's clock, and clockAt when it was received.
 	clock   time.Duration
--- a/internal/executor/dump.go
+++ b/internal/executor/dump.go
@@ -79,8 +79,8 @@
 		Limit: int(c.pace.limit), Waiting: len(c.leaving), MedianMs: c.pace.median.Milliseconds()}}
 	for _, e := range c.endpoints {
 		d.Endpoints = append(d.Endpoints, EndpointDump{ID: e.id, Addr: e.addr, StartedMs: e.startedMs, Free: e.free(), Tasks: len(e.tasks),
-			Draining: e.draining, Vacating: e.vacating, Silent: e.failedLook,
-			QuarantineMs: max(0, e.quarantine-now).Milliseconds(), LookedAgoMs: (now - e.looked).Milliseconds(),
+			Draining: e.draining, Vacating: e.vacating, Silent: e.failedPolls,
+			QuarantineMs: max(0, e.quarantine-now).Milliseconds(), LookedAgoMs: (now - e.lastPollAnswer).Milliseconds(),
 			LeaseEndsMs: (c.expiryOf(e) - now).Milliseconds()})
 	}
 	slices.SortFunc(d.Endpoints, func(a, b EndpointDump) int { return cmp.Compare(a.ID, b.ID) })
--- a/internal/executor/ends.go
+++ b/internal/executor/ends.go
@@ -13,12 +13,12 @@
 	}
 	for _, t := range hosted {
 		c.event(Event{Kind: EventLost, Job: t.step.job.rec.Job.ID, Task: t.name(), Run: t.run, Endpoint: e.id, Reason: reason})
-		c.again(t)
+		c.requeue(t)
 	}
 }
 
-// again requeues a task whose run has ended or can't start any more.
-func (c *Core) again(t *task) {
+// requeue requeues a task whose run has ended or can't start any more.
+func (c *Core) requeue(t *task) {
 	s := t.step
 	c.release(t)
 	c.touch(s.job)
@@ -73,7 +73,7 @@
 	case end.How == EndedFailed:
 		c.handleFailure(now, t, e)
 	default:
-		c.again(t)
+		c.requeue(t)
 	}
 }
 
@@ -147,7 +147,7 @@
 // as its queue allows. Long-running tasks have no such limit.
 func (c *Core) handleFailure(now time.Duration, t *task, e *endpoint) {
 	c.countFailure(now, t, e)
-	c.again(t)
+	c.requeue(t)
 	c.endIfFailed(t)
 }
 
--- a/internal/executor/explain.go
+++ b/internal/executor/explain.go
@@ -167,9 +167,9 @@
 		return obstacleDraining
 	case e.vacating:
 		return obstacleVacating
-	case !e.lookedEver:
+	case !e.hasReported:
 		return obstacleNotReported
-	case e.failedLook > 0:
+	case e.failedPolls > 0:
 		return obstacleUnresponsive
 	case e.strangers > 0:
 		return obstacleUnknownRuns
--- a/internal/executor/hosts_test.go
+++ b/internal/executor/hosts_test.go
@@ -205,7 +205,7 @@
 		w.history(name).taken++
 	}
 	for i, a := range w.answers {
-		if a.look.Endpoint == h.id {
+		if a.poll.Endpoint == h.id {
 			w.answers[i].result = executor.LookUnanswered
 		}
 	}
--- a/internal/executor/incarnation.go
+++ b/internal/executor/incarnation.go
@@ -86,7 +86,7 @@
 		id: e.id, addr: e.addr, zone: e.zone, kind: e.kind, rack: e.rack, startedMs: startedMs, term: e.term + 1,
 		capacity: e.capacity, used: e.used, tasks: e.tasks,
 		vacating: e.vacating, vacateUntil: e.vacateUntil, dueUntil: e.dueUntil,
-		nextLook: now, heldUntil: now + maxElapsed(c.limits.LongestLease), trial: e.trial,
+		nextPoll: now, heldUntil: now + maxElapsed(c.limits.LongestLease), trial: e.trial,
 	}
 	for _, x := range taken {
 		x.task.doubted = &x
@@ -101,7 +101,7 @@
 func (c *Core) markUnconfirmed(now time.Duration, e *endpoint, t *task) {
 	if t.ordered == 0 && !t.restored {
 		c.event(Event{Kind: EventLost, Job: t.step.job.rec.Job.ID, Task: t.name(), Run: t.run, Endpoint: e.id, Reason: "incarnation ended"})
-		c.again(t)
+		c.requeue(t)
 		return
 	}
 	t.restored = true
@@ -116,7 +116,7 @@
 	if e.startedMs == 0 {
 		return e.acknowledged // an endpoint that reports no start time has one incarnation per id
 	}
-	if e.failedLook > 0 {
+	if e.failedPolls > 0 {
 		return 0
 	}
 	for t := range e.tasks {
@@ -153,12 +153,12 @@
 	return a.Clock >= earliest && a.Clock <= latest
 }
 
-// unsure handles an answer that may be from another incarnation than the known one. The endpoint is
+// suspectRestart handles an answer that may be from another incarnation than the known one. The endpoint is
 // polled at once, and its leases count as if it had restarted.
-func (c *Core) unsure(now time.Duration, e *endpoint) {
+func (c *Core) suspectRestart(now time.Duration, e *endpoint) {
 	if e.startedMs == 0 {
 		return
 	}
-	e.nextLook = now
+	e.nextPoll = now
 	e.heldUntil = now + maxElapsed(c.limits.LongestLease)
 }
--- a/internal/executor/late.go
+++ b/internal/executor/late.go
@@ -88,5 +88,5 @@
 	if e.withheld > 0 {
 		return withheldPollGap
 	}
-	return lookGap
+	return pollGap
 }
--- a/internal/executor/leases.go
+++ b/internal/executor/leases.go
@@ -10,7 +10,7 @@
 	}
 	// An endpoint that does not answer may still receive polls: renewing its leases would postpone
 	// for ever the moment at which its tasks can be started elsewhere.
-	if e.failedLook > 0 && e.granted > 0 {
+	if e.failedPolls > 0 && e.granted > 0 {
 		return e.granted
 	}
 	// The endpoint's clock may be slow and its last reading old. If its clock were assumed to be
@@ -25,7 +25,7 @@
 // second on it may last longer here. On an endpoint that has not answered this owner, a predecessor
 // may have renewed leases until its proof of ownership expired.
 func (c *Core) expiryOf(e *endpoint) time.Duration {
-	if !e.lookedEver && e.term == 0 {
+	if !e.hasReported && e.term == 0 {
 		return max(e.heldUntil, c.predecessorExpiry(e))
 	}
 	return max(e.heldUntil, e.clockAt+maxElapsed(e.granted-e.clock))
--- a/internal/executor/looks.go
+++ b/internal/executor/looks.go
@@ -10,7 +10,7 @@
 // of 16 to 64 cores ends some ten tasks a second. A poll that waits for an end is answered at each
 // of them; the gap lets ends accumulate, at a cost of half the gap to each step.
 const (
-	lookGap = 60 * time.Millisecond
+	pollGap = 60 * time.Millisecond
 	// maxPollWait is how long a poll waits for an end. It bounds how late a lease is renewed, and
 	// so how short a lease may be.
 	maxPollWait = 1000 * time.Millisecond
@@ -24,9 +24,9 @@
 	startAnswerTimeout  = 200 * time.Millisecond
 	// pollRetryDelay is the delay after a poll without an answer.
 	pollRetryDelay = 120 * time.Millisecond
-	// unsureWait is how long a poll waits, or is delayed, while the result of a start or stop is
+	// uncertainPollWait is how long a poll waits, or is delayed, while the result of a start or stop is
 	// unknown.
-	unsureWait = 80 * time.Millisecond
+	uncertainPollWait = 80 * time.Millisecond
 	// maxClockAge is how old the reading of an idle endpoint's clock may be: each second of age takes
 	// 20 ms off the next lease.
 	maxClockAge = 20 * time.Second
@@ -120,10 +120,10 @@
 func (c *Core) DueLooks(now time.Duration) []Look {
 	var due []Look
 	for _, e := range c.endpoints {
-		if e.lookOut || now < e.nextLook || e.addr == "" || !c.needsPoll(now, e) {
+		if e.pollInFlight || now < e.nextPoll || e.addr == "" || !c.needsPoll(now, e) {
 			continue
 		}
-		e.lookOut = true
+		e.pollInFlight = true
 		due = append(due, Look{Endpoint: e.id, Addr: e.addr, Fence: c.fence(e), Acknowledged: e.safeAcknowledgement(),
 			LeaseUntil: c.grant(e, now), Wait: c.pollWait(now, e), sent: now})
 	}
@@ -131,17 +131,17 @@
 }
 
 func (c *Core) needsPoll(now time.Duration, e *endpoint) bool {
-	if !e.lookedEver || now-e.looked > maxClockAge {
+	if !e.hasReported || now-e.lastPollAnswer > maxClockAge {
 		return true
 	}
 	if c.watchful && now-e.clockAt > idlePollInterval {
 		return true
 	}
-	return len(e.tasks) > 0 || e.strangers > 0 || e.lastAcknowledgeable() > e.acknowledged || e.failedLook > 0
+	return len(e.tasks) > 0 || e.strangers > 0 || e.lastAcknowledgeable() > e.acknowledged || e.failedPolls > 0
 }
 
 func (c *Core) pollWait(now time.Duration, e *endpoint) time.Duration {
-	if !e.lookedEver || e.failedLook > 0 {
+	if !e.hasReported || e.failedPolls > 0 {
 		return 0
 	}
 	wait := maxPollWait
@@ -158,7 +158,7 @@
 func (t *task) pollWait(now time.Duration) time.Duration {
 	switch {
 	case t.stopping, t.ordered > 0 && t.confirmed == 0 && now-t.ordered > startAnswerTimeout:
-		return unsureWait
+		return uncertainPollWait
 	case t.step.spec.LongRunning && t.percent < atWork:
 		return startingPollWait
 	case t.confirmed == 0:
@@ -227,7 +227,7 @@
 	if e == nil || l.Fence != c.fence(e) {
 		return // result for an earlier incarnation
 	}
-	e.lookOut = false
+	e.pollInFlight = false
 	switch result {
 	case LookGone:
 		c.crashed(e)
@@ -242,8 +242,8 @@
 }
 
 func (e *endpoint) pollFailed(now time.Duration) {
-	e.failedLook++
-	e.nextLook = now + pollRetryDelay
+	e.failedPolls++
+	e.nextPoll = now + pollRetryDelay
 }
 
 // pollAnswered applies a listing. If it is from a new incarnation, it only shows that this one is
@@ -257,17 +257,17 @@
 
 func (c *Core) applyListing(now, sent time.Duration, e *endpoint, in Listed) {
 	e.noteClock(now, in.Clock)
-	if !e.lookedEver {
+	if !e.hasReported {
 		// Leases that a predecessor granted last for one more lease duration at most: it can't
 		// renew them now that the fence is raised. If they counted as expired, the tasks would
 		// be started elsewhere before this owner's first renewal, beside runs that go on here.
 		e.granted = max(e.granted, e.clock+c.limits.Lease)
 	}
-	e.nextLook = now + e.pollInterval()
-	if !e.lookedEver || e.failedLook > 0 {
-		e.nextLook = now // this poll renewed nothing
+	e.nextPoll = now + e.pollInterval()
+	if !e.hasReported || e.failedPolls > 0 {
+		e.nextPoll = now // this poll renewed nothing
 	}
-	e.lookedEver, e.looked, e.failedLook = true, now, 0
+	e.hasReported, e.lastPollAnswer, e.failedPolls = true, now, 0
 	c.clearUnreported(e)
 	running := make(map[*task]bool, len(in.Running))
 	unknownRuns := 0
@@ -377,7 +377,7 @@
 func (c *Core) requeueUnlisted(t *task, reason string) {
 	c.event(Event{Kind: EventLost, Job: t.step.job.rec.Job.ID, Task: t.name(), Run: t.run, Endpoint: t.host.id, Reason: reason})
 	doubted := t.doubted
-	c.again(t)
+	c.requeue(t)
 	if doubted != nil {
 		c.recordCrash(*doubted)
 	}
--- a/internal/executor/orders.go
+++ b/internal/executor/orders.go
@@ -118,7 +118,7 @@
 		t.proven = t.proven || fromCurrent && result == OrderDone
 		c.applyStartResult(now, t, e, result)
 		if !fromCurrent && a.Clock > 0 {
-			c.unsure(now, e)
+			c.suspectRestart(now, e)
 		}
 	case OrderStop:
 		c.applyStopResult(now, t, e, result)
@@ -130,14 +130,14 @@
 	case OrderDone:
 		t.answered = true
 		c.confirm(now, t)
-		e.nextLook = min(e.nextLook, now+lookGap)
+		e.nextPoll = min(e.nextPoll, now+pollGap)
 	case OrderUnanswered:
-		e.nextLook = min(e.nextLook, now+unsureWait)
+		e.nextPoll = min(e.nextPoll, now+uncertainPollWait)
 	case OrderOld:
 		// The end of the run, or its stop, is listed or was listed earlier.
 		t.answered = true
 		t.confirmed = max(t.confirmed, now)
-		e.nextLook = now
+		e.nextPoll = now
 	case OrderLate:
 		t.answered = true
 	case OrderNoTicket:
@@ -164,7 +164,7 @@
 	if result != OrderDone {
 		return
 	}
-	e.nextLook = min(e.nextLook, now+lookGap)
+	e.nextPoll = min(e.nextPoll, now+pollGap)
 	if t.confirmed == 0 {
 		// The run was stopped before it started, or runs without having been listed. The
 		// next listing requested after this answer shows which.
@@ -254,5 +254,5 @@
 	expected := time.Duration(c.taskMs(t.step)) * time.Millisecond
 	limit := max(minStallTimeout, stallFactor*expected/10)
 	// Progress is unknown while the endpoint does not answer.
-	return t.host.failedLook == 0 && t.host.looked-max(t.movedAt, t.confirmed) > limit
+	return t.host.failedPolls == 0 && t.host.lastPollAnswer-max(t.movedAt, t.confirmed) > limit
 }
--- a/internal/executor/place.go
+++ b/internal/executor/place.go
@@ -14,7 +14,7 @@
 // usable reports whether tasks may be placed on the endpoint at all: service discovery lists it,
 // it is neither draining nor being vacated, and its state under this epoch has been read.
 func (e *endpoint) usable() bool {
-	return e.listed && !e.draining && !e.vacating && e.lookedEver
+	return e.listed && !e.draining && !e.vacating && e.hasReported
 }
 
 // isOpen reports whether a task may be placed on the endpoint now. An endpoint that has not
--- a/internal/executor/room.go
+++ b/internal/executor/room.go
@@ -34,7 +34,7 @@
 func (c *Core) takeBack(t *task) {
 	c.event(Event{Kind: EventLost, Job: t.step.job.rec.Job.ID, Task: t.name(), Run: t.run, Endpoint: t.host.id, Reason: "the endpoint's capacity may have shrunk"})
 	if t.ordered == 0 {
-		c.again(t)
+		c.requeue(t)
 		return
 	}
 	t.resending, t.stopping = false, true
--- a/internal/executor/trial.go
+++ b/internal/executor/trial.go
@@ -112,7 +112,7 @@
 		}
 	}
 	for _, e := range c.endpoints {
-		c.watchful = c.watchful || e.failedLook > 0 && len(e.tasks) > 0
+		c.watchful = c.watchful || e.failedPolls > 0 && len(e.tasks) > 0
 	}
 }
 
--- a/internal/executor/vacate.go
+++ b/internal/executor/vacate.go
@@ -40,7 +40,7 @@
 			}
 		}
 	}
-	return Vacancy{Left: len(e.tasks) + e.strangers, StartedMs: e.startedMs}, e.lookedEver
+	return Vacancy{Left: len(e.tasks) + e.strangers, StartedMs: e.startedMs}, e.hasReported
 }
 
 // LeavesSoon sets which endpoints will have to be vacated soon. It is valid for vacateFor unless
@@ -103,7 +103,7 @@
 func (c *Core) countUnavailable(s *stepRun, except *task) int {
 	n := 0
 	for _, t := range s.tasks {
-		if t != except && (t.phase != taskPlaced || t.stopping || t.percent < atWork || t.host.failedLook > 0) {
+		if t != except && (t.phase != taskPlaced || t.stopping || t.percent < atWork || t.host.failedPolls > 0) {
 			n++
 		}
 	}
--- a/internal/executor/world_test.go
+++ b/internal/executor/world_test.go
@@ -74,7 +74,7 @@
 type lateAnswer struct {
 	at     time.Duration
 	to     *owner
-	look   executor.Look
+	poll   executor.Look
 	listed executor.Listed
 	result executor.LookResult
 }
@@ -258,7 +258,7 @@
 	}
 	if w.now-o.lastProof < w.limits.ProofAge {
 		for _, l := range c.DueLooks(w.now) {
-			w.look(o, l)
+			w.poll(o, l)
 		}
 		for _, order := range c.TakeStops() {
 			w.send(o, order, 0)
@@ -372,7 +372,7 @@
 	o.core.OrderDone(w.now, order, result, executor.Answer{Clock: h.clock(w.now)})
 }
 
-func (w *world) look(o *owner, l executor.Look) {
+func (w *world) poll(o *owner, l executor.Look) {
 	h := w.hosts[l.Endpoint]
 	switch {
 	case h == nil || !h.hears(o.epoch):
@@ -415,7 +415,7 @@
 		if a.at > w.now {
 			w.answers = append(w.answers, a)
 		} else if !a.to.stopped {
-			a.to.core.LookDone(w.now, a.look, a.result, a.listed)
+			a.to.core.LookDone(w.now, a.poll, a.result, a.listed)
 		}
 	}
 }
