--- a/internal/executor/core.go
+++ b/internal/executor/core.go
@@ -113,18 +113,18 @@
 	loans      []loan
 	loansUntil time.Duration
 
-	// wary are open tasks with an expired lease or crash evidence, which are placed only on
-	// endpoints that reported recently (trial.go). watchful is set while one of them is to start
-	// now or may be soon; idle endpoints are then polled too.
-	wary     []*task
-	watchful bool
-	// unheard records, by task, the endpoints that have not reported since the task's lease
+	// cautiousTasks are open tasks with an expired lease or crash evidence, which are placed only on
+	// endpoints that reported recently (isolation.go). pollIdle is set while idle endpoints are
+	// polled too, because one of these tasks is to start now or may be soon.
+	cautiousTasks []*task
+	pollIdle      bool
+	// unreportedLosses records, by task, the endpoints that have not reported since the task's lease
 	// expired there.
-	unheard map[string]unheardLosses
+	unreportedLosses map[string]unreportedLosses
 
-	// unsavedGivenUp are endpoints whose abandoned runs have changed since they were written;
-	// savedGivenUp are those that have a record of them.
-	unsavedGivenUp, savedGivenUp map[string]bool
+	// unsavedAbandoned are endpoints whose abandoned runs have changed since they were written;
+	// savedAbandoned are those that have a record of them.
+	unsavedAbandoned, savedAbandoned map[string]bool
 
 	dirty   map[*job]bool
 	order   []*job
@@ -163,7 +163,7 @@
 	return &Core{
 		pool: pool, epoch: epoch, limits: limits, claimedAt: now,
 		jobs: map[string]*job{}, endpoints: map[string]*endpoint{}, terms: map[string]int{}, gone: map[Incarnation]bool{},
-		unsavedGivenUp: map[string]bool{}, savedGivenUp: map[string]bool{}, unheard: map[string]unheardLosses{},
+		unsavedAbandoned: map[string]bool{}, savedAbandoned: map[string]bool{}, unreportedLosses: map[string]unreportedLosses{},
 		learned: map[string]*lengths{}, allowance: quota.NewAllowance(), blocked: map[string]time.Duration{},
 		refusedSince: map[string]time.Duration{}, refusedOf: map[string]int{}, dirty: map[*job]bool{}, acks: map[Incarnation]int64{},
 		pace: newPace(),
@@ -292,8 +292,9 @@
 	// when the task began to wait for an endpoint to be tried on.
 	onTrial    bool
 	waitsSince time.Duration
-	// lapsed is set if one of the task's leases has expired; wary, if the task is in Core.wary.
-	lapsed, wary bool
+	// leaseExpired is set if one of the task's leases has expired; inCautiousTasks, if the task is
+	// in Core.cautiousTasks.
+	leaseExpired, inCautiousTasks bool
 	// stopping is set once the run is to be stopped; stopSent is when the stop was last sent.
 	stopping bool
 	stopSent time.Duration
@@ -350,13 +351,13 @@
 	// end whose effect is durable.
 	seen         int64
 	acknowledged int64
-	// givenUp are the runs, by task, that were abandoned because their lease expired.
-	givenUp map[string]int
-	// unheard are the abandoned runs since which the endpoint has not reported, with how long it
-	// had reported them before.
-	unheard map[string]unheardRun
-	// gaveUpAt is when a run was last abandoned, or such runs were restored from the journal.
-	gaveUpAt time.Duration
+	// abandonedRuns are the runs, by task, that were abandoned because their lease expired.
+	abandonedRuns map[string]int
+	// unreportedRuns are those abandoned runs, by task, after which the endpoint has not reported,
+	// with how long it had reported them before.
+	unreportedRuns map[string]unreportedRun
+	// abandonedAt is when a run was last abandoned, or such runs were restored from the journal.
+	abandonedAt time.Duration
 	// withheld is the number of the first end that must not be acknowledged, 0 for none.
 	withheld int64
 
--- a/internal/executor/crashes.go
+++ b/internal/executor/crashes.go
@@ -42,33 +42,33 @@
 type evidence struct {
 	// Crashes counts the incarnations that ended with its runs on them.
 	Crashes int `cbor:"1,keyasint"`
-	// Alone counts those of them in which its run was new and no run of another job was. Several
+	// Isolated counts those of them in which its run was new and no run of another job was. Several
 	// crashes in a row at one address count once: an endpoint may crash by itself whenever it is
 	// back.
-	Alone int `cbor:"2,keyasint,omitempty"`
-	// Addr is the address of the last crash counted in Alone.
+	Isolated int `cbor:"2,keyasint,omitempty"`
+	// Addr is the address of the last crash counted in Isolated.
 	Addr string `cbor:"4,keyasint,omitempty"`
 	// Suspect is set if its run was new in one of the crashes, or if there were several crashes.
 	Suspect bool `cbor:"3,keyasint,omitempty"`
 }
 
-func (e evidence) plus(o evidence) evidence {
-	sum := evidence{Crashes: e.Crashes + o.Crashes, Alone: e.Alone, Addr: e.Addr}
+func (e evidence) add(o evidence) evidence {
+	sum := evidence{Crashes: e.Crashes + o.Crashes, Isolated: e.Isolated, Addr: e.Addr}
 	sum.Suspect = e.Suspect || o.Suspect || sum.Crashes > 1
-	if o.Alone > 0 && o.Addr != e.Addr {
-		sum.Alone, sum.Addr = e.Alone+o.Alone, o.Addr
+	if o.Isolated > 0 && o.Addr != e.Addr {
+		sum.Isolated, sum.Addr = e.Isolated+o.Isolated, o.Addr
 	}
 	return sum
 }
 
 // String describes the evidence for logs and error messages.
 func (e evidence) String() string {
-	return fmt.Sprintf("%d endpoints have crashed under it, %d of them while no other run was new", e.Crashes, e.Alone)
+	return fmt.Sprintf("%d endpoints have crashed under it, %d of them while no other run was new", e.Crashes, e.Isolated)
 }
 
 // isPoison reports whether the evidence suffices to fail the task.
 func (e evidence) isPoison() bool {
-	return e.Crashes >= maxCrashes || e.Crashes >= poisonCrashes && e.Alone >= poisonIsolatedCrashes
+	return e.Crashes >= maxCrashes || e.Crashes >= poisonCrashes && e.Isolated >= poisonIsolatedCrashes
 }
 
 // endedRun is a run that its endpoint had when the incarnation ended.
@@ -120,7 +120,7 @@
 		if r.confirmed && r.confirmedFor < newRunPeriod {
 			out[i].evidence.Suspect = true
 			if out[i].otherNewRuns == 0 {
-				out[i].evidence.Alone, out[i].evidence.Addr = 1, e.addr
+				out[i].evidence.Isolated, out[i].evidence.Addr = 1, e.addr
 			}
 		}
 	}
@@ -142,9 +142,9 @@
 // their tasks are still open.
 func (c *Core) unreportedRuns(e *endpoint) []endedRun {
 	var out []endedRun
-	for name, r := range e.unheard {
+	for name, r := range e.unreportedRuns {
 		if t := c.taskByName(name); t != nil {
-			out = append(out, endedRun{t, e.givenUp[name], r.confirmed, r.confirmedFor})
+			out = append(out, endedRun{t, e.abandonedRuns[name], r.confirmed, r.confirmedFor})
 		}
 	}
 	return out
@@ -154,7 +154,7 @@
 // reported for long since runs on it were abandoned. It may only be unreachable, so that no task
 // becomes a suspect by it.
 func (c *Core) presumeGone(now time.Duration, e *endpoint) {
-	if e.listed || len(e.unheard) == 0 || now-e.gaveUpAt < crashReportTimeout {
+	if e.listed || len(e.unreportedRuns) == 0 || now-e.abandonedAt < crashReportTimeout {
 		return
 	}
 	presumed := c.presumedCrashes(e)
@@ -167,7 +167,7 @@
 func (c *Core) presumedCrashes(e *endpoint) []crash {
 	out := attributeCrash(e, c.unreportedRuns(e))
 	for i := range out {
-		out[i].evidence.Alone, out[i].evidence.Suspect = 0, false
+		out[i].evidence.Isolated, out[i].evidence.Suspect = 0, false
 	}
 	return out
 }
@@ -178,8 +178,8 @@
 	if x.evidence.Crashes == 0 || t.phase == taskDone || j.rec.State.Ended() {
 		return
 	}
-	t.evidence = t.evidence.plus(x.evidence)
-	c.beWary(t)
+	t.evidence = t.evidence.add(x.evidence)
+	c.markCautious(t)
 	c.touch(j)
 	c.event(Event{Kind: EventCrashed, Job: j.rec.Job.ID, Task: t.name(), Run: x.number, Endpoint: x.incarnation.ID, StartedMs: x.incarnation.StartedMs,
 		AgeMs:  x.confirmedFor.Milliseconds(),
@@ -192,10 +192,10 @@
 
 // clearEvidence drops the evidence against a task with a stable run: it does not crash every endpoint.
 func (c *Core) clearEvidence(t *task) {
-	if !t.cautious() {
+	if !t.needsRecentReport() {
 		return
 	}
-	t.evidence, t.lapsed = evidence{}, false
+	t.evidence, t.leaseExpired = evidence{}, false
 	c.touch(t.step.job)
 }
 
@@ -206,20 +206,20 @@
 	}
 }
 
-// unheardLosses counts the endpoints that have not reported since a task's lease expired there; last
+// unreportedLosses counts the endpoints that have not reported since a task's lease expired there; last
 // is when a lease last expired.
-type unheardLosses struct {
+type unreportedLosses struct {
 	endpoints int
 	last      time.Duration
 }
 
-// countUnreportedLosses computes Core.unheard.
+// countUnreportedLosses computes Core.unreportedLosses.
 func (c *Core) countUnreportedLosses() {
-	clear(c.unheard)
+	clear(c.unreportedLosses)
 	for _, e := range c.endpoints {
-		for task := range e.unheard {
-			n := c.unheard[task]
-			c.unheard[task] = unheardLosses{n.endpoints + 1, max(n.last, e.gaveUpAt)}
+		for task := range e.unreportedRuns {
+			n := c.unreportedLosses[task]
+			c.unreportedLosses[task] = unreportedLosses{n.endpoints + 1, max(n.last, e.abandonedAt)}
 		}
 	}
 }
@@ -228,10 +228,10 @@
 // it may have crashed are unresponsive. Each shows whether it crashed once it reports, or
 // is back as another incarnation. One that is gone for good never does, hence the timeout.
 func (c *Core) awaitsCrashReports(now time.Duration, t *task) bool {
-	if t.run < poisonCrashes || len(c.unheard) == 0 {
+	if t.run < poisonCrashes || len(c.unreportedLosses) == 0 {
 		return false
 	}
-	lost := c.unheard[t.name()]
+	lost := c.unreportedLosses[t.name()]
 	return lost.endpoints > 0 && now-lost.last < crashReportTimeout && t.evidence.Crashes+lost.endpoints >= poisonCrashes
 }
 
--- a/internal/executor/explain.go
+++ b/internal/executor/explain.go
@@ -143,7 +143,7 @@
 	if e.trial != nil && e.trial != t.step.job {
 		return obstacleTrial
 	}
-	if t.cautious() && now-e.clockAt > heardOfLate {
+	if t.needsRecentReport() && now-e.clockAt > heardOfLate {
 		return obstacleOutdatedReport
 	}
 	if t.alone(now) && e.hasJustBegun(t.step.job) {
--- a/internal/executor/incarnation.go
+++ b/internal/executor/incarnation.go
@@ -28,7 +28,7 @@
 func (c *Core) forgetEndpoint(e *endpoint) {
 	delete(c.endpoints, e.id)
 	c.terms[e.id] = e.term + 1
-	c.unsavedGivenUp[e.id] = true
+	c.unsavedAbandoned[e.id] = true
 }
 
 // meet applies the start time of the incarnation that sent an answer or a service discovery entry.
@@ -48,8 +48,8 @@
 // incarnation wins, and the state of earlier ones is dropped.
 func (c *Core) restoreStart(e *endpoint, startedMs int64) {
 	if startedMs > e.startedMs {
-		e.startedMs, e.givenUp, e.unheard = startedMs, nil, nil
-		c.unsavedGivenUp[e.id] = true
+		e.startedMs, e.abandonedRuns, e.unreportedRuns = startedMs, nil, nil
+		c.unsavedAbandoned[e.id] = true
 	}
 }
 
@@ -81,7 +81,7 @@
 		Reason: fmt.Sprintf("the previous incarnation's ends were acknowledged up to %d", e.acknowledged)})
 	c.recordCrashes(attributeCrash(e, c.unreportedRuns(e)))
 	taken := attributeCrash(e, e.orderedRuns())
-	c.unsavedGivenUp[e.id] = true
+	c.unsavedAbandoned[e.id] = true
 	*e = endpoint{
 		id: e.id, addr: e.addr, zone: e.zone, kind: e.kind, rack: e.rack, startedMs: startedMs, term: e.term + 1,
 		capacity: e.capacity, used: e.used, tasks: e.tasks,
--- a/internal/executor/journal.go
+++ b/internal/executor/journal.go
@@ -138,7 +138,7 @@
 func (p *progressRecord) recordEvidence(t *task) {
 	total := t.evidence
 	if t.doubted != nil {
-		total = total.plus(t.doubted.evidence)
+		total = total.add(t.doubted.evidence)
 	}
 	if total.Crashes == 0 {
 		return
@@ -199,7 +199,7 @@
 		r.Records = append(r.Records, Record{Key: key})
 	}
 	c.removed = nil
-	r.Records = append(r.Records, c.givenUpRecords()...)
+	r.Records = append(r.Records, c.abandonedRunRecords()...)
 	if len(r.Records) > 0 {
 		r.Records = append(r.Records, c.learntRecords()...)
 	}
@@ -268,8 +268,8 @@
 			progress[r.Key[1:]] = p
 		case keyLearnt:
 			c.restoreLearnt(r)
-		case keyGivenUp:
-			if err := c.restoreGivenUp(r, now); err != nil {
+		case keyAbandonedRuns:
+			if err := c.restoreAbandonedRuns(r, now); err != nil {
 				return err
 			}
 		case keyHandover:
@@ -354,7 +354,7 @@
 	j.started = true
 	t.run, t.failures, t.checkpoint = r.Run, r.Failures, r.Checkpoint
 	t.evidence, t.meantFor = p.Crashes[taskKey(r.Occurrence, r.Step, r.Index)], p.Started[r.Endpoint]
-	c.beWary(t)
+	c.markCautious(t)
 	switch r.Phase {
 	case taskDone:
 		t.phase = taskDone
--- a/internal/executor/late.go
+++ b/internal/executor/late.go
@@ -20,7 +20,7 @@
 // task was placed again counts like one in time.
 func (c *Core) takeLateEnd(now time.Duration, e *endpoint, end ListedEnd) {
 	t := c.taskByName(end.Task)
-	abandoned := e.givenUp[end.Task] == end.Run
+	abandoned := e.abandonedRuns[end.Task] == end.Run
 	if t != nil && t.step.spec.LongRunning {
 		return
 	}
--- a/internal/executor/looks.go
+++ b/internal/executor/looks.go
@@ -72,7 +72,7 @@
 		}
 	}
 	for id, e := range c.endpoints {
-		if !shown[id] && len(e.tasks) == 0 && !(e.vacating && now < e.vacateUntil) && !e.remembered(now) {
+		if !shown[id] && len(e.tasks) == 0 && !(e.vacating && now < e.vacateUntil) && !e.hasRecentAbandonedRuns(now) {
 			c.forgetEndpoint(e)
 		}
 	}
@@ -134,7 +134,7 @@
 	if !e.hasReported || now-e.lastPollAnswer > maxClockAge {
 		return true
 	}
-	if c.watchful && now-e.clockAt > idlePollInterval {
+	if c.pollIdle && now-e.clockAt > idlePollInterval {
 		return true
 	}
 	return len(e.tasks) > 0 || e.strangers > 0 || e.lastAcknowledgeable() > e.acknowledged || e.failedPolls > 0
--- a/internal/executor/place.go
+++ b/internal/executor/place.go
@@ -71,7 +71,7 @@
 	c.sortOpen()
 	c.forgetBlocked()
 	c.explainWaiting(now)
-	c.watch(now)
+	c.updateCautious(now)
 	endpoints := c.openEndpoints(now)
 	if len(endpoints) == 0 {
 		return
--- a/internal/executor/restart_test.go
+++ b/internal/executor/restart_test.go
@@ -312,7 +312,7 @@
 // Guards against an end that an owner has withheld, or whose run it has abandoned, and that its
 // successor acknowledges: the job has ended, so nothing else shows that there was a later run.
 func TestASuccessorRestoresAbandonedRuns(t *testing.T) {
-	for _, heard := range []bool{false, true} {
+	for _, reported := range []bool{false, true} {
 		g := NewWithT(t)
 		w := newWorld(1, 2)
 		o := w.takeOver()
@@ -325,7 +325,7 @@
 		late.silent = true
 		w.run(w.limits.Lease + time.Second)
 		g.Expect(w.state(o, j)).To(Equal("completed"))
-		if heard {
+		if reported {
 			late.silent = false
 			w.run(500 * time.Millisecond)
 			g.Expect(late.ended).To(HaveLen(1), "withheld by the first owner")
--- a/internal/executor/trial.go
+++ b/internal/executor/trial.go
@@ -12,7 +12,7 @@
 
 const (
 	// heardOfLate is the longest time since the last report of an endpoint on which a cautious task
-	// (see task.cautious) may be placed.
+	// (see task.needsRecentReport) may be placed.
 	heardOfLate = 1500 * time.Millisecond
 	// idlePollInterval is how often idle endpoints are polled while a cautious task waits.
 	idlePollInterval = heardOfLate / 2
@@ -78,48 +78,48 @@
 	return false
 }
 
-// cautious reports whether the task is placed only on endpoints that reported recently. Load: a zone
+// needsRecentReport reports whether the task is placed only on endpoints that reported recently. Load: a zone
 // goes dark. Its idle endpoints are not yet known to be down, and a task whose lease has expired on
 // one of them would be placed on the next.
-func (t *task) cautious() bool { return t.lapsed || t.evidence.Crashes > 0 }
+func (t *task) needsRecentReport() bool { return t.leaseExpired || t.evidence.Crashes > 0 }
 
-// beWary adds a cautious task to those that watch looks after.
-func (c *Core) beWary(t *task) {
-	if t.cautious() && !t.wary {
-		t.wary = true
-		c.wary = append(c.wary, t)
+// markCautious adds a task to Core.cautiousTasks if it needs a recent report.
+func (c *Core) markCautious(t *task) {
+	if t.needsRecentReport() && !t.inCautiousTasks {
+		t.inCautiousTasks = true
+		c.cautiousTasks = append(c.cautiousTasks, t)
 	}
 }
 
-// watch drops finished and cleared tasks from the cautious ones and decides whether idle endpoints
+// updateCautious drops finished and cleared tasks from the cautious ones and decides whether idle endpoints
 // are polled: because cautious tasks are due, or because runs on an unresponsive endpoint may have
 // to be restarted.
-func (c *Core) watch(now time.Duration) {
-	c.wary = slices.DeleteFunc(c.wary, func(t *task) bool {
-		over := t.phase == taskDone || t.step.job.rec.State.Ended() || !t.cautious()
-		t.wary = t.wary && !over
+func (c *Core) updateCautious(now time.Duration) {
+	c.cautiousTasks = slices.DeleteFunc(c.cautiousTasks, func(t *task) bool {
+		over := t.phase == taskDone || t.step.job.rec.State.Ended() || !t.needsRecentReport()
+		t.inCautiousTasks = t.inCautiousTasks && !over
 		return over
 	})
 	c.countUnreportedLosses()
-	c.watchful = false
-	for _, t := range c.wary {
+	c.pollIdle = false
+	for _, t := range c.cautiousTasks {
 		if t.step.waitsFor > 0 || !c.mayStart(now, t) {
 			continue
 		}
-		c.watchful = true
+		c.pollIdle = true
 		if t.waitsSince == 0 {
 			t.waitsSince = now
 		}
 	}
 	for _, e := range c.endpoints {
-		c.watchful = c.watchful || e.failedPolls > 0 && len(e.tasks) > 0
+		c.pollIdle = c.pollIdle || e.failedPolls > 0 && len(e.tasks) > 0
 	}
 }
 
 // suspectsWaiting returns the suspects that could start now and need an isolated run.
 func (c *Core) suspectsWaiting(now time.Duration) []*task {
 	var out []*task
-	for _, t := range c.wary {
+	for _, t := range c.cautiousTasks {
 		if t.alone(now) && t.step.waitsFor == 0 && c.mayStart(now, t) {
 			out = append(out, t)
 		}
