--- a/internal/executor/core.go
+++ b/internal/executor/core.go
@@ -80,8 +80,8 @@
 	endpoints map[string]*endpoint
 	// terms are the next term numbers of endpoints that were removed, by id.
 	terms map[string]int
-	// gone are incarnations that are confirmed to have ended.
-	gone map[Incarnation]bool
+	// endedIncarnations are incarnations that are confirmed to have ended.
+	endedIncarnations map[Incarnation]bool
 	// open are the jobs with tasks that may still be started, sorted by priority and objective
 	// unless unsorted is set.
 	open     []*job
@@ -162,7 +162,7 @@
 func New(pool string, epoch int64, limits Limits, now time.Duration) *Core {
 	return &Core{
 		pool: pool, epoch: epoch, limits: limits, claimedAt: now,
-		jobs: map[string]*job{}, endpoints: map[string]*endpoint{}, terms: map[string]int{}, gone: map[Incarnation]bool{},
+		jobs: map[string]*job{}, endpoints: map[string]*endpoint{}, terms: map[string]int{}, endedIncarnations: map[Incarnation]bool{},
 		unsavedAbandoned: map[string]bool{}, savedAbandoned: map[string]bool{}, unreportedLosses: map[string]unreportedLosses{},
 		learned: map[string]*lengths{}, allowance: quota.NewAllowance(), blocked: map[string]time.Duration{},
 		refusedSince: map[string]time.Duration{}, refusedOf: map[string]int{}, dirty: map[*job]bool{}, acks: map[Incarnation]int64{},
@@ -265,33 +265,34 @@
 	answered bool
 	// resending is set while the start order is queued to be sent again.
 	resending bool
-	// proven is set once the run is confirmed to belong to the endpoint's current incarnation.
-	proven bool
+	// onCurrentIncarnation is set once it is certain that the confirmation came from the endpoint's
+	// current incarnation. An answer without a start time may be from a later one.
+	onCurrentIncarnation bool
 	// restored is set if the start was decided by an earlier owner, or sent to an earlier
 	// incarnation. Its order carries an older fencing token, so that it can't begin once the
 	// current incarnation has accepted a newer token.
 	restored bool
-	// meantFor is the start time, in ms since 1970, of the incarnation that a restored start was
+	// targetStartedMs is the start time, in ms since 1970, of the incarnation that a restored start was
 	// sent to; 0 if unknown.
-	meantFor int64
+	targetStartedMs int64
 	// resumed is set if the run started from a checkpoint.
 	resumed bool
 	percent int
-	// movedAt is when percent last changed.
-	movedAt time.Duration
+	// progressAt is when percent last changed, or the run was placed.
+	progressAt time.Duration
 	// listedAt is when the run was last listed, on the endpoint's clock.
 	listedAt time.Duration
 	// rescues counts the runs that were stopped because their endpoint was slow.
 	rescues int
-	// evidence counts the crashes that suggest that the task crashes its endpoints. doubted is
-	// the crash to attribute to the current run if the run turns out to have ended together with
-	// an incarnation.
-	evidence evidence
-	doubted  *crash
-	// onTrial is set while a run of a suspect task is too young to be cleared. waitsSince is
-	// when the task began to wait for an endpoint to be tried on.
-	onTrial    bool
-	waitsSince time.Duration
+	// evidence counts the crashes that suggest that the task crashes its endpoints. possibleCrash
+	// is the crash to add to it if the current run turns out to have ended with an incarnation;
+	// nil if the endpoint has not restarted since the start.
+	evidence      evidence
+	possibleCrash *crash
+	// isIsolated is set while a run of a suspect task is too young to be cleared. isolationWaitSince is
+	// when the task began to wait for an endpoint for an isolated run, 0 if it does not wait.
+	isIsolated         bool
+	isolationWaitSince time.Duration
 	// leaseExpired is set if one of the task's leases has expired; inCautiousTasks, if the task is
 	// in Core.cautiousTasks.
 	leaseExpired, inCautiousTasks bool
@@ -315,9 +316,9 @@
 	// term counts the incarnations that this owner has seen.
 	term     int
 	capacity Room
-	// toldAt is the endpoint's clock when it reported its capacity; 0 if unknown.
-	toldAt time.Duration
-	used   Room
+	// capacityReportedAt is the endpoint's clock when it reported its capacity; 0 if unknown.
+	capacityReportedAt time.Duration
+	used               Room
 	// listed is set while service discovery lists the endpoint.
 	listed   bool
 	draining bool
@@ -344,12 +345,12 @@
 	clockAt time.Duration
 	// granted is the latest lease end that this owner has requested.
 	granted time.Duration
-	// heldUntil is the latest time until which runs may go on whose orders were sent to an
+	// earlierRunsUntil is the latest time until which runs may go on whose orders were sent to an
 	// earlier incarnation: the ends of their leases are times on a different clock.
-	heldUntil time.Duration
-	// seen is the number of the newest end that was applied, and acknowledged that of the newest
+	earlierRunsUntil time.Duration
+	// appliedEnd is the number of the newest end that was applied, and acknowledged that of the newest
 	// end whose effect is durable.
-	seen         int64
+	appliedEnd   int64
 	acknowledged int64
 	// abandonedRuns are the runs, by task, that were abandoned because their lease expired.
 	abandonedRuns map[string]int
@@ -361,8 +362,8 @@
 	// withheld is the number of the first end that must not be acknowledged, 0 for none.
 	withheld int64
 
-	// trial is the job of the suspect task whose run has just begun here, nil for none.
-	trial *job
+	// isolatedFor is the job of the suspect task that has an isolated run here, nil for none.
+	isolatedFor *job
 
 	// consecutiveFailures counts failed and stalled runs since the last run that completed.
 	consecutiveFailures int
--- a/internal/executor/crashes.go
+++ b/internal/executor/crashes.go
@@ -11,7 +11,7 @@
 // lists no ends: all that is known is which runs its incarnation had, and most of them were healthy.
 //
 // So the end of an incarnation counts as evidence against the tasks whose runs it took. A suspect
-// task runs only where no run of another job is new (trial.go): if that endpoint crashes as well,
+// task runs only where no run of another job is new (isolation.go): if that endpoint crashes as well,
 // no other run can have caused it.
 
 const (
@@ -103,16 +103,16 @@
 // that was unresponsive before a start was sent to it did not crash because of that start: an
 // unconfirmed run does not make its task a suspect.
 func attributeCrash(e *endpoint, runs []endedRun) []crash {
-	begun, all := map[*job]int{}, 0
+	newRunsByJob, newRuns := map[*job]int{}, 0
 	for _, r := range runs {
 		if r.confirmedFor < newRunPeriod {
-			begun[r.task.step.job]++
-			all++
+			newRunsByJob[r.task.step.job]++
+			newRuns++
 		}
 	}
 	out := make([]crash, len(runs))
 	for i, r := range runs {
-		out[i] = crash{endedRun: r, incarnation: e.incarnation(), otherNewRuns: all - begun[r.task.step.job]}
+		out[i] = crash{endedRun: r, incarnation: e.incarnation(), otherNewRuns: newRuns - newRunsByJob[r.task.step.job]}
 		if r.confirmedFor >= stableRunAfter {
 			continue
 		}
@@ -150,10 +150,10 @@
 	return out
 }
 
-// presumeGone treats an endpoint as gone that service discovery does not list and that has not
-// reported for long since runs on it were abandoned. It may only be unreachable, so that no task
+// presumeCrashed treats an endpoint as crashed that service discovery does not list and that has
+// not reported for crashReportTimeout since runs on it were abandoned. It may only be unreachable, so that no task
 // becomes a suspect by it.
-func (c *Core) presumeGone(now time.Duration, e *endpoint) {
+func (c *Core) presumeCrashed(now time.Duration, e *endpoint) {
 	if e.listed || len(e.unreportedRuns) == 0 || now-e.abandonedAt < crashReportTimeout {
 		return
 	}
--- a/internal/executor/ends.go
+++ b/internal/executor/ends.go
@@ -51,10 +51,10 @@
 
 // takeEnd applies an end that an endpoint lists.
 func (c *Core) takeEnd(now time.Duration, e *endpoint, end ListedEnd) {
-	if end.Number <= e.seen {
+	if end.Number <= e.appliedEnd {
 		return
 	}
-	e.seen = end.Number
+	e.appliedEnd = end.Number
 	t := c.find(e, end.Task, end.Run)
 	if t == nil {
 		c.takeLateEnd(now, e, end)
--- a/internal/executor/explain.go
+++ b/internal/executor/explain.go
@@ -101,14 +101,14 @@
 	// acknowledged, as its task has started again elsewhere.
 	obstacleLateEnd        = "with the end of an abandoned run"
 	obstacleOutdatedEntry  = "with an outdated service discovery entry"
-	obstacleTrial          = "where a suspect task of another job has just started"
+	obstacleIsolated       = "where a suspect task of another job has just started"
 	obstacleOutdatedReport = "not heard of late"
-	obstacleRecentStart    = "where others have just begun"
+	obstacleNewRuns        = "where others have just begun"
 )
 
 var obstacles = []string{obstacleAccount, obstacleNone, obstacleFull, obstacleRequirement, obstacleSpread, obstacleSharing, obstacleTicket, obstacleUnlisted,
 	obstacleDraining, obstacleVacating, obstacleNotReported, obstacleUnresponsive, obstacleUnknownRuns, obstacleQuarantined, obstacleReserved, obstacleSlow, obstacleLateEnd,
-	obstacleOutdatedEntry, obstacleTrial, obstacleOutdatedReport, obstacleRecentStart}
+	obstacleOutdatedEntry, obstacleIsolated, obstacleOutdatedReport, obstacleNewRuns}
 
 // unblockedBy maps an obstacle to the event that removes it, where there is one.
 var unblockedBy = map[string]string{
@@ -126,9 +126,9 @@
 	obstacleReserved:       "the start of the task that the endpoint is reserved for, or the end of the reservation",
 	obstacleLateEnd:        "a move or the maintenance of the endpoint's instance",
 	obstacleOutdatedEntry:  "the endpoint's next entry in service discovery",
-	obstacleTrial:          "the endpoint's next reports, or its crash",
+	obstacleIsolated:       "the endpoint's next reports, or its crash",
 	obstacleOutdatedReport: "the endpoint's next report",
-	obstacleRecentStart:    "an endpoint reserved for the suspect task alone, so that a crash is attributed to it",
+	obstacleNewRuns:        "an endpoint reserved for the suspect task alone, so that a crash is attributed to it",
 	obstacleSlow:           "progress of the one task that probes the slow endpoint",
 }
 
@@ -140,14 +140,14 @@
 	if e.keptFor != nil && e.keptFor != t {
 		return obstacleReserved
 	}
-	if e.trial != nil && e.trial != t.step.job {
-		return obstacleTrial
+	if e.isolatedFor != nil && e.isolatedFor != t.step.job {
+		return obstacleIsolated
 	}
-	if t.needsRecentReport() && now-e.clockAt > heardOfLate {
+	if t.needsRecentReport() && now-e.clockAt > maxReportAge {
 		return obstacleOutdatedReport
 	}
-	if t.alone(now) && e.hasJustBegun(t.step.job) {
-		return obstacleRecentStart
+	if t.needsIsolatedRun(now) && e.hasNewRuns(t.step.job) {
+		return obstacleNewRuns
 	}
 	if e.speed.slow && e.hasProbeTask() && !t.step.spec.LongRunning {
 		return obstacleSlow
@@ -177,7 +177,7 @@
 		return obstacleQuarantined
 	case e.withheld > 0:
 		return obstacleLateEnd
-	case !c.roomKnown(now, e):
+	case !c.hasCurrentCapacity(now, e):
 		return obstacleOutdatedEntry
 	}
 	return obstacleNone
--- a/internal/executor/givenup.go
+++ b/internal/executor/givenup.go
@@ -120,7 +120,7 @@
 	}
 	e := c.endpoint(r.Key[len(keyAbandonedRuns):])
 	c.savedAbandoned[e.id] = true
-	c.restoreStart(e, in.StartedMs)
+	c.restoreIncarnationStart(e, in.StartedMs)
 	if e.startedMs != in.StartedMs {
 		c.unsavedAbandoned[e.id] = true
 		return nil
--- a/internal/executor/incarnation.go
+++ b/internal/executor/incarnation.go
@@ -31,10 +31,11 @@
 	c.unsavedAbandoned[e.id] = true
 }
 
-// meet applies the start time of the incarnation that sent an answer or a service discovery entry.
+// observeIncarnation applies the start time of the incarnation that sent an answer or an entry in
+// service discovery.
 // A request under the endpoint's present fencing token was sent after the known incarnation had
 // started, so a different start time is a later incarnation, whatever the time of day says.
-func (c *Core) meet(now time.Duration, e *endpoint, startedMs int64) {
+func (c *Core) observeIncarnation(now time.Duration, e *endpoint, startedMs int64) {
 	switch {
 	case startedMs == 0 || startedMs == e.startedMs:
 	case e.startedMs == 0:
@@ -44,52 +45,52 @@
 	}
 }
 
-// restoreStart applies the start time of an incarnation that a record names. The newest
+// restoreIncarnationStart applies the start time of an incarnation that a record names. The newest
 // incarnation wins, and the state of earlier ones is dropped.
-func (c *Core) restoreStart(e *endpoint, startedMs int64) {
+func (c *Core) restoreIncarnationStart(e *endpoint, startedMs int64) {
 	if startedMs > e.startedMs {
 		e.startedMs, e.abandonedRuns, e.unreportedRuns = startedMs, nil, nil
 		c.unsavedAbandoned[e.id] = true
 	}
 }
 
-// doubtRestored handles tasks that were placed on an earlier incarnation than the newest one that
-// the records name. Their orders, with leases by the earlier clock, may have reached the newest one,
+// markRestoredUnconfirmed handles tasks that were placed on an earlier incarnation than the newest
+// one that the records name. Their orders, with leases by the earlier clock, may have reached the newest one,
 // and a predecessor may still send them until its proof of ownership expires.
-func (c *Core) doubtRestored(now time.Duration, e *endpoint) {
-	var taken []endedRun
+func (c *Core) markRestoredUnconfirmed(now time.Duration, e *endpoint) {
+	var earlierRuns []endedRun
 	for t := range e.tasks {
-		if t.meantFor != 0 && t.meantFor != e.startedMs {
-			taken = append(taken, endedRun{task: t, number: t.run})
+		if t.targetStartedMs != 0 && t.targetStartedMs != e.startedMs {
+			earlierRuns = append(earlierRuns, endedRun{task: t, number: t.run})
 		}
 	}
-	if len(taken) > 0 {
-		e.heldUntil = now + c.limits.ProofAge + maxElapsed(c.limits.LongestLease)
+	if len(earlierRuns) > 0 {
+		e.earlierRunsUntil = now + c.limits.ProofAge + maxElapsed(c.limits.LongestLease)
 	}
-	for _, x := range attributeCrash(e, taken) {
-		x.incarnation.StartedMs = x.task.meantFor
-		x.task.doubted = &x
+	for _, x := range attributeCrash(e, earlierRuns) {
+		x.incarnation.StartedMs = x.task.targetStartedMs
+		x.task.possibleCrash = &x
 	}
 }
 
 // resetIncarnation drops what was known of an endpoint's previous incarnation, such as the number of
-// its last end: otherwise the new ends would count as seen and be acknowledged unread, and their
+// its last end: otherwise the new ends would count as applied and be acknowledged unread, and their
 // tasks would run again. The endpoint counts as unlisted, as the new incarnation may have less
 // capacity. What belongs to the endpoint's instance is kept.
 func (c *Core) resetIncarnation(now time.Duration, e *endpoint, startedMs int64) {
 	c.event(Event{Kind: EventRestarted, Endpoint: e.id, StartedMs: startedMs, Run: len(e.tasks),
 		Reason: fmt.Sprintf("the previous incarnation's ends were acknowledged up to %d", e.acknowledged)})
 	c.recordCrashes(attributeCrash(e, c.unreportedRuns(e)))
-	taken := attributeCrash(e, e.orderedRuns())
+	crashes := attributeCrash(e, e.orderedRuns())
 	c.unsavedAbandoned[e.id] = true
 	*e = endpoint{
 		id: e.id, addr: e.addr, zone: e.zone, kind: e.kind, rack: e.rack, startedMs: startedMs, term: e.term + 1,
 		capacity: e.capacity, used: e.used, tasks: e.tasks,
 		vacating: e.vacating, vacateUntil: e.vacateUntil, dueUntil: e.dueUntil,
-		nextPoll: now, heldUntil: now + maxElapsed(c.limits.LongestLease), trial: e.trial,
+		nextPoll: now, earlierRunsUntil: now + maxElapsed(c.limits.LongestLease), isolatedFor: e.isolatedFor,
 	}
-	for _, x := range taken {
-		x.task.doubted = &x
+	for _, x := range crashes {
+		x.task.possibleCrash = &x
 	}
 	for t := range e.tasks {
 		c.markUnconfirmed(now, e, t)
@@ -105,13 +106,13 @@
 		return
 	}
 	t.restored = true
-	t.confirmed, t.stopSent, t.listedAt, t.percent, t.movedAt = 0, 0, 0, 0, now
-	t.answered, t.resending, t.proven = false, false, false
+	t.confirmed, t.stopSent, t.listedAt, t.percent, t.progressAt = 0, 0, 0, 0, now
+	t.answered, t.resending, t.onCurrentIncarnation = false, false, false
 }
 
 // safeAcknowledgement is the number of the last end that a poll may acknowledge. The poll may reach a
 // new incarnation whose ends nobody has read. That one has ends only if a start reached it, and
-// such a start is not proven to have reached the present incarnation.
+// such a start is not certain to have reached the present incarnation.
 func (e *endpoint) safeAcknowledgement() int64 {
 	if e.startedMs == 0 {
 		return e.acknowledged // an endpoint that reports no start time has one incarnation per id
@@ -120,7 +121,7 @@
 		return 0
 	}
 	for t := range e.tasks {
-		if t.ordered > 0 && !t.proven {
+		if t.ordered > 0 && !t.onCurrentIncarnation {
 			return 0
 		}
 	}
@@ -160,5 +161,5 @@
 		return
 	}
 	e.nextPoll = now
-	e.heldUntil = now + maxElapsed(c.limits.LongestLease)
+	e.earlierRunsUntil = now + maxElapsed(c.limits.LongestLease)
 }
--- a/internal/executor/journal.go
+++ b/internal/executor/journal.go
@@ -137,8 +137,8 @@
 // it.
 func (p *progressRecord) recordEvidence(t *task) {
 	total := t.evidence
-	if t.doubted != nil {
-		total = total.add(t.doubted.evidence)
+	if t.possibleCrash != nil {
+		total = total.add(t.possibleCrash.evidence)
 	}
 	if total.Crashes == 0 {
 		return
@@ -282,7 +282,7 @@
 		c.restoreJob(j, progress[id], now)
 	}
 	for _, e := range c.endpoints {
-		c.doubtRestored(now, e)
+		c.markRestoredUnconfirmed(now, e)
 	}
 	c.sortOpen()
 	c.event(Event{Kind: EventRestored, Reason: "takeover", Run: len(c.jobs)})
@@ -318,7 +318,7 @@
 		c.restoreTask(j, r, p)
 	}
 	for id, startedMs := range p.Started {
-		c.restoreStart(c.endpoint(id), startedMs)
+		c.restoreIncarnationStart(c.endpoint(id), startedMs)
 	}
 	for _, o := range j.current {
 		for _, s := range o.steps {
@@ -353,7 +353,7 @@
 	}
 	j.started = true
 	t.run, t.failures, t.checkpoint = r.Run, r.Failures, r.Checkpoint
-	t.evidence, t.meantFor = p.Crashes[taskKey(r.Occurrence, r.Step, r.Index)], p.Started[r.Endpoint]
+	t.evidence, t.targetStartedMs = p.Crashes[taskKey(r.Occurrence, r.Step, r.Index)], p.Started[r.Endpoint]
 	c.markCautious(t)
 	switch r.Phase {
 	case taskDone:
--- a/internal/executor/late.go
+++ b/internal/executor/late.go
@@ -79,9 +79,9 @@
 // lastAcknowledgeable is the number of the last end that may be acknowledged.
 func (e *endpoint) lastAcknowledgeable() int64 {
 	if e.withheld > 0 {
-		return min(e.seen, e.withheld-1)
+		return min(e.appliedEnd, e.withheld-1)
 	}
-	return e.seen
+	return e.appliedEnd
 }
 
 func (e *endpoint) pollInterval() time.Duration {
--- a/internal/executor/leases.go
+++ b/internal/executor/leases.go
@@ -26,9 +26,9 @@
 // may have renewed leases until its proof of ownership expired.
 func (c *Core) expiryOf(e *endpoint) time.Duration {
 	if !e.hasReported && e.term == 0 {
-		return max(e.heldUntil, c.predecessorExpiry(e))
+		return max(e.earlierRunsUntil, c.predecessorExpiry(e))
 	}
-	return max(e.heldUntil, e.clockAt+maxElapsed(e.granted-e.clock))
+	return max(e.earlierRunsUntil, e.clockAt+maxElapsed(e.granted-e.clock))
 }
 
 // maxElapsed is the longest time that may pass here while d passes on an endpoint's clock.
@@ -48,9 +48,9 @@
 	}
 }
 
-// noteClock records an endpoint's clock reading. The answer was made at some moment before now, so
+// recordClock records an endpoint's clock reading. The answer was made at some moment before now, so
 // the estimate is never ahead of the endpoint.
-func (e *endpoint) noteClock(now, clock time.Duration) {
+func (e *endpoint) recordClock(now, clock time.Duration) {
 	if clock <= 0 {
 		return
 	}
--- a/internal/executor/looks.go
+++ b/internal/executor/looks.go
@@ -56,17 +56,17 @@
 	shown := make(map[string]bool, len(list))
 	for _, info := range list {
 		shown[info.ID] = true
-		if c.gone[Incarnation{info.ID, info.StartedMs}] {
+		if c.endedIncarnations[Incarnation{info.ID, info.StartedMs}] {
 			continue
 		}
 		e := c.endpoint(info.ID)
 		if info.StartedMs != 0 && info.StartedMs < e.startedMs {
 			continue // entry of an earlier incarnation
 		}
-		c.meet(now, e, info.StartedMs)
+		c.observeIncarnation(now, e, info.StartedMs)
 		e.listed, e.draining = true, info.Draining
 		e.addr, e.zone, e.kind, e.rack = info.Addr, info.Zone, info.Kind, info.Rack
-		e.capacity, e.toldAt = info.Capacity, info.Clock
+		e.capacity, e.capacityReportedAt = info.Capacity, info.Clock
 		if e.draining {
 			c.vacate(now, e)
 		}
@@ -81,7 +81,7 @@
 // Gone records that an operation has ended an incarnation with everything on it. If the endpoint's
 // present incarnation is unknown, its tasks may run on a later one: its first listing shows that.
 func (c *Core) Gone(in Incarnation) {
-	c.gone[in] = true
+	c.endedIncarnations[in] = true
 	e := c.endpoints[in.ID]
 	if e == nil || e.incarnation() != in {
 		return
@@ -92,17 +92,17 @@
 }
 
 func (c *Core) endIncarnation(e *endpoint) {
-	c.gone[e.incarnation()] = true
+	c.endedIncarnations[e.incarnation()] = true
 	c.event(Event{Kind: EventGone, Endpoint: e.id, StartedMs: e.startedMs, Run: len(e.tasks)})
 	c.loseAll(e, "incarnation ended")
 	c.forgetEndpoint(e)
 }
 
-// crashed records that an incarnation has ended for an unknown reason.
-func (c *Core) crashed(e *endpoint) {
-	taken := attributeCrash(e, append(e.orderedRuns(), c.unreportedRuns(e)...))
+// incarnationCrashed records that an incarnation has ended for an unknown reason.
+func (c *Core) incarnationCrashed(e *endpoint) {
+	crashes := attributeCrash(e, append(e.orderedRuns(), c.unreportedRuns(e)...))
 	c.endIncarnation(e)
-	c.recordCrashes(taken)
+	c.recordCrashes(crashes)
 }
 
 // Look is a poll to send: it renews the endpoint's leases, acknowledges ends and asks for a listing.
@@ -145,8 +145,8 @@
 		return 0
 	}
 	wait := maxPollWait
-	if e.tries() {
-		wait = trialPollWait
+	if e.isIsolating() {
+		wait = isolationPollWait
 	}
 	for t := range e.tasks {
 		wait = min(wait, t.pollWait(now))
@@ -230,7 +230,7 @@
 	e.pollInFlight = false
 	switch result {
 	case LookGone:
-		c.crashed(e)
+		c.incarnationCrashed(e)
 	case LookFenced:
 		c.fenced = true
 		c.event(Event{Kind: EventFenced, Endpoint: e.id})
@@ -249,14 +249,14 @@
 // pollAnswered applies a listing. If it is from a new incarnation, it only shows that this one is
 // running: orders for the previous incarnation may still reach it.
 func (c *Core) pollAnswered(now time.Duration, l Look, e *endpoint, in Listed) {
-	c.meet(now, e, in.StartedMs)
+	c.observeIncarnation(now, e, in.StartedMs)
 	if l.Fence == c.fence(e) {
 		c.applyListing(now, l.sent, e, in)
 	}
 }
 
 func (c *Core) applyListing(now, sent time.Duration, e *endpoint, in Listed) {
-	e.noteClock(now, in.Clock)
+	e.recordClock(now, in.Clock)
 	if !e.hasReported {
 		// Leases that a predecessor granted last for one more lease duration at most: it can't
 		// renew them now that the fence is raised. If they counted as expired, the tasks would
@@ -329,17 +329,17 @@
 
 func (c *Core) applyRunning(now, clock time.Duration, t *task, r ListedRun) {
 	c.confirm(now, t)
-	t.proven = true
-	t.doubted = nil
+	t.onCurrentIncarnation = true
+	t.possibleCrash = nil
 	if t.confirmedFor() >= newRunPeriod {
-		t.endTrial()
+		t.endIsolation()
 	}
 	if t.confirmedFor() >= stableRunAfter {
 		c.clearEvidence(t)
 	}
 	c.noteProgress(clock, t, r.Percent)
 	if r.Percent != t.percent {
-		t.percent, t.movedAt = r.Percent, now
+		t.percent, t.progressAt = r.Percent, now
 	}
 	if r.Checkpoint != "" {
 		t.checkpoint = r.Checkpoint
@@ -376,10 +376,10 @@
 // since the start, the run ended with it and counts as crash evidence.
 func (c *Core) requeueUnlisted(t *task, reason string) {
 	c.event(Event{Kind: EventLost, Job: t.step.job.rec.Job.ID, Task: t.name(), Run: t.run, Endpoint: t.host.id, Reason: reason})
-	doubted := t.doubted
+	possible := t.possibleCrash
 	c.requeue(t)
-	if doubted != nil {
-		c.recordCrash(*doubted)
+	if possible != nil {
+		c.recordCrash(*possible)
 	}
 }
 
--- a/internal/executor/orders.go
+++ b/internal/executor/orders.go
@@ -93,12 +93,12 @@
 	if e == nil || o.Fence != c.fence(e) {
 		return // sent to an earlier incarnation
 	}
-	if c.meet(now, e, a.StartedMs); o.Fence != c.fence(e) {
+	if c.observeIncarnation(now, e, a.StartedMs); o.Fence != c.fence(e) {
 		return // another incarnation has answered
 	}
 	fromCurrent := a.isFrom(now, o.sent, e)
 	if fromCurrent {
-		e.noteClock(now, a.Clock)
+		e.recordClock(now, a.Clock)
 	}
 	switch result {
 	case OrderFenced:
@@ -106,7 +106,7 @@
 		c.event(Event{Kind: EventFenced, Endpoint: o.Endpoint})
 		return
 	case OrderGone:
-		c.crashed(e)
+		c.incarnationCrashed(e)
 		return
 	}
 	t := o.task
@@ -115,7 +115,7 @@
 	}
 	switch o.Kind {
 	case OrderStart:
-		t.proven = t.proven || fromCurrent && result == OrderDone
+		t.onCurrentIncarnation = t.onCurrentIncarnation || fromCurrent && result == OrderDone
 		c.applyStartResult(now, t, e, result)
 		if !fromCurrent && a.Clock > 0 {
 			c.suspectRestart(now, e)
@@ -201,7 +201,7 @@
 		if e.draining {
 			c.stopLongRunningOnDrain(e)
 		}
-		c.presumeGone(now, e)
+		c.presumeCrashed(now, e)
 		for t := range e.tasks {
 			c.tickTask(now, e, t)
 		}
@@ -254,5 +254,5 @@
 	expected := time.Duration(c.taskMs(t.step)) * time.Millisecond
 	limit := max(minStallTimeout, stallFactor*expected/10)
 	// Progress is unknown while the endpoint does not answer.
-	return t.host.failedPolls == 0 && t.host.lastPollAnswer-max(t.movedAt, t.confirmed) > limit
+	return t.host.failedPolls == 0 && t.host.lastPollAnswer-max(t.progressAt, t.confirmed) > limit
 }
--- a/internal/executor/place.go
+++ b/internal/executor/place.go
@@ -35,14 +35,14 @@
 	t.step.perHost[e]++
 	t.step.job.placed++
 	c.allowance.Take(t.step.job.rec.Account, declared(t.step.spec))
-	t.beginTrial()
+	t.beginIsolation()
 }
 
 // release takes a task off its endpoint and frees its resources. The caller sets the task's next
 // phase.
 func (c *Core) release(t *task) {
 	e := t.host
-	t.endTrial()
+	t.endIsolation()
 	delete(e.tasks, t)
 	e.used = e.used.Minus(needs(t.step.spec))
 	t.step.perHost[e]--
@@ -53,9 +53,9 @@
 	c.allowance.Give(t.step.job.rec.Account, declared(t.step.spec))
 	t.host = nil
 	t.ordered, t.confirmed, t.stopSent = 0, 0, 0
-	t.answered, t.resending, t.stopping, t.proven, t.restored, t.resumed = false, false, false, false, false, false
+	t.answered, t.resending, t.stopping, t.onCurrentIncarnation, t.restored, t.resumed = false, false, false, false, false, false
 	t.percent, t.listedAt, t.ticket = 0, 0, ""
-	t.doubted = nil
+	t.possibleCrash = nil
 }
 
 // Decide places the tasks that can be placed. Jobs are taken in the order of sortOpen, but those
@@ -257,8 +257,8 @@
 	t.step.waiting--
 	t.step.placedAt = now
 	t.step.job.started = true
-	t.movedAt = now
-	t.waitsSince = 0
+	t.progressAt = now
+	t.isolationWaitSince = 0
 	delete(c.blocked, t.step.job.rec.Account)
 	c.touch(t.step.job)
 	c.starts = append(c.starts, c.startOrder(t))
@@ -345,7 +345,7 @@
 	score := -free
 	switch {
 	case t.evidence.Suspect:
-		score = t.trialScore(e, free)
+		score = t.isolationScore(e, free)
 	case s.LongRunning && e.hasLasting():
 		score += besideLasting
 	}
--- a/internal/executor/reserve.go
+++ b/internal/executor/reserve.go
@@ -74,7 +74,7 @@
 				continue
 			}
 			for _, t := range s.tasks {
-				if c.mayStart(now, t) && !t.alone(now) {
+				if c.mayStart(now, t) && !t.needsIsolatedRun(now) {
 					out = append(out, t)
 				}
 			}
--- a/internal/executor/room.go
+++ b/internal/executor/room.go
@@ -12,21 +12,22 @@
 
 // entryAge is how old an endpoint's newest service discovery entry is, by its own clock; 0 if unknown.
 func (e *endpoint) entryAge(now time.Duration) time.Duration {
-	if e.toldAt == 0 || e.clockAt == 0 {
+	if e.capacityReportedAt == 0 || e.clockAt == 0 {
 		return 0
 	}
-	return e.clock + now - e.clockAt - e.toldAt
+	return e.clock + now - e.clockAt - e.capacityReportedAt
 }
 
-// roomKnown reports whether an endpoint's last reported capacity is recent enough to place starts by.
-func (c *Core) roomKnown(now time.Duration, e *endpoint) bool {
+// hasCurrentCapacity reports whether an endpoint's last reported capacity is recent enough to place
+// tasks by it.
+func (c *Core) hasCurrentCapacity(now time.Duration, e *endpoint) bool {
 	return c.limits.RoomHolds == 0 || e.entryAge(now) <= c.limits.RoomHolds-maxStartDelay
 }
 
 // mayLeave reports whether a durable start may still be sent: its endpoint's capacity may have shrunk
 // since it was decided.
 func (c *Core) mayLeave(now time.Duration, e *endpoint) bool {
-	return c.roomKnown(now, e) && e.capacity.Holds(e.used)
+	return c.hasCurrentCapacity(now, e) && e.capacity.Holds(e.used)
 }
 
 // takeBack cancels a start that may not be sent. If it was sent before, it may have been carried out,
--- a/internal/executor/trial.go
+++ b/internal/executor/trial.go
@@ -11,53 +11,53 @@
 // crash, and no healthy task becomes a suspect.
 
 const (
-	// heardOfLate is the longest time since the last report of an endpoint on which a cautious task
+	// maxReportAge is the longest time since the last report of an endpoint on which a cautious task
 	// (see task.needsRecentReport) may be placed.
-	heardOfLate = 1500 * time.Millisecond
+	maxReportAge = 1500 * time.Millisecond
 	// idlePollInterval is how often idle endpoints are polled while a cautious task waits.
-	idlePollInterval = heardOfLate / 2
-	// trialPollWait is how long a poll waits during an isolated run, or while an endpoint is reserved
+	idlePollInterval = maxReportAge / 2
+	// isolationPollWait is how long a poll waits during an isolated run, or while an endpoint is reserved
 	// for a suspect.
-	trialPollWait = 200 * time.Millisecond
-	// trialTimeout is how long a suspect waits for such an endpoint: a gang or a long-running task
+	isolationPollWait = 200 * time.Millisecond
+	// isolationTimeout is how long a suspect waits for such an endpoint: a gang or a long-running task
 	// in a small pool may never find one.
-	trialTimeout = 3 * time.Second
+	isolationTimeout = 3 * time.Second
 )
 
-// beginTrial reserves the endpoint of a suspect for that suspect's job.
-func (t *task) beginTrial() {
+// beginIsolation reserves the endpoint of a suspect for that suspect's job.
+func (t *task) beginIsolation() {
 	if t.evidence.Suspect {
-		t.onTrial, t.host.trial = true, t.step.job
+		t.isIsolated, t.host.isolatedFor = true, t.step.job
 	}
 }
 
-// endTrial ends the reservation, unless another suspect still runs isolated there.
-func (t *task) endTrial() {
-	if !t.onTrial {
+// endIsolation ends the reservation, unless another suspect still runs isolated there.
+func (t *task) endIsolation() {
+	if !t.isIsolated {
 		return
 	}
-	t.onTrial = false
+	t.isIsolated = false
 	for other := range t.host.tasks {
-		if other.onTrial {
+		if other.isIsolated {
 			return
 		}
 	}
-	t.host.trial = nil
+	t.host.isolatedFor = nil
 }
 
-// tries reports whether an endpoint has an isolated run of a suspect or is reserved for one.
-func (e *endpoint) tries() bool {
-	return e.trial != nil || e.keptFor != nil && e.keptFor.evidence.Suspect
+// isIsolating reports whether an endpoint has an isolated run of a suspect or is reserved for one.
+func (e *endpoint) isIsolating() bool {
+	return e.isolatedFor != nil || e.keptFor != nil && e.keptFor.evidence.Suspect
 }
 
-// alone reports whether a task may only be placed where no run of another job is new.
-func (t *task) alone(now time.Duration) bool {
-	return t.evidence.Suspect && (t.waitsSince == 0 || now-t.waitsSince < trialTimeout)
+// needsIsolatedRun reports whether a task may only be placed where no run of another job is new.
+func (t *task) needsIsolatedRun(now time.Duration) bool {
+	return t.evidence.Suspect && (t.isolationWaitSince == 0 || now-t.isolationWaitSince < isolationTimeout)
 }
 
-// trialScore ranks endpoints for a suspect: it prefers those with few runs to lose, and another one
+// isolationScore ranks endpoints for a suspect: it prefers those with few runs to lose, and another one
 // than that of its last crash.
-func (t *task) trialScore(e *endpoint, free float64) float64 {
+func (t *task) isolationScore(e *endpoint, free float64) float64 {
 	score := free
 	if e.hasLasting() {
 		score -= besideLasting
@@ -68,19 +68,19 @@
 	return score
 }
 
-// hasJustBegun reports whether an endpoint has new or unconfirmed runs of other jobs.
-func (e *endpoint) hasJustBegun(besides *job) bool {
+// hasNewRuns reports whether an endpoint has new or unconfirmed runs of other jobs.
+func (e *endpoint) hasNewRuns(except *job) bool {
 	for t := range e.tasks {
-		if t.step.job != besides && t.confirmedFor() < newRunPeriod {
+		if t.step.job != except && t.confirmedFor() < newRunPeriod {
 			return true
 		}
 	}
 	return false
 }
 
-// needsRecentReport reports whether the task is placed only on endpoints that reported recently. Load: a zone
-// goes dark. Its idle endpoints are not yet known to be down, and a task whose lease has expired on
-// one of them would be placed on the next.
+// needsRecentReport reports whether the task is placed only on endpoints that reported recently.
+// Load: a zone loses power. Its idle endpoints are not yet known to be down, and a task whose lease
+// has expired on one of them would be placed on the next.
 func (t *task) needsRecentReport() bool { return t.leaseExpired || t.evidence.Crashes > 0 }
 
 // markCautious adds a task to Core.cautiousTasks if it needs a recent report.
@@ -91,9 +91,9 @@
 	}
 }
 
-// updateCautious drops finished and cleared tasks from the cautious ones and decides whether idle endpoints
-// are polled: because cautious tasks are due, or because runs on an unresponsive endpoint may have
-// to be restarted.
+// updateCautious drops finished and cleared tasks from cautiousTasks and sets pollIdle: idle
+// endpoints are polled if cautious tasks are due, or if runs on an unresponsive endpoint may have to
+// be restarted.
 func (c *Core) updateCautious(now time.Duration) {
 	c.cautiousTasks = slices.DeleteFunc(c.cautiousTasks, func(t *task) bool {
 		over := t.phase == taskDone || t.step.job.rec.State.Ended() || !t.needsRecentReport()
@@ -107,8 +107,8 @@
 			continue
 		}
 		c.pollIdle = true
-		if t.waitsSince == 0 {
-			t.waitsSince = now
+		if t.isolationWaitSince == 0 {
+			t.isolationWaitSince = now
 		}
 	}
 	for _, e := range c.endpoints {
@@ -120,7 +120,7 @@
 func (c *Core) suspectsWaiting(now time.Duration) []*task {
 	var out []*task
 	for _, t := range c.cautiousTasks {
-		if t.alone(now) && t.step.waitsFor == 0 && c.mayStart(now, t) {
+		if t.needsIsolatedRun(now) && t.step.waitsFor == 0 && c.mayStart(now, t) {
 			out = append(out, t)
 		}
 	}
