--- a/internal/executor/core.go
+++ b/internal/executor/core.go
@@ -126,25 +126,26 @@
 	// savedAbandoned are those that have a record of them.
 	unsavedAbandoned, savedAbandoned map[string]bool
 
-	dirty   map[*job]bool
-	order   []*job
-	removed []string
-	// starts are decided and not yet part of a Ready. leaving are durable and wait to be sent.
-	// undurable counts those that are part of a Ready which has not been appended yet.
-	starts    []Order
-	leaving   []Order
-	undurable int
-	pace      pace
+	dirty      map[*job]bool
+	dirtyOrder []*job
+	removed    []string
+	// A start passes three stages. decidedStarts are decided and not yet part of a Ready.
+	// startsNotDurable counts those in a Ready that Advance has not been called for. startQueue has
+	// the durable ones, and those to be sent again, which NextStart returns when they may be sent.
+	decidedStarts    []Order
+	startQueue       []Order
+	startsNotDurable int
+	pace             pace
 	// pacedAt is when the reduced limit on starts in flight was last logged.
 	pacedAt time.Duration
 	// placementsLeft is how many more starts may be decided in this round.
 	placementsLeft int
-	// storeTook is a moving average of the time that an append to the journal takes.
-	storeTook time.Duration
-	replies   []Reply
-	acks      map[Incarnation]int64
-	stops     []Order
-	events    []Event
+	// storeDelay is a moving average of the time that an append to the journal takes.
+	storeDelay time.Duration
+	replies    []Reply
+	acks       map[Incarnation]int64
+	stops      []Order
+	events     []Event
 
 	claimedAt time.Duration
 	// handedOver is, by endpoint, the longest remaining time in ms of the predecessor's leases
@@ -186,11 +187,12 @@
 	// durable is the state whose record has been appended; callers are shown no other.
 	durable  JobState
 	accepted bool
-	// started is set once a start has been decided, begun once an endpoint has confirmed a run.
-	started bool
-	begun   bool
-	// since is when this owner first saw the job.
-	since time.Duration
+	// startDecided is set once a start of one of its tasks has been decided, runConfirmed once an
+	// endpoint has confirmed a run.
+	startDecided bool
+	runConfirmed bool
+	// firstSeen is when this owner first saw the job.
+	firstSeen time.Duration
 	// offered is when the job was first submitted, and objective the time by which it should
 	// end; both are on the same clock as since.
 	offered, objective time.Duration
@@ -199,9 +201,9 @@
 	// next is the lowest occurrence that has not been expanded into tasks.
 	next    int
 	current []*occurrence
-	// placed counts tasks that may be running on some endpoint.
-	placed int
-	queued bool
+	// placedTasks counts tasks that may be running on some endpoint.
+	placedTasks int
+	queued      bool
 }
 
 // occurrence is one execution of all steps of a job; recurring jobs have several.
@@ -257,12 +259,16 @@
 	checkpoint string
 	ticket     string
 
-	// ordered is when the newest start order was sent, 0 if none was.
-	ordered time.Duration
-	// confirmed is when the endpoint first confirmed the run.
-	confirmed time.Duration
-	// answered is set once the newest start order has been answered.
-	answered bool
+	// orderedAt is when this owner last sent the run's start order, 0 if it has not.
+	orderedAt time.Duration
+	// confirmedAt is when the endpoint first showed that the run had reached it, 0 if it has not: by
+	// accepting the start or rejecting it as old, by listing the run as running, or by answering a
+	// stop. A run that is missing from a listing sent later is over.
+	confirmedAt time.Duration
+	// orderAnswered is set once the start order that was last sent has been answered, other than by
+	// a refusal, after which the run is stopped. An unconfirmed run whose order was answered was
+	// rejected because its lease had expired.
+	orderAnswered bool
 	// resending is set while the start order is queued to be sent again.
 	resending bool
 	// onCurrentIncarnation is set once it is certain that the confirmation came from the endpoint's
@@ -296,9 +302,9 @@
 	// leaseExpired is set if one of the task's leases has expired; inCautiousTasks, if the task is
 	// in Core.cautiousTasks.
 	leaseExpired, inCautiousTasks bool
-	// stopping is set once the run is to be stopped; stopSent is when the stop was last sent.
-	stopping bool
-	stopSent time.Duration
+	// stopping is set once the run is to be stopped; stopSentAt is when the stop was last sent.
+	stopping   bool
+	stopSentAt time.Duration
 	// avoid is the incarnation on which the last run failed.
 	avoid     Incarnation
 	notBefore time.Duration
@@ -328,8 +334,8 @@
 	// dueUntil is the time until which the endpoint is expected to be vacated soon.
 	dueUntil time.Duration
 	tasks    map[*task]bool
-	// strangers counts the listed runs that this owner has no record of.
-	strangers int
+	// unknownRuns counts the listed runs that this owner has no record of.
+	unknownRuns int
 
 	// lastPollAnswer is when a poll under this epoch was last answered; hasReported is set once one
 	// has been.
@@ -498,7 +504,9 @@
 }
 
 // Dirty reports whether there are records, starts or replies for the next Ready.
-func (c *Core) Dirty() bool { return len(c.dirty) > 0 || len(c.starts) > 0 || len(c.replies) > 0 }
+func (c *Core) Dirty() bool {
+	return len(c.dirty) > 0 || len(c.decidedStarts) > 0 || len(c.replies) > 0
+}
 
 // Busy reports whether there are open jobs, unsent stops or records to be written.
 func (c *Core) Busy() bool { return len(c.open) > 0 || len(c.dirty) > 0 || len(c.stops) > 0 }
--- a/internal/executor/crashes.go
+++ b/internal/executor/crashes.go
@@ -93,10 +93,10 @@
 // confirmedFor is how long the task's endpoint has reported since it first confirmed the run; 0 if
 // it has not confirmed it.
 func (t *task) confirmedFor() time.Duration {
-	if t.confirmed == 0 {
+	if t.confirmedAt == 0 {
 		return 0
 	}
-	return max(0, t.host.clockAt-t.confirmed)
+	return max(0, t.host.clockAt-t.confirmedAt)
 }
 
 // attributeCrash returns the evidence that the end of an incarnation gives on its runs. An endpoint
@@ -131,8 +131,8 @@
 func (e *endpoint) orderedRuns() []endedRun {
 	var out []endedRun
 	for t := range e.tasks {
-		if t.ordered > 0 || t.restored {
-			out = append(out, endedRun{t, t.run, t.confirmed > 0, t.confirmedFor()})
+		if t.orderedAt > 0 || t.restored {
+			out = append(out, endedRun{t, t.run, t.confirmedAt > 0, t.confirmedFor()})
 		}
 	}
 	return out
@@ -180,13 +180,13 @@
 	}
 	t.evidence = t.evidence.add(x.evidence)
 	c.markCautious(t)
-	c.touch(j)
+	c.markDirty(j)
 	c.event(Event{Kind: EventCrashed, Job: j.rec.Job.ID, Task: t.name(), Run: x.number, Endpoint: x.incarnation.ID, StartedMs: x.incarnation.StartedMs,
 		AgeMs:  x.confirmedFor.Milliseconds(),
 		Reason: fmt.Sprintf("%s; the last one had %d new runs of other jobs", t.evidence, x.otherNewRuns)})
 	if t.evidence.isPoison() {
 		c.event(Event{Kind: EventGivenUp, Job: j.rec.Job.ID, Task: t.name(), Run: x.number, Reason: t.evidence.String()})
-		c.end(j, JobFailed, "task "+t.name()+" is given up: "+t.evidence.String())
+		c.endJob(j, JobFailed, "task "+t.name()+" is given up: "+t.evidence.String())
 	}
 }
 
@@ -196,7 +196,7 @@
 		return
 	}
 	t.evidence, t.leaseExpired = evidence{}, false
-	c.touch(t.step.job)
+	c.markDirty(t.step.job)
 }
 
 // recordCrashes adds the evidence of an ended incarnation to its tasks.
@@ -235,7 +235,8 @@
 	return lost.endpoints > 0 && now-lost.last < crashReportTimeout && t.evidence.Crashes+lost.endpoints >= poisonCrashes
 }
 
-// isDue reports whether a task is waiting and neither its backoff nor pending crash reports keep it from being placed now.
+// isDue reports whether a task is waiting and neither its backoff nor pending crash reports keep it
+// from being placed now.
 func (c *Core) isDue(now time.Duration, t *task) bool {
 	return t.phase == taskWaiting && now >= t.notBefore && !c.awaitsCrashReports(now, t)
 }
--- a/internal/executor/dump.go
+++ b/internal/executor/dump.go
@@ -76,12 +76,12 @@
 // Dump returns the pool's state.
 func (c *Core) Dump(now time.Duration) PoolDump {
 	d := PoolDump{Summary: c.Summary(now), Epoch: c.epoch, Starts: StartsDump{UnderWay: c.pace.inFlight,
-		Limit: int(c.pace.limit), Waiting: len(c.leaving), MedianMs: c.pace.median.Milliseconds()}}
+		Limit: int(c.pace.limit), Waiting: len(c.startQueue), MedianMs: c.pace.median.Milliseconds()}}
 	for _, e := range c.endpoints {
 		d.Endpoints = append(d.Endpoints, EndpointDump{ID: e.id, Addr: e.addr, StartedMs: e.startedMs, Free: e.free(), Tasks: len(e.tasks),
 			Draining: e.draining, Vacating: e.vacating, Silent: e.failedPolls,
 			QuarantineMs: max(0, e.quarantine-now).Milliseconds(), LookedAgoMs: (now - e.lastPollAnswer).Milliseconds(),
-			LeaseEndsMs: (c.expiryOf(e) - now).Milliseconds()})
+			LeaseEndsMs: (c.leaseExpiry(e) - now).Milliseconds()})
 	}
 	slices.SortFunc(d.Endpoints, func(a, b EndpointDump) int { return cmp.Compare(a.ID, b.ID) })
 	for _, j := range c.open[:min(maxDumpEntries, len(c.open))] {
@@ -106,7 +106,7 @@
 func (c *Core) dumpAccounts(now time.Duration) []AccountDump {
 	waiting := map[string]int{}
 	for _, j := range c.open {
-		if !j.begun && !j.rec.State.Ended() {
+		if !j.runConfirmed && !j.rec.State.Ended() {
 			waiting[j.rec.Account]++
 		}
 	}
@@ -151,7 +151,7 @@
 
 func (c *Core) dumpJob(now time.Duration, j *job) JobDump {
 	state, _ := c.State(j.rec.Job.ID) // a job without a visible state is still being accepted
-	d := JobDump{ID: j.rec.Job.ID, Queue: j.rec.Queue, Account: j.rec.Account, State: state.String(), Running: j.placed,
+	d := JobDump{ID: j.rec.Job.ID, Queue: j.rec.Queue, Account: j.rec.Account, State: state.String(), Running: j.placedTasks,
 		ObjectiveMs: (j.objective - now).Milliseconds()}
 	d.Crashes = j.dumpCrashes()
 	met := map[string]bool{}
--- a/internal/executor/ends.go
+++ b/internal/executor/ends.go
@@ -5,13 +5,13 @@
 	"time"
 )
 
-// loseAll requeues all tasks of an endpoint, whose runs have ended with it.
-func (c *Core) loseAll(e *endpoint, reason string) {
-	hosted := make([]*task, 0, len(e.tasks))
+// requeueAll requeues all tasks of an endpoint, whose runs have ended with it.
+func (c *Core) requeueAll(e *endpoint, reason string) {
+	tasks := make([]*task, 0, len(e.tasks))
 	for t := range e.tasks {
-		hosted = append(hosted, t)
+		tasks = append(tasks, t)
 	}
-	for _, t := range hosted {
+	for _, t := range tasks {
 		c.event(Event{Kind: EventLost, Job: t.step.job.rec.Job.ID, Task: t.name(), Run: t.run, Endpoint: e.id, Reason: reason})
 		c.requeue(t)
 	}
@@ -21,7 +21,7 @@
 func (c *Core) requeue(t *task) {
 	s := t.step
 	c.release(t)
-	c.touch(s.job)
+	c.markDirty(s.job)
 	if s.gangDone {
 		t.phase = taskDone
 		s.left--
@@ -31,37 +31,37 @@
 	} else {
 		t.phase = taskWaiting
 		s.waiting++
-		c.breakGang(s)
+		c.stopGangMembers(s)
 	}
 	c.retireIfStopped(s.job)
 }
 
-// breakGang stops the remaining members of a gang that lacks one. They would otherwise wait for
+// stopGangMembers stops the remaining members of a gang that lacks one. They would otherwise wait for
 // it until their endpoints end them.
-func (c *Core) breakGang(s *stepRun) {
+func (c *Core) stopGangMembers(s *stepRun) {
 	if !s.spec.Gang {
 		return
 	}
 	for _, t := range s.tasks {
 		if t.phase == taskPlaced {
-			c.stopFor(t, "gang incomplete")
+			c.requestStop(t, "gang incomplete")
 		}
 	}
 }
 
-// takeEnd applies an end that an endpoint lists.
-func (c *Core) takeEnd(now time.Duration, e *endpoint, end ListedEnd) {
+// applyEnd applies an end that an endpoint lists.
+func (c *Core) applyEnd(now time.Duration, e *endpoint, end ListedEnd) {
 	if end.Number <= e.appliedEnd {
 		return
 	}
 	e.appliedEnd = end.Number
 	t := c.find(e, end.Task, end.Run)
 	if t == nil {
-		c.takeLateEnd(now, e, end)
+		c.applyLateEnd(now, e, end)
 		return
 	}
 	j := t.step.job
-	j.begun = true
+	j.runConfirmed = true
 	c.event(Event{Kind: EventTaskEnd, Job: j.rec.Job.ID, Task: end.Task, Run: end.Run, Endpoint: e.id, Reason: end.How.String()})
 	if end.Checkpoint != "" {
 		t.checkpoint = end.Checkpoint
@@ -90,7 +90,7 @@
 	s, j := t.step, t.step.job
 	t.phase = taskDone
 	s.left--
-	c.touch(j)
+	c.markDirty(j)
 	if s.spec.Gang {
 		c.completeGang(s)
 	}
@@ -132,7 +132,7 @@
 	}
 	c.closeOccurrence(j, o.number)
 	if j.firstOpen >= j.occurrenceCount() && !j.rec.State.Ended() {
-		c.end(j, JobCompleted, "all tasks done")
+		c.endJob(j, JobCompleted, "all tasks done")
 	}
 }
 
@@ -165,13 +165,13 @@
 	*count++
 	t.avoid = e.incarnation()
 	t.notBefore = now + min(failureBackoff<<min(*count-1, 8), maxFailureBackoff)
-	c.touch(t.step.job)
+	c.markDirty(t.step.job)
 }
 
 // endIfFailed fails the job if the task has failed as often as its queue allows.
 func (c *Core) endIfFailed(t *task) {
 	j := t.step.job
 	if !t.step.spec.LongRunning && *t.failureCount() >= j.rec.Terms.Attempts && !j.rec.State.Ended() {
-		c.end(j, JobFailed, "a task has failed as often as allowed")
+		c.endJob(j, JobFailed, "a task has failed as often as allowed")
 	}
 }
--- a/internal/executor/explain.go
+++ b/internal/executor/explain.go
@@ -25,7 +25,7 @@
 	c.explained = now
 	shown := 0
 	for _, j := range c.open {
-		if j.rec.State.Ended() || now-j.since < longWaitThreshold {
+		if j.rec.State.Ended() || now-j.firstSeen < longWaitThreshold {
 			continue
 		}
 		for _, t := range j.firstWaitingTasks() {
@@ -34,7 +34,7 @@
 			}
 			shown++
 			c.event(Event{Kind: EventWaits, Job: j.rec.Job.ID, Task: t.name(), Run: t.run,
-				Reason: c.describeObstacles(now, t, c.countObstacles(now, t)), AgeMs: (now - j.since).Milliseconds()})
+				Reason: c.describeObstacles(now, t, c.countObstacles(now, t)), AgeMs: (now - j.firstSeen).Milliseconds()})
 		}
 	}
 }
@@ -171,7 +171,7 @@
 		return obstacleNotReported
 	case e.failedPolls > 0:
 		return obstacleUnresponsive
-	case e.strangers > 0:
+	case e.unknownRuns > 0:
 		return obstacleUnknownRuns
 	case now < e.quarantine:
 		return obstacleQuarantined
--- a/internal/executor/givenup.go
+++ b/internal/executor/givenup.go
@@ -31,7 +31,7 @@
 
 // abandon records that a run is abandoned while its endpoint may still report.
 func (c *Core) abandon(now time.Duration, e *endpoint, t *task) {
-	if t.ordered == 0 && !t.restored {
+	if t.orderedAt == 0 && !t.restored {
 		return // its order was never sent
 	}
 	if e.abandonedRuns == nil {
@@ -41,7 +41,7 @@
 	if e.unreportedRuns == nil {
 		e.unreportedRuns = map[string]unreportedRun{}
 	}
-	e.unreportedRuns[t.name()] = unreportedRun{t.confirmed > 0, t.confirmedFor()}
+	e.unreportedRuns[t.name()] = unreportedRun{t.confirmedAt > 0, t.confirmedFor()}
 	t.leaseExpired = true
 	c.markCautious(t)
 	e.abandonedAt = now
--- a/internal/executor/handover.go
+++ b/internal/executor/handover.go
@@ -29,7 +29,7 @@
 	r := handoverRecord{Epoch: c.epoch, LeftMs: map[string]int64{}}
 	for id, e := range c.endpoints {
 		if len(e.tasks) > 0 {
-			r.LeftMs[id] = max(0, c.expiryOf(e)-now).Milliseconds()
+			r.LeftMs[id] = max(0, c.leaseExpiry(e)-now).Milliseconds()
 		}
 	}
 	return Record{Key: keyHandover, Value: Encode(r)}
--- a/internal/executor/incarnation.go
+++ b/internal/executor/incarnation.go
@@ -100,14 +100,14 @@
 // markUnconfirmed resets a task of an endpoint that has restarted. If its order has been sent, the run
 // either is over or starts on the new incarnation: that one's first listing shows which.
 func (c *Core) markUnconfirmed(now time.Duration, e *endpoint, t *task) {
-	if t.ordered == 0 && !t.restored {
+	if t.orderedAt == 0 && !t.restored {
 		c.event(Event{Kind: EventLost, Job: t.step.job.rec.Job.ID, Task: t.name(), Run: t.run, Endpoint: e.id, Reason: "incarnation ended"})
 		c.requeue(t)
 		return
 	}
 	t.restored = true
-	t.confirmed, t.stopSent, t.listedAt, t.percent, t.progressAt = 0, 0, 0, 0, now
-	t.answered, t.resending, t.onCurrentIncarnation = false, false, false
+	t.confirmedAt, t.stopSentAt, t.listedAt, t.percent, t.progressAt = 0, 0, 0, 0, now
+	t.orderAnswered, t.resending, t.onCurrentIncarnation = false, false, false
 }
 
 // safeAcknowledgement is the number of the last end that a poll may acknowledge. The poll may reach a
@@ -121,7 +121,7 @@
 		return 0
 	}
 	for t := range e.tasks {
-		if t.ordered > 0 && !t.onCurrentIncarnation {
+		if t.orderedAt > 0 && !t.onCurrentIncarnation {
 			return 0
 		}
 	}
@@ -154,8 +154,8 @@
 	return a.Clock >= earliest && a.Clock <= latest
 }
 
-// suspectRestart handles an answer that may be from another incarnation than the known one. The endpoint is
-// polled at once, and its leases count as if it had restarted.
+// suspectRestart handles an answer that may be from another incarnation than the known one. The
+// endpoint is polled at once, and its leases count as if it had restarted.
 func (c *Core) suspectRestart(now time.Duration, e *endpoint) {
 	if e.startedMs == 0 {
 		return
--- a/internal/executor/journal.go
+++ b/internal/executor/journal.go
@@ -45,8 +45,8 @@
 	FirstOpen int            `cbor:"1,keyasint,omitempty"`
 	Tasks     []taskRecord   `cbor:"2,keyasint,omitempty"`
 	Gangs     map[string]int `cbor:"3,keyasint,omitempty"`
-	// Begun reports that an endpoint has confirmed a run of some task.
-	Begun bool `cbor:"5,keyasint,omitempty"`
+	// RunConfirmed reports that an endpoint has confirmed a run of some task.
+	RunConfirmed bool `cbor:"5,keyasint,omitempty"`
 	// Ended lists the occurrences above FirstOpen that have ended.
 	Ended []int `cbor:"4,keyasint,omitempty"`
 	// Started is when the incarnations that Tasks are placed on were started, by endpoint, in
@@ -92,7 +92,7 @@
 }
 
 func (j *job) progress() progressRecord {
-	p := progressRecord{FirstOpen: j.firstOpen, Begun: j.begun}
+	p := progressRecord{FirstOpen: j.firstOpen, RunConfirmed: j.runConfirmed}
 	for _, o := range j.current {
 		if o.left == 0 {
 			p.Ended = append(p.Ended, o.number)
@@ -156,10 +156,10 @@
 
 func gangKey(occurrence, step int) string { return taskKey(occurrence, step, 0) }
 
-func (c *Core) touch(j *job) {
+func (c *Core) markDirty(j *job) {
 	if !c.dirty[j] {
 		c.dirty[j] = true
-		c.order = append(c.order, j)
+		c.dirtyOrder = append(c.dirtyOrder, j)
 	}
 }
 
@@ -186,15 +186,15 @@
 
 // Ready returns the changes since the last call.
 func (c *Core) Ready(now time.Duration) Ready {
-	r := Ready{starts: c.starts, Replies: c.replies, acks: c.acks, createdAt: now}
-	c.undurable += len(c.starts)
-	c.starts, c.replies, c.acks = nil, nil, map[Incarnation]int64{}
-	for _, j := range c.order {
+	r := Ready{starts: c.decidedStarts, Replies: c.replies, acks: c.acks, createdAt: now}
+	c.startsNotDurable += len(c.decidedStarts)
+	c.decidedStarts, c.replies, c.acks = nil, nil, map[Incarnation]int64{}
+	for _, j := range c.dirtyOrder {
 		r.Records = append(r.Records, j.records()...)
 		r.stateChanges = append(r.stateChanges, jobStateChange{j, j.rec.State})
 		delete(c.dirty, j)
 	}
-	c.order = c.order[:0]
+	c.dirtyOrder = c.dirtyOrder[:0]
 	for _, key := range c.removed {
 		r.Records = append(r.Records, Record{Key: key})
 	}
@@ -213,15 +213,15 @@
 	id := j.rec.Job.ID
 	if !j.accepted || j.rec.State != j.durable && j.rec.State.Ended() {
 		rec := j.rec
-		if rec.State.Ended() && j.placed == 0 {
+		if rec.State.Ended() && j.placedTasks == 0 {
 			rec.Job = jobs.Job{ID: id}
 		}
 		out = append(out, Record{Key: keyJob + id, Value: Encode(rec)})
 	}
-	if j.rec.State.Ended() && j.placed == 0 {
+	if j.rec.State.Ended() && j.placedTasks == 0 {
 		return append(out, Record{Key: keyProgress + id})
 	}
-	if j.started || j.placed > 0 {
+	if j.startDecided || j.placedTasks > 0 {
 		out = append(out, Record{Key: keyProgress + id, Value: Encode(j.progress())})
 	}
 	return out
@@ -229,10 +229,10 @@
 
 // Advance marks the records of r as durable and lets the actions that waited for them proceed.
 func (c *Core) Advance(now time.Duration, r Ready) {
-	c.leaving = append(c.leaving, r.starts...)
-	c.undurable -= len(r.starts)
+	c.startQueue = append(c.startQueue, r.starts...)
+	c.startsNotDurable -= len(r.starts)
 	if len(r.Records) > 0 {
-		c.storeTook += (now - r.createdAt - c.storeTook) / storeDelaySmoothing
+		c.storeDelay += (now - r.createdAt - c.storeDelay) / storeDelaySmoothing
 	}
 	for _, s := range r.stateChanges {
 		s.job.accepted = true
@@ -254,7 +254,7 @@
 		}
 		switch r.Key[:1] {
 		case keyJob:
-			j := &job{since: now, accepted: true}
+			j := &job{firstSeen: now, accepted: true}
 			if err := cbor.Unmarshal(r.Value, &j.rec); err != nil {
 				return &MalformedRecordError{Key: r.Key, Cause: err}
 			}
@@ -294,8 +294,8 @@
 		c.ended = append(c.ended, j)
 		return
 	}
-	j.offered = now - c.waited(j)
-	j.firstOpen, j.next, j.begun = p.FirstOpen, p.FirstOpen, p.Begun
+	j.offered = now - c.timeSinceSubmission(j)
+	j.firstOpen, j.next, j.runConfirmed = p.FirstOpen, p.FirstOpen, p.RunConfirmed
 	highest := p.FirstOpen - 1
 	for _, n := range p.Ended {
 		highest = max(highest, n)
@@ -309,7 +309,7 @@
 		highest = max(highest, 0)
 	}
 	for j.next <= highest {
-		c.begin(j)
+		c.expandNextOccurrence(j)
 	}
 	for _, n := range p.Ended {
 		c.closeOccurrence(j, n)
@@ -331,19 +331,19 @@
 	j.queued = true
 }
 
-// longestWait bounds how long a restored job counts as having waited, as the wall clock may
+// maxRestoredWait bounds how long a restored job counts as having waited, as the wall clock may
 // have jumped in between.
-const longestWait = 30 * time.Second
+const maxRestoredWait = 30 * time.Second
 
-// waited returns how long ago a restored job was submitted. Counted from the takeover instead,
-// every job would seem on time again: jobs that are already late would precede jobs that can
-// still be on time, and after the loss of all processes every job would be late.
-func (c *Core) waited(j *job) time.Duration {
+// timeSinceSubmission returns how long ago a restored job was submitted. Counted from the takeover
+// instead, every job would seem on time again: jobs that are already late would precede jobs that
+// can still be on time, and after the loss of all processes every job would be late.
+func (c *Core) timeSinceSubmission(j *job) time.Duration {
 	ago := time.Duration(c.wallMs-j.rec.OfferedMs) * time.Millisecond
 	if j.rec.OfferedMs == 0 || j.rec.Job.Occurrences > 0 {
 		return 0
 	}
-	return min(max(0, ago), longestWait)
+	return min(max(0, ago), maxRestoredWait)
 }
 
 func (c *Core) restoreTask(j *job, r taskRecord, p progressRecord) {
@@ -351,7 +351,7 @@
 	if t == nil {
 		return
 	}
-	j.started = true
+	j.startDecided = true
 	t.run, t.failures, t.checkpoint = r.Run, r.Failures, r.Checkpoint
 	t.evidence, t.targetStartedMs = p.Crashes[taskKey(r.Occurrence, r.Step, r.Index)], p.Started[r.Endpoint]
 	c.markCautious(t)
--- a/internal/executor/late.go
+++ b/internal/executor/late.go
@@ -16,9 +16,9 @@
 // answers each of them at once.
 const withheldPollGap = 400 * time.Millisecond
 
-// takeLateEnd applies the end of a run that is not a current one. An end that arrives before its
+// applyLateEnd applies the end of a run that is not a current one. An end that arrives before its
 // task was placed again counts like one in time.
-func (c *Core) takeLateEnd(now time.Duration, e *endpoint, end ListedEnd) {
+func (c *Core) applyLateEnd(now time.Duration, e *endpoint, end ListedEnd) {
 	t := c.taskByName(end.Task)
 	abandoned := e.abandonedRuns[end.Task] == end.Run
 	if t != nil && t.step.spec.LongRunning {
--- a/internal/executor/learnt_test.go
+++ b/internal/executor/learnt_test.go
@@ -49,8 +49,8 @@
 		c.Submit(0, j, testAcceptance, 1)
 		records := c.Ready(0).Records
 		back, ahead := successor(c, records, -5*time.Second), successor(c, records, time.Hour)
-		Expect(back.waited(back.jobs[j.ID])).To(BeZero())
-		Expect(ahead.waited(ahead.jobs[j.ID])).To(Equal(longestWait))
+		Expect(back.timeSinceSubmission(back.jobs[j.ID])).To(BeZero())
+		Expect(ahead.timeSinceSubmission(ahead.jobs[j.ID])).To(Equal(maxRestoredWait))
 	})
 
 	// Callers' estimates are off by half. A new owner that has nothing else refuses jobs that
--- a/internal/executor/leases.go
+++ b/internal/executor/leases.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// grant returns the end of the lease to request now, on the endpoint's clock, or zero before its
-// clock is known.
-func (c *Core) grant(e *endpoint, now time.Duration) time.Duration {
+// grantLease returns the end of the lease to request now, on the endpoint's clock, and records it. It
+// is zero before that clock is known.
+func (c *Core) grantLease(e *endpoint, now time.Duration) time.Duration {
 	if e.clockAt == 0 {
 		return 0
 	}
@@ -21,10 +21,10 @@
 	return until
 }
 
-// expiryOf is when all leases on an endpoint have certainly expired. Its clock may be slow, so a
+// leaseExpiry is when all leases on an endpoint have certainly expired. Its clock may be slow, so a
 // second on it may last longer here. On an endpoint that has not answered this owner, a predecessor
 // may have renewed leases until its proof of ownership expired.
-func (c *Core) expiryOf(e *endpoint) time.Duration {
+func (c *Core) leaseExpiry(e *endpoint) time.Duration {
 	if !e.hasReported && e.term == 0 {
 		return max(e.earlierRunsUntil, c.predecessorExpiry(e))
 	}
@@ -36,14 +36,15 @@
 	return time.Duration(float64(max(0, d))/(1-clockDrift)) + expiryMargin
 }
 
-// expire abandons the runs of endpoints whose leases have all expired, and requeues their tasks.
-func (c *Core) expire(now time.Duration) {
+// abandonExpired abandons the runs of endpoints whose leases have all expired, and requeues their
+// tasks.
+func (c *Core) abandonExpired(now time.Duration) {
 	for _, e := range c.endpoints {
-		if len(e.tasks) > 0 && now >= c.expiryOf(e) {
+		if len(e.tasks) > 0 && now >= c.leaseExpiry(e) {
 			for t := range e.tasks {
 				c.abandon(now, e, t)
 			}
-			c.loseAll(e, "lease expired")
+			c.requeueAll(e, "lease expired")
 		}
 	}
 }
--- a/internal/executor/lengths.go
+++ b/internal/executor/lengths.go
@@ -130,12 +130,12 @@
 // before, and runs on slow endpoints, which are not typical of the queue. Included, they would
 // make jobs seem on time when they are not, and healthy endpoints slow.
 func (c *Core) noteLength(now time.Duration, t *task) {
-	if t.confirmed == 0 || t.restored || t.resumed || t.host.speed.slow {
+	if t.confirmedAt == 0 || t.restored || t.resumed || t.host.speed.slow {
 		return
 	}
 	s := t.step
 	s.ran++
-	s.ranMs += float64((now - t.confirmed).Milliseconds())
+	s.ranMs += float64((now - t.confirmedAt).Milliseconds())
 	if s.ran == 1 {
 		c.setObjective(s.job)
 	}
--- a/internal/executor/looks.go
+++ b/internal/executor/looks.go
@@ -94,7 +94,7 @@
 func (c *Core) endIncarnation(e *endpoint) {
 	c.endedIncarnations[e.incarnation()] = true
 	c.event(Event{Kind: EventGone, Endpoint: e.id, StartedMs: e.startedMs, Run: len(e.tasks)})
-	c.loseAll(e, "incarnation ended")
+	c.requeueAll(e, "incarnation ended")
 	c.forgetEndpoint(e)
 }
 
@@ -125,7 +125,7 @@
 		}
 		e.pollInFlight = true
 		due = append(due, Look{Endpoint: e.id, Addr: e.addr, Fence: c.fence(e), Acknowledged: e.safeAcknowledgement(),
-			LeaseUntil: c.grant(e, now), Wait: c.pollWait(now, e), sent: now})
+			LeaseUntil: c.grantLease(e, now), Wait: c.pollWait(now, e), sent: now})
 	}
 	return due
 }
@@ -137,7 +137,7 @@
 	if c.pollIdle && now-e.clockAt > idlePollInterval {
 		return true
 	}
-	return len(e.tasks) > 0 || e.strangers > 0 || e.lastAcknowledgeable() > e.acknowledged || e.failedPolls > 0
+	return len(e.tasks) > 0 || e.unknownRuns > 0 || e.lastAcknowledgeable() > e.acknowledged || e.failedPolls > 0
 }
 
 func (c *Core) pollWait(now time.Duration, e *endpoint) time.Duration {
@@ -157,11 +157,11 @@
 // pollWait is how long a poll of the task's endpoint may wait for an end.
 func (t *task) pollWait(now time.Duration) time.Duration {
 	switch {
-	case t.stopping, t.ordered > 0 && t.confirmed == 0 && now-t.ordered > startAnswerTimeout:
+	case t.stopping, t.orderedAt > 0 && t.confirmedAt == 0 && now-t.orderedAt > startAnswerTimeout:
 		return uncertainPollWait
 	case t.step.spec.LongRunning && t.percent < atWork:
 		return startingPollWait
-	case t.confirmed == 0:
+	case t.confirmedAt == 0:
 		return unconfirmedPollWait
 	}
 	return maxPollWait
@@ -281,9 +281,9 @@
 		running[t] = true
 		c.applyRunning(now, in.Clock, t, r)
 	}
-	e.strangers = unknownRuns
+	e.unknownRuns = unknownRuns
 	for _, end := range in.Ended {
-		c.takeEnd(now, e, end)
+		c.applyEnd(now, e, end)
 	}
 	if upTo := e.lastAcknowledgeable(); upTo > e.acknowledged {
 		c.acks[e.incarnation()] = upTo
@@ -348,10 +348,10 @@
 
 // confirm records that an endpoint has a task's run.
 func (c *Core) confirm(now time.Duration, t *task) {
-	if t.confirmed == 0 {
-		t.confirmed = now
+	if t.confirmedAt == 0 {
+		t.confirmedAt = now
 	}
-	t.step.job.begun = true
+	t.step.job.runConfirmed = true
 }
 
 // resolveUnlisted handles runs that the endpoint lists neither as running nor as ended. Only a poll
@@ -359,10 +359,10 @@
 // conclusive.
 func (c *Core) resolveUnlisted(now, sent time.Duration, e *endpoint, running map[*task]bool) {
 	for t := range e.tasks {
-		if running[t] || t.confirmed >= sent && t.confirmed > 0 {
+		if running[t] || t.confirmedAt >= sent && t.confirmedAt > 0 {
 			continue
 		}
-		if t.confirmed > 0 {
+		if t.confirmedAt > 0 {
 			// An end is listed until it is acknowledged, and acknowledged only once it is
 			// recorded: the endpoint has lost this run.
 			c.requeueUnlisted(t, "no longer listed")
@@ -393,12 +393,12 @@
 	}
 	// Before the first order has been sent there is nothing to repeat, and the intent may not
 	// be durable yet.
-	if t.stopping || t.resending || t.ordered == 0 || sent < t.ordered {
+	if t.stopping || t.resending || t.orderedAt == 0 || sent < t.orderedAt {
 		return
 	}
-	if !t.answered && now-t.ordered < resendAfter {
+	if !t.orderAnswered && now-t.orderedAt < resendAfter {
 		return
 	}
 	t.resending = true
-	c.leaving = append(c.leaving, c.startOrder(t))
+	c.startQueue = append(c.startQueue, c.startOrder(t))
 }
--- a/internal/executor/orders.go
+++ b/internal/executor/orders.go
@@ -58,18 +58,18 @@
 // reached.
 func (c *Core) NextStart(now time.Duration) (o Order, lease time.Duration, ok bool) {
 	c.pace.pass(now)
-	for len(c.leaving) > 0 && c.pace.free() > 0 {
-		o, c.leaving = c.leaving[0], c.leaving[1:]
+	for len(c.startQueue) > 0 && c.pace.free() > 0 {
+		o, c.startQueue = c.startQueue[0], c.startQueue[1:]
 		if !o.isCurrent() || o.Fence != c.fence(o.task.host) || o.task.stopping {
 			continue
 		}
-		if !c.mayLeave(now, o.task.host) {
-			c.takeBack(o.task)
+		if !c.maySendStart(now, o.task.host) {
+			c.cancelStart(o.task)
 			continue
 		}
-		o.task.ordered, o.task.answered, o.task.resending = now, false, false
+		o.task.orderedAt, o.task.orderAnswered, o.task.resending = now, false, false
 		o.sent, o.slot = now, c.pace.sent(now)
-		return o, c.grant(o.task.host, now), true
+		return o, c.grantLease(o.task.host, now), true
 	}
 	return Order{}, 0, false
 }
@@ -128,18 +128,18 @@
 func (c *Core) applyStartResult(now time.Duration, t *task, e *endpoint, result OrderResult) {
 	switch result {
 	case OrderDone:
-		t.answered = true
+		t.orderAnswered = true
 		c.confirm(now, t)
 		e.nextPoll = min(e.nextPoll, now+pollGap)
 	case OrderUnanswered:
 		e.nextPoll = min(e.nextPoll, now+uncertainPollWait)
 	case OrderOld:
 		// The end of the run, or its stop, is listed or was listed earlier.
-		t.answered = true
-		t.confirmed = max(t.confirmed, now)
+		t.orderAnswered = true
+		t.confirmedAt = max(t.confirmedAt, now)
 		e.nextPoll = now
 	case OrderLate:
-		t.answered = true
+		t.orderAnswered = true
 	case OrderNoTicket:
 		delete(t.step.advice.tickets, e.incarnation())
 		c.withdrawStart(now, t, e, result)
@@ -157,7 +157,7 @@
 		e.quarantine = max(e.quarantine, now+refusalPause)
 	}
 	t.stopping = true
-	c.breakGang(t.step)
+	c.stopGangMembers(t.step)
 }
 
 func (c *Core) applyStopResult(now time.Duration, t *task, e *endpoint, result OrderResult) {
@@ -165,10 +165,10 @@
 		return
 	}
 	e.nextPoll = min(e.nextPoll, now+pollGap)
-	if t.confirmed == 0 {
+	if t.confirmedAt == 0 {
 		// The run was stopped before it started, or runs without having been listed. The
 		// next listing requested after this answer shows which.
-		t.confirmed = now
+		t.confirmedAt = now
 	}
 }
 
@@ -209,7 +209,7 @@
 }
 
 func (c *Core) tickTask(now time.Duration, e *endpoint, t *task) {
-	if t.confirmed > 0 && !t.stopping && c.isStalled(t) {
+	if t.confirmedAt > 0 && !t.stopping && c.isStalled(t) {
 		t.stopping = true
 		e.consecutiveFailures++
 		e.quarantine = now + quarantineBase
@@ -217,13 +217,13 @@
 		c.event(Event{Kind: EventStop, Job: t.step.job.rec.Job.ID, Task: t.name(), Run: t.run, Endpoint: e.id, Reason: "no progress"})
 	}
 	if t.gangStartOverdue(now) {
-		c.breakGang(t.step)
+		c.stopGangMembers(t.step)
 	}
 	c.rescue(e, t)
-	if !t.stopping || e.addr == "" || t.stopSent > 0 && now-t.stopSent < stopRepeat {
+	if !t.stopping || e.addr == "" || t.stopSentAt > 0 && now-t.stopSentAt < stopRepeat {
 		return
 	}
-	t.stopSent = now
+	t.stopSentAt = now
 	c.stops = append(c.stops, Order{Kind: OrderStop, Endpoint: e.id, Addr: e.addr, Fence: c.fence(e), Task: t.name(), Run: t.run, task: t})
 }
 
@@ -235,7 +235,7 @@
 
 // gangStartOverdue reports whether a gang member is still not confirmed after gangStartTimeout.
 func (t *task) gangStartOverdue(now time.Duration) bool {
-	return t.step.spec.Gang && t.ordered > 0 && t.confirmed == 0 && now-t.ordered > gangStartTimeout
+	return t.step.spec.Gang && t.orderedAt > 0 && t.confirmedAt == 0 && now-t.orderedAt > gangStartTimeout
 }
 
 // Stalled runs. Load: tasks on some endpoints make no progress while their leases are renewed. A
@@ -254,5 +254,5 @@
 	expected := time.Duration(c.taskMs(t.step)) * time.Millisecond
 	limit := max(minStallTimeout, stallFactor*expected/10)
 	// Progress is unknown while the endpoint does not answer.
-	return t.host.failedPolls == 0 && t.host.lastPollAnswer-max(t.progressAt, t.confirmed) > limit
+	return t.host.failedPolls == 0 && t.host.lastPollAnswer-max(t.progressAt, t.confirmedAt) > limit
 }
--- a/internal/executor/pace.go
+++ b/internal/executor/pace.go
@@ -55,19 +55,19 @@
 	decideAhead = 100 * time.Millisecond
 	// unlimitedFactor times the limit may be decided at once while the limit is not reached.
 	unlimitedFactor = 4
-	// storeDelaySmoothing is the inverse of a new value's weight in storeTook.
+	// storeDelaySmoothing is the inverse of a new value's weight in storeDelay.
 	storeDelaySmoothing = 8
 )
 
-// mostPlaced returns how many starts this round may decide. A start decided long before it is
+// placementBudget returns how many starts this round may decide. A start decided long before it is
 // sent occupies capacity that others could use, for a job that may no longer be the best.
-func (c *Core) mostPlaced() int {
+func (c *Core) placementBudget() int {
 	limit := c.pace.limit
-	if len(c.leaving) == 0 && c.pace.free() > 0 {
+	if len(c.startQueue) == 0 && c.pace.free() > 0 {
 		limit *= unlimitedFactor
 	}
-	limit = max(limit, c.pace.answerRate*(decideAhead+c.storeTook).Seconds())
-	return int(limit) - len(c.leaving) - c.undurable - len(c.starts)
+	limit = max(limit, c.pace.answerRate*(decideAhead+c.storeDelay).Seconds())
+	return int(limit) - len(c.startQueue) - c.startsNotDurable - len(c.decidedStarts)
 }
 
 // pacedLogInterval is the least time between log lines about the limit.
--- a/internal/executor/place.go
+++ b/internal/executor/place.go
@@ -33,7 +33,7 @@
 	e.tasks[t] = true
 	e.used = e.used.Plus(needs(t.step.spec))
 	t.step.perHost[e]++
-	t.step.job.placed++
+	t.step.job.placedTasks++
 	c.allowance.Take(t.step.job.rec.Account, declared(t.step.spec))
 	t.beginIsolation()
 }
@@ -49,11 +49,11 @@
 	if t.step.perHost[e] == 0 {
 		delete(t.step.perHost, e)
 	}
-	t.step.job.placed--
+	t.step.job.placedTasks--
 	c.allowance.Give(t.step.job.rec.Account, declared(t.step.spec))
 	t.host = nil
-	t.ordered, t.confirmed, t.stopSent = 0, 0, 0
-	t.answered, t.resending, t.stopping, t.onCurrentIncarnation, t.restored, t.resumed = false, false, false, false, false, false
+	t.orderedAt, t.confirmedAt, t.stopSentAt = 0, 0, 0
+	t.orderAnswered, t.resending, t.stopping, t.onCurrentIncarnation, t.restored, t.resumed = false, false, false, false, false, false
 	t.percent, t.listedAt, t.ticket = 0, 0, ""
 	t.possibleCrash = nil
 }
@@ -64,7 +64,7 @@
 // much. Deferring the jobs that are late in any case lets the others end in time, and a job in
 // time is worth many late ones.
 func (c *Core) Decide(now time.Duration) {
-	c.expire(now)
+	c.abandonExpired(now)
 	c.expandDueOccurrences()
 	c.evictEnded()
 	c.evictRefused(now)
@@ -77,7 +77,7 @@
 		return
 	}
 	c.reserve(now, endpoints)
-	c.placementsLeft = c.mostPlaced()
+	c.placementsLeft = c.placementBudget()
 	var late []*job
 	for _, j := range c.open {
 		if j.rec.State.Ended() || !j.waits() {
@@ -256,12 +256,12 @@
 	t.resumed = t.checkpoint != ""
 	t.step.waiting--
 	t.step.placedAt = now
-	t.step.job.started = true
+	t.step.job.startDecided = true
 	t.progressAt = now
 	t.isolationWaitSince = 0
 	delete(c.blocked, t.step.job.rec.Account)
-	c.touch(t.step.job)
-	c.starts = append(c.starts, c.startOrder(t))
+	c.markDirty(t.step.job)
+	c.decidedStarts = append(c.decidedStarts, c.startOrder(t))
 	c.placementsLeft--
 	c.event(Event{Kind: EventPlaced, Job: t.step.job.rec.Job.ID, Task: t.name(), Run: run, Endpoint: e.id})
 }
--- a/internal/executor/room.go
+++ b/internal/executor/room.go
@@ -24,20 +24,20 @@
 	return c.limits.RoomHolds == 0 || e.entryAge(now) <= c.limits.RoomHolds-maxStartDelay
 }
 
-// mayLeave reports whether a durable start may still be sent: its endpoint's capacity may have shrunk
+// maySendStart reports whether a durable start may still be sent: its endpoint's capacity may have shrunk
 // since it was decided.
-func (c *Core) mayLeave(now time.Duration, e *endpoint) bool {
+func (c *Core) maySendStart(now time.Duration, e *endpoint) bool {
 	return c.hasCurrentCapacity(now, e) && e.capacity.Holds(e.used)
 }
 
-// takeBack cancels a start that may not be sent. If it was sent before, it may have been carried out,
+// cancelStart cancels a start that may not be sent. If it was sent before, it may have been carried out,
 // or may be carried out later, until a stop closes its run number.
-func (c *Core) takeBack(t *task) {
+func (c *Core) cancelStart(t *task) {
 	c.event(Event{Kind: EventLost, Job: t.step.job.rec.Job.ID, Task: t.name(), Run: t.run, Endpoint: t.host.id, Reason: "the endpoint's capacity may have shrunk"})
-	if t.ordered == 0 {
+	if t.orderedAt == 0 {
 		c.requeue(t)
 		return
 	}
 	t.resending, t.stopping = false, true
-	c.breakGang(t.step)
+	c.stopGangMembers(t.step)
 }
--- a/internal/executor/speed.go
+++ b/internal/executor/speed.go
@@ -116,7 +116,7 @@
 func (e *endpoint) runsSeveralJobs() bool {
 	var first *job
 	for t := range e.tasks {
-		if t.confirmed == 0 || !indicatesSpeed(t) {
+		if t.confirmedAt == 0 || !indicatesSpeed(t) {
 			continue
 		}
 		if first != nil && first != t.step.job {
@@ -145,7 +145,7 @@
 // rescue stops a run on a slow endpoint if it would end sooner when restarted elsewhere. Its
 // checkpoint, if any, is kept.
 func (c *Core) rescue(e *endpoint, t *task) {
-	if !e.speed.slow || t.rescues >= maxRescues || t.confirmed == 0 || t.stopping || !indicatesSpeed(t) {
+	if !e.speed.slow || t.rescues >= maxRescues || t.confirmedAt == 0 || t.stopping || !indicatesSpeed(t) {
 		return
 	}
 	remaining := (1 - float64(t.percent)/100) / max(e.speed.value, 0.01)
@@ -154,7 +154,7 @@
 	}
 	t.rescues++
 	t.avoid = e.incarnation()
-	c.stopFor(t, "endpoint slow")
+	c.requestStop(t, "endpoint slow")
 }
 
 // hasProbeTask reports whether an endpoint already runs the one task that a slow endpoint gets
--- a/internal/executor/submit.go
+++ b/internal/executor/submit.go
@@ -67,11 +67,11 @@
 		if j.accepted {
 			return VerdictKnown, Refusal{}
 		}
-		c.touch(j)
+		c.markDirty(j)
 		c.replies = append(c.replies, Reply{token})
 		return VerdictAccepted, Refusal{}
 	}
-	j := &job{since: now, rec: jobRecord{Job: in, Queue: accepting.Queue, Terms: accepting.Terms, Account: accepting.Account, AcceptedMs: c.wallMs}}
+	j := &job{firstSeen: now, rec: jobRecord{Job: in, Queue: accepting.Queue, Terms: accepting.Terms, Account: accepting.Account, AcceptedMs: c.wallMs}}
 	refusal, refused := c.checkAdmission(now, j)
 	firstOffered := c.recordOffer(now, j, refused)
 	if refused {
@@ -86,11 +86,11 @@
 	c.jobs[in.ID] = j
 	c.open = append(c.open, j)
 	j.queued = true
-	c.touch(j)
+	c.markDirty(j)
 	c.replies = append(c.replies, Reply{token})
 	c.event(Event{Kind: EventAccepted, Job: in.ID, Reason: accepting.Queue})
 	if in.Occurrences == 0 {
-		c.begin(j)
+		c.expandNextOccurrence(j)
 	}
 	c.setObjective(j)
 	return VerdictAccepted, Refusal{}
@@ -108,9 +108,9 @@
 		return true, true
 	}
 	if !j.rec.State.Ended() {
-		c.end(j, JobCancelled, "cancelled")
+		c.endJob(j, JobCancelled, "cancelled")
 	}
-	c.touch(j)
+	c.markDirty(j)
 	c.replies = append(c.replies, Reply{token})
 	return true, false
 }
@@ -124,7 +124,7 @@
 	if j.durable.Ended() {
 		return j.durable, true
 	}
-	if j.begun {
+	if j.runConfirmed {
 		return JobRunning, true
 	}
 	return JobQueued, true
@@ -136,21 +136,21 @@
 func (c *Core) Pending(queue string) int {
 	n := 0
 	for _, j := range c.open {
-		if j.rec.Queue == queue && j.accepted && !j.begun && !j.rec.State.Ended() {
+		if j.rec.Queue == queue && j.accepted && !j.runConfirmed && !j.rec.State.Ended() {
 			n++
 		}
 	}
 	return n
 }
 
-// end gives a job its final state. Waiting tasks are dropped and running ones stopped.
-func (c *Core) end(j *job, state JobState, reason string) {
+// endJob gives a job its final state. Waiting tasks are dropped and running ones stopped.
+func (c *Core) endJob(j *job, state JobState, reason string) {
 	j.rec.State = state
 	j.rec.EndedMs = c.wallMs
 	if state == JobFailed {
 		j.rec.Reason = reason
 	}
-	c.touch(j)
+	c.markDirty(j)
 	c.event(Event{Kind: EventEnded, Job: j.rec.Job.ID, Reason: state.String() + ": " + reason})
 	for _, o := range j.current {
 		for _, s := range o.steps {
@@ -166,14 +166,14 @@
 
 // retireIfStopped moves an ended job without running tasks from open to ended.
 func (c *Core) retireIfStopped(j *job) {
-	if !j.rec.State.Ended() || j.placed > 0 || !j.queued {
+	if !j.rec.State.Ended() || j.placedTasks > 0 || !j.queued {
 		return
 	}
 	j.queued = false
 	j.current = nil
 	c.open = slices.DeleteFunc(c.open, func(o *job) bool { return o == j })
 	c.ended = append(c.ended, j)
-	c.touch(j)
+	c.markDirty(j)
 }
 
 // evictEnded removes jobs that ended more than KeepEnded ago.
@@ -189,8 +189,8 @@
 	}
 }
 
-// begin expands the job's next occurrence into steps and tasks.
-func (c *Core) begin(j *job) {
+// expandNextOccurrence expands the job's next occurrence into steps and tasks.
+func (c *Core) expandNextOccurrence(j *job) {
 	o := &occurrence{number: j.next, left: len(j.rec.Job.Steps)}
 	j.next++
 	for i := range j.rec.Job.Steps {
@@ -221,7 +221,7 @@
 			continue
 		}
 		for j.next < j.rec.Job.Occurrences && c.wallMs >= j.rec.Job.StartAtMs+int64(j.next)*j.rec.Job.IntervalMs {
-			c.begin(j)
+			c.expandNextOccurrence(j)
 		}
 	}
 }
@@ -274,7 +274,7 @@
 	slack := (j.rec.Terms.Stretch-1)*chain + float64(j.rec.Terms.Slack.Milliseconds())
 	ahead := c.backlog(now, j.rec.Terms.Priority)
 	backlog := c.withinShares(ahead.byAccount, slack)
-	wait := max(c.waitMs(now, backlog, pool), float64(c.pace.startsWait(ahead.tasks+len(c.leaving)).Milliseconds()))
+	wait := max(c.waitMs(now, backlog, pool), float64(c.pace.startsWait(ahead.tasks+len(c.startQueue)).Milliseconds()))
 	reason := RefusedBacklog
 	if accountWait := c.accountWaitMs(now, j.rec.Account, ahead.byAccount[j.rec.Account]); accountWait > wait {
 		wait, reason = accountWait, RefusedAccountBacklog
--- a/internal/executor/vacate.go
+++ b/internal/executor/vacate.go
@@ -36,11 +36,11 @@
 	if hurry {
 		for t := range e.tasks {
 			if !t.step.spec.LongRunning {
-				c.stopFor(t, "instance leaves")
+				c.requestStop(t, "instance leaves")
 			}
 		}
 	}
-	return Vacancy{Left: len(e.tasks) + e.strangers, StartedMs: e.startedMs}, e.hasReported
+	return Vacancy{Left: len(e.tasks) + e.unknownRuns, StartedMs: e.startedMs}, e.hasReported
 }
 
 // LeavesSoon sets which endpoints will have to be vacated soon. It is valid for vacateFor unless
@@ -74,7 +74,7 @@
 		if s.spec.MayMiss > 0 && c.countUnavailable(s, t) >= s.spec.MayMiss {
 			continue
 		}
-		c.stopFor(t, "instance leaves")
+		c.requestStop(t, "instance leaves")
 	}
 }
 
@@ -84,13 +84,13 @@
 func (c *Core) stopLongRunningOnDrain(e *endpoint) {
 	for t := range e.tasks {
 		if t.step.spec.LongRunning {
-			c.stopFor(t, "endpoint drains")
+			c.requestStop(t, "endpoint drains")
 		}
 	}
 }
 
-// stopFor marks a task's run to be stopped and logs the reason.
-func (c *Core) stopFor(t *task, reason string) {
+// requestStop marks a task's run to be stopped and logs the reason.
+func (c *Core) requestStop(t *task, reason string) {
 	if t.stopping {
 		return
 	}
