--- a/internal/executor/accounts.go
+++ b/internal/executor/accounts.go
@@ -13,8 +13,8 @@
 // running tasks are bounded across all pools; tasks beyond that bound wait without occupying
 // capacity or endpoints that others could use.
 
-// declared returns the resources that a task counts for against its account's limit.
-func declared(s *jobs.Step) quota.Amount {
+// accountUsage returns the resources that a task counts for against its account's limit.
+func accountUsage(s *jobs.Step) quota.Amount {
 	return quota.Amount{CPUMilli: s.CPUMilli, MemoryMB: s.MemoryMB, GPUs: s.GPUs}
 }
 
@@ -23,7 +23,7 @@
 
 // TakeShares applies this pool's shares of the accounts' limits.
 func (c *Core) TakeShares(now time.Duration, grants []quota.Grant) {
-	c.sharesTold = now
+	c.sharesReportedAt = now
 	c.allowance.Grant(grants)
 }
 
@@ -36,7 +36,7 @@
 			continue
 		}
 		for s := range j.readySteps() {
-			w, each, count := wants[j.rec.Account], declared(s.spec), s.waiting
+			w, each, count := wants[j.rec.Account], accountUsage(s.spec), s.waiting
 			if s.spec.Gang {
 				each, count = each.Times(len(s.tasks)), 1
 			}
@@ -47,28 +47,28 @@
 	return c.allowance.Reports(asked, wants)
 }
 
-// allowed reports whether this many more tasks of a step fit within its account's limit.
-func (c *Core) allowed(s *stepRun, tasks int) bool {
-	return c.allowance.Fits(s.job.rec.Account, declared(s.spec).Times(tasks), tasks)
+// fitsAccountLimit reports whether this many more tasks of a step fit within its account's limit.
+func (c *Core) fitsAccountLimit(s *stepRun, tasks int) bool {
+	return c.allowance.Fits(s.job.rec.Account, accountUsage(s.spec).Times(tasks), tasks)
 }
 
-// admits is allowed for a step that is ready to start; it also records since when the account
-// has been at its share.
-func (c *Core) admits(now time.Duration, s *stepRun, tasks int) bool {
-	if c.allowed(s, tasks) {
+// admitsStart is fitsAccountLimit for a step that is ready to start; it also records since when the
+// account has been at its share.
+func (c *Core) admitsStart(now time.Duration, s *stepRun, tasks int) bool {
+	if c.fitsAccountLimit(s, tasks) {
 		return true
 	}
 	account := s.job.rec.Account
-	if _, known := c.blocked[account]; !known {
-		c.blocked[account] = now
+	if _, known := c.atShareSince[account]; !known {
+		c.atShareSince[account] = now
 	}
 	return false
 }
 
-// forgetBlocked drops accounts that have no waiting jobs: their next jobs start afresh with the
+// dropIdleAccounts drops accounts that have no waiting jobs: their next jobs start afresh with the
 // share they get.
-func (c *Core) forgetBlocked() {
-	if len(c.blocked) == 0 {
+func (c *Core) dropIdleAccounts() {
+	if len(c.atShareSince) == 0 {
 		return
 	}
 	waiting := map[string]bool{}
@@ -77,13 +77,13 @@
 			waiting[j.rec.Account] = true
 		}
 	}
-	maps.DeleteFunc(c.blocked, func(account string, _ time.Duration) bool { return !waiting[account] })
+	maps.DeleteFunc(c.atShareSince, func(account string, _ time.Duration) bool { return !waiting[account] })
 }
 
-// withinShares returns how much of a backlog, in milli-core-milliseconds, can run within ms
+// workWithinShares returns how much of a backlog, in milli-core-milliseconds, can run within ms
 // milliseconds. Load: one account submits many times its limit; the jobs beyond the limit don't
 // delay those of other accounts.
-func (c *Core) withinShares(backlog map[string]float64, ms float64) float64 {
+func (c *Core) workWithinShares(backlog map[string]float64, ms float64) float64 {
 	sum := 0.0
 	for account, work := range backlog {
 		if cpu, bounded := c.allowance.CPU(account); bounded {
@@ -100,7 +100,7 @@
 
 // accountWaitMs returns how long an account's backlog takes to drain within its share.
 func (c *Core) accountWaitMs(now time.Duration, account string, backlog float64) float64 {
-	since, blocked := c.blocked[account]
+	since, blocked := c.atShareSince[account]
 	cpu, bounded := c.allowance.CPU(account)
 	if !blocked || !bounded || now-since < shareSettleTime {
 		return 0
@@ -117,7 +117,7 @@
 		if s.Gang {
 			tasksTogether = s.Count
 		}
-		if !c.allowance.CanEverFit(j.rec.Account, declared(s).Times(tasksTogether)) {
+		if !c.allowance.CanEverFit(j.rec.Account, accountUsage(s).Times(tasksTogether)) {
 			return false
 		}
 	}
--- a/internal/executor/advice.go
+++ b/internal/executor/advice.go
@@ -68,7 +68,7 @@
 
 // DueAdvice returns the next call to make, if one is due and none is in flight.
 func (c *Core) DueAdvice(now time.Duration) (AdviceCall, bool) {
-	if c.adviceOut {
+	if c.adviceInFlight {
 		return AdviceCall{}, false
 	}
 	for _, j := range c.open {
@@ -77,7 +77,7 @@
 		}
 		for _, t := range j.firstWaitingTasks() {
 			if call, due := c.adviceFor(now, t.step); due {
-				c.adviceOut, t.step.advice.inFlight = true, true
+				c.adviceInFlight, t.step.advice.inFlight = true, true
 				return call, true
 			}
 		}
@@ -134,19 +134,19 @@
 	return mostFreeEndpoints(unasked, wanted)
 }
 
-func mostFreeEndpoints(hosts []*endpoint, count int) []*endpoint {
-	slices.SortFunc(hosts, func(a, b *endpoint) int {
+func mostFreeEndpoints(endpoints []*endpoint, count int) []*endpoint {
+	slices.SortFunc(endpoints, func(a, b *endpoint) int {
 		if order := cmp.Compare(b.free().CPUMilli, a.free().CPUMilli); order != 0 {
 			return order
 		}
 		return cmp.Compare(a.id, b.id)
 	})
-	return hosts[:min(count, len(hosts))]
+	return endpoints[:min(count, len(endpoints))]
 }
 
 // AdviceDone applies the answer to a call; ok is false if there was none.
 func (c *Core) AdviceDone(now time.Duration, call AdviceCall, tickets map[string]string, valid time.Duration, ok bool) {
-	c.adviceOut = false
+	c.adviceInFlight = false
 	a := &call.step.advice
 	a.inFlight = false
 	if !ok {
--- a/internal/executor/core.go
+++ b/internal/executor/core.go
@@ -91,16 +91,16 @@
 
 	// allowance limits what client accounts may have running in this pool.
 	allowance *quota.Allowance
-	// sharesTold is when the accounts' shares were last received.
-	sharesTold time.Duration
-	// blocked maps each account that is at its share to the time since when it has been.
-	blocked map[string]time.Duration
+	// sharesReportedAt is when the accounts' shares were last received.
+	sharesReportedAt time.Duration
+	// atShareSince maps each account that is at its share to the time since when it has been.
+	atShareSince map[string]time.Duration
 
-	learned map[string]*lengths
-	// learntSavedMs is the wall-clock time at which learned was last written; learntChanged is
-	// set when runs have ended since.
-	learntSavedMs int64
-	learntChanged bool
+	lengthModels map[string]*lengthModel
+	// lengthsSavedMs is the wall-clock time at which lengthModels were last written; lengthsChanged
+	// is set when steps have ended since.
+	lengthsSavedMs int64
+	lengthsChanged bool
 
 	// offered is the total work offered, in core-ms. refusedSince is when each refused job was
 	// first offered, so that a resubmitted job is not counted again.
@@ -108,10 +108,10 @@
 	refusedSince map[string]time.Duration
 	// refusedOf counts refused jobs by client account.
 	refusedOf map[string]int
-	// loans are announced additions to the pool's CPU capacity, soonest first; the announcement
-	// is valid until loansUntil.
-	loans      []loan
-	loansUntil time.Duration
+	// incoming are announced additions to the pool's CPU capacity, soonest first; the announcement
+	// is valid until incomingValidUntil.
+	incoming           []capacityArrival
+	incomingValidUntil time.Duration
 
 	// cautiousTasks are open tasks with an expired lease or crash evidence, which are placed only on
 	// endpoints that reported recently (isolation.go). pollIdle is set while idle endpoints are
@@ -135,9 +135,9 @@
 	decidedStarts    []Order
 	startQueue       []Order
 	startsNotDurable int
-	pace             pace
-	// pacedAt is when the reduced limit on starts in flight was last logged.
-	pacedAt time.Duration
+	startLimiter     startLimiter
+	// startLimitLoggedAt is when the reduced limit on starts in flight was last logged.
+	startLimitLoggedAt time.Duration
 	// placementsLeft is how many more starts may be decided in this round.
 	placementsLeft int
 	// storeDelay is a moving average of the time that an append to the journal takes.
@@ -155,8 +155,8 @@
 	explained time.Duration
 	wallMs    int64
 	fenced    bool
-	// adviceOut is set while a call for advice is in flight.
-	adviceOut bool
+	// adviceInFlight is set while a call for advice is in flight.
+	adviceInFlight bool
 }
 
 // New returns the empty state of a pool whose epoch was claimed at now.
@@ -165,9 +165,9 @@
 		pool: pool, epoch: epoch, limits: limits, claimedAt: now,
 		jobs: map[string]*job{}, endpoints: map[string]*endpoint{}, terms: map[string]int{}, endedIncarnations: map[Incarnation]bool{},
 		unsavedAbandoned: map[string]bool{}, savedAbandoned: map[string]bool{}, unreportedLosses: map[string]unreportedLosses{},
-		learned: map[string]*lengths{}, allowance: quota.NewAllowance(), blocked: map[string]time.Duration{},
+		lengthModels: map[string]*lengthModel{}, allowance: quota.NewAllowance(), atShareSince: map[string]time.Duration{},
 		refusedSince: map[string]time.Duration{}, refusedOf: map[string]int{}, dirty: map[*job]bool{}, acks: map[Incarnation]int64{},
-		pace: newPace(),
+		startLimiter: newStartLimiter(),
 	}
 }
 
@@ -228,14 +228,14 @@
 	failures int
 	// gangDone is set when one member has completed, which counts for all members.
 	gangDone bool
-	// ran counts the tasks whose run time has been measured, and ranMs is the sum of those
-	// times.
-	ran   int
-	ranMs float64
+	// measuredRuns counts the tasks whose run time has been measured, and measuredRunMs is the sum
+	// of those times.
+	measuredRuns  int
+	measuredRunMs float64
 	// placedAt is when one of its tasks was last placed.
-	placedAt time.Duration
-	advice   advice
-	perHost  map[*endpoint]int
+	placedAt    time.Duration
+	advice      advice
+	perEndpoint map[*endpoint]int
 }
 
 type phase uint8
@@ -255,7 +255,7 @@
 	// run is the number of the newest run whose start may have been sent.
 	run        int
 	failures   int
-	host       *endpoint
+	endpoint   *endpoint
 	checkpoint string
 	ticket     string
 
@@ -288,8 +288,8 @@
 	progressAt time.Duration
 	// listedAt is when the run was last listed, on the endpoint's clock.
 	listedAt time.Duration
-	// rescues counts the runs that were stopped because their endpoint was slow.
-	rescues int
+	// slowRestarts counts the task's runs that were stopped because their endpoint was slow.
+	slowRestarts int
 	// evidence counts the crashes that suggest that the task crashes its endpoints. possibleCrash
 	// is the crash to add to it if the current run turns out to have ended with an incarnation;
 	// nil if the endpoint has not restarted since the start.
@@ -331,9 +331,9 @@
 	vacating bool
 	// vacateUntil is when a request to vacate expires unless it is repeated.
 	vacateUntil time.Duration
-	// dueUntil is the time until which the endpoint is expected to be vacated soon.
-	dueUntil time.Duration
-	tasks    map[*task]bool
+	// vacatingSoonUntil is the time until which the endpoint is expected to be vacated soon.
+	vacatingSoonUntil time.Duration
+	tasks             map[*task]bool
 	// unknownRuns counts the listed runs that this owner has no record of.
 	unknownRuns int
 
@@ -376,10 +376,10 @@
 	quarantine          time.Duration
 	speed               speed
 
-	// keptFor is a task that the endpoint's free capacity is reserved for, until keptUntil at
+	// reservedFor is a task that the endpoint's free capacity is reserved for, until reservedUntil at
 	// the latest.
-	keptFor   *task
-	keptUntil time.Duration
+	reservedFor   *task
+	reservedUntil time.Duration
 }
 
 // Room is an amount of an endpoint's resources.
@@ -388,7 +388,7 @@
 // needs returns the resources that a task of the step takes from its endpoint. A filler task
 // uses only the CPU time that other tasks leave idle, but its memory is allocated.
 func needs(s *jobs.Step) Room {
-	r := declared(s)
+	r := accountUsage(s)
 	if s.Fills {
 		r.CPUMilli = 0
 	}
--- a/internal/executor/crashes.go
+++ b/internal/executor/crashes.go
@@ -96,7 +96,7 @@
 	if t.confirmedAt == 0 {
 		return 0
 	}
-	return max(0, t.host.clockAt-t.confirmedAt)
+	return max(0, t.endpoint.clockAt-t.confirmedAt)
 }
 
 // attributeCrash returns the evidence that the end of an incarnation gives on its runs. An endpoint
@@ -243,5 +243,5 @@
 
 // mayStart reports whether a task is due and its account may start it.
 func (c *Core) mayStart(now time.Duration, t *task) bool {
-	return c.isDue(now, t) && c.allowed(t.step, 1)
+	return c.isDue(now, t) && c.fitsAccountLimit(t.step, 1)
 }
--- a/internal/executor/dump.go
+++ b/internal/executor/dump.go
@@ -75,8 +75,8 @@
 
 // Dump returns the pool's state.
 func (c *Core) Dump(now time.Duration) PoolDump {
-	d := PoolDump{Summary: c.Summary(now), Epoch: c.epoch, Starts: StartsDump{UnderWay: c.pace.inFlight,
-		Limit: int(c.pace.limit), Waiting: len(c.startQueue), MedianMs: c.pace.median.Milliseconds()}}
+	d := PoolDump{Summary: c.Summary(now), Epoch: c.epoch, Starts: StartsDump{UnderWay: c.startLimiter.inFlight,
+		Limit: int(c.startLimiter.limit), Waiting: len(c.startQueue), MedianMs: c.startLimiter.median.Milliseconds()}}
 	for _, e := range c.endpoints {
 		d.Endpoints = append(d.Endpoints, EndpointDump{ID: e.id, Addr: e.addr, StartedMs: e.startedMs, Free: e.free(), Tasks: len(e.tasks),
 			Draining: e.draining, Vacating: e.vacating, Silent: e.failedPolls,
@@ -116,7 +116,7 @@
 			break
 		}
 		out = append(out, AccountDump{State: s, Waiting: waiting[s.Account], Refused: c.refusedOf[s.Account],
-			ToldAgoMs: (now - c.sharesTold).Milliseconds()})
+			ToldAgoMs: (now - c.sharesReportedAt).Milliseconds()})
 	}
 	return out
 }
@@ -161,7 +161,7 @@
 		for o := range counts {
 			met[o] = true
 		}
-		met[obstacleAccount] = met[obstacleAccount] || !c.allowed(t.step, 1)
+		met[obstacleAccount] = met[obstacleAccount] || !c.fitsAccountLimit(t.step, 1)
 	}
 	for _, o := range obstacles {
 		if met[o] && unblockedBy[o] != "" {
--- a/internal/executor/ends.go
+++ b/internal/executor/ends.go
@@ -79,7 +79,7 @@
 
 // completeTask records the run time of a completed task and marks the task as done.
 func (c *Core) completeTask(now time.Duration, t *task) {
-	c.noteLength(now, t)
+	c.recordLength(now, t)
 	c.release(t)
 	c.markDone(t)
 }
@@ -118,8 +118,8 @@
 func (c *Core) completeStep(s *stepRun) {
 	o, j := s.occ, s.job
 	o.left--
-	if s.ran > 0 {
-		c.learn(j.rec.Queue, s.ranMs/float64(s.ran), s.ran, s.spec.EstimateMs)
+	if s.measuredRuns > 0 {
+		c.addLength(j.rec.Queue, s.measuredRunMs/float64(s.measuredRuns), s.measuredRuns, s.spec.EstimateMs)
 		c.setObjective(j)
 	}
 	for _, other := range o.steps {
--- a/internal/executor/explain.go
+++ b/internal/executor/explain.go
@@ -62,7 +62,7 @@
 // describeObstacles returns a readable summary of what a task waits for.
 func (c *Core) describeObstacles(now time.Duration, t *task, counts map[string]int) string {
 	var parts []string
-	if !c.allowed(t.step, 1) {
+	if !c.fitsAccountLimit(t.step, 1) {
 		parts = append(parts, obstacleAccount)
 	}
 	for _, name := range obstacles {
@@ -134,10 +134,10 @@
 
 // obstacle returns what prevents a task from starting on an endpoint.
 func (c *Core) obstacle(now time.Duration, t *task, e *endpoint) string {
-	if closed := c.closedBy(now, e); closed != obstacleNone {
-		return closed
+	if common := c.endpointObstacle(now, e); common != obstacleNone {
+		return common
 	}
-	if e.keptFor != nil && e.keptFor != t {
+	if e.reservedFor != nil && e.reservedFor != t {
 		return obstacleReserved
 	}
 	if e.isolatedFor != nil && e.isolatedFor != t.step.job {
@@ -155,11 +155,11 @@
 	if !e.free().Holds(needs(t.step.spec)) {
 		return obstacleFull
 	}
-	return c.mismatch(now, t, e)
+	return c.taskObstacle(now, t, e)
 }
 
-// closedBy returns what prevents every task from starting on an endpoint.
-func (c *Core) closedBy(now time.Duration, e *endpoint) string {
+// endpointObstacle returns what prevents every task from starting on an endpoint.
+func (c *Core) endpointObstacle(now time.Duration, e *endpoint) string {
 	switch {
 	case !e.listed:
 		return obstacleUnlisted
@@ -183,16 +183,16 @@
 	return obstacleNone
 }
 
-// mismatch returns what prevents a task from starting on an endpoint however much capacity its
+// taskObstacle returns what prevents a task from starting on an endpoint however much capacity its
 // short tasks leave.
-func (c *Core) mismatch(now time.Duration, t *task, e *endpoint) string {
+func (c *Core) taskObstacle(now time.Duration, t *task, e *endpoint) string {
 	s := t.step.spec
 	switch {
 	case s.Requires != "" && s.Requires != e.kind && s.Requires != e.rack:
 		return obstacleRequirement
-	case s.MaxPerEndpoint > 0 && t.step.perHost[e] >= s.MaxPerEndpoint:
+	case s.MaxPerEndpoint > 0 && t.step.perEndpoint[e] >= s.MaxPerEndpoint:
 		return obstacleSpread
-	case sharesBadly(s, e):
+	case mixesFillerAndServing(s, e):
 		return obstacleSharing
 	case !t.step.hasRequiredTicket(now, e):
 		return obstacleTicket
--- a/internal/executor/givenup.go
+++ b/internal/executor/givenup.go
@@ -25,9 +25,9 @@
 	UnreportedMs map[string]int64 `cbor:"3,keyasint,omitempty"`
 }
 
-// keepAbandonedFor is how long an endpoint that service discovery does not list is kept for its
+// abandonedRunsTTL is how long an endpoint that service discovery does not list is kept for its
 // abandoned runs: its entry may have expired while it still runs.
-const keepAbandonedFor = time.Minute
+const abandonedRunsTTL = time.Minute
 
 // abandon records that a run is abandoned while its endpoint may still report.
 func (c *Core) abandon(now time.Duration, e *endpoint, t *task) {
@@ -80,7 +80,7 @@
 }
 
 func (e *endpoint) hasRecentAbandonedRuns(now time.Duration) bool {
-	return len(e.abandonedRuns) > 0 && now-e.abandonedAt < keepAbandonedFor
+	return len(e.abandonedRuns) > 0 && now-e.abandonedAt < abandonedRunsTTL
 }
 
 // abandonedRunRecords returns the changed records of endpoints with abandoned runs, and deletions of
--- a/internal/executor/incarnation.go
+++ b/internal/executor/incarnation.go
@@ -86,7 +86,7 @@
 	*e = endpoint{
 		id: e.id, addr: e.addr, zone: e.zone, kind: e.kind, rack: e.rack, startedMs: startedMs, term: e.term + 1,
 		capacity: e.capacity, used: e.used, tasks: e.tasks,
-		vacating: e.vacating, vacateUntil: e.vacateUntil, dueUntil: e.dueUntil,
+		vacating: e.vacating, vacateUntil: e.vacateUntil, vacatingSoonUntil: e.vacatingSoonUntil,
 		nextPoll: now, earlierRunsUntil: now + maxElapsed(c.limits.LongestLease), isolatedFor: e.isolatedFor,
 	}
 	for _, x := range crashes {
--- a/internal/executor/journal.go
+++ b/internal/executor/journal.go
@@ -111,9 +111,9 @@
 				}
 				r := taskRecord{Occurrence: o.number, Step: s.index, Index: t.index, Phase: t.phase,
 					Run: t.run, Failures: t.failures, Checkpoint: t.checkpoint}
-				if t.host != nil {
-					r.Endpoint = t.host.id
-					p.recordStartTime(t.host)
+				if t.endpoint != nil {
+					r.Endpoint = t.endpoint.id
+					p.recordStartTime(t.endpoint)
 				}
 				p.Tasks = append(p.Tasks, r)
 				p.recordEvidence(t)
@@ -201,7 +201,7 @@
 	c.removed = nil
 	r.Records = append(r.Records, c.abandonedRunRecords()...)
 	if len(r.Records) > 0 {
-		r.Records = append(r.Records, c.learntRecords()...)
+		r.Records = append(r.Records, c.lengthRecords()...)
 	}
 	return r
 }
@@ -266,8 +266,8 @@
 				return &MalformedRecordError{Key: r.Key, Cause: err}
 			}
 			progress[r.Key[1:]] = p
-		case keyLearnt:
-			c.restoreLearnt(r)
+		case keyLengths:
+			c.restoreLengths(r)
 		case keyAbandonedRuns:
 			if err := c.restoreAbandonedRuns(r, now); err != nil {
 				return err
--- a/internal/executor/late_test.go
+++ b/internal/executor/late_test.go
@@ -9,7 +9,7 @@
 	"cyclamenwheel/internal/jobs"
 )
 
-// reportedLate starts one task on the first of some hosts, which is then unresponsive until its leases
+// reportedLate starts one task on the first of some endpoints, which is then unresponsive until its leases
 // have expired. Its run ends meanwhile.
 func reportedLate(hosts int) (w *world, o *owner, j jobs.Job, late *host) {
 	w = newWorld(1, hosts)
--- a/internal/executor/learnt_test.go
+++ b/internal/executor/learnt_test.go
@@ -37,8 +37,8 @@
 		Expect(verdict).To(Equal(VerdictAccepted))
 		records := c.Ready(0).Records
 		soon, late := successor(c, records, 200*time.Millisecond), successor(c, records, 4*time.Second)
-		Expect(soon.hopeless(time.Hour, soon.jobs[old.ID])).To(BeFalse())
-		Expect(late.hopeless(time.Hour, late.jobs[old.ID])).To(BeTrue())
+		Expect(soon.cannotMeetObjective(time.Hour, soon.jobs[old.ID])).To(BeFalse())
+		Expect(late.cannotMeetObjective(time.Hour, late.jobs[old.ID])).To(BeTrue())
 	})
 
 	// The time of day jumps when the owner changes. No job may count as submitted in the future
@@ -57,28 +57,28 @@
 	// could meet their objective, until it has seen runs of its own some seconds later.
 	It("includes how long runs take, also for its successor", func() {
 		c := newTestCore(1_000_000)
-		for range 3 * fewRuns {
-			c.learn("q", 2000, 1, 1000)
+		for range 3 * minModelRuns {
+			c.addLength("q", 2000, 1, 1000)
 		}
 		c.Submit(0, jobs.Job{ID: "00000000000000a3", Steps: []jobs.Step{{Count: 1, CPUMilli: 100, EstimateMs: 100}}}, testAcceptance, 1)
 		records := c.Ready(0).Records
 		next := successor(c, records, time.Second)
 		Expect(next.Learned("q")).To(BeNumerically("~", 2*time.Second, 10*time.Millisecond))
-		Expect(next.learned["q"].runs).To(BeNumerically("<=", maxRestoredRuns))
+		Expect(next.lengthModels["q"].runs).To(BeNumerically("<=", maxRestoredRuns))
 		old := successor(c, records, statsMaxAge+time.Second)
 		Expect(old.Learned("q")).To(BeZero())
 	})
 
 	It("has run statistics written only together with other records", func() {
 		c := newTestCore(1_000_000)
-		c.learn("q", 1000, 1, 1000)
+		c.addLength("q", 1000, 1, 1000)
 		Expect(c.Ready(0).Records).To(BeEmpty())
 	})
 
 	It("is ignored where its run statistics are malformed", func() {
 		c := newTestCore(1_000_000)
-		next := successor(c, []Record{{Key: keyLearnt, Value: []byte("\xff")}}, 0)
-		Expect(next.learned).To(BeEmpty())
+		next := successor(c, []Record{{Key: keyLengths, Value: []byte("\xff")}}, 0)
+		Expect(next.lengthModels).To(BeEmpty())
 	})
 })
 
@@ -88,12 +88,12 @@
 	// is late.
 	It("counts from its arrival on", func() {
 		c := newTestCore(0)
-		Expect(c.waitMs(0, 4000, 1)).To(BeNumerically("~", 4000, 1))
+		Expect(c.drainMs(0, 4000, 1)).To(BeNumerically("~", 4000, 1))
 		c.Lent(0, []Loan{{CPUMilli: 3, InMs: 500}, {CPUMilli: 4, InMs: 1000}})
 		// 500 with 1, then 2000 with 4, then 1500 with 8.
-		Expect(c.waitMs(0, 4000, 1)).To(BeNumerically("~", 1187.5, 1))
-		Expect(c.waitMs(0, 400, 1)).To(BeNumerically("~", 400, 1))
-		Expect(c.waitMs(600*time.Millisecond, 1000, 1)).To(BeNumerically("~", 250, 1), "the first loan has arrived by then")
-		Expect(c.waitMs(vacateFor+time.Second, 4000, 1)).To(BeNumerically("~", 4000, 1), "the loans have expired")
+		Expect(c.drainMs(0, 4000, 1)).To(BeNumerically("~", 1187.5, 1))
+		Expect(c.drainMs(0, 400, 1)).To(BeNumerically("~", 400, 1))
+		Expect(c.drainMs(600*time.Millisecond, 1000, 1)).To(BeNumerically("~", 250, 1), "the first loan has arrived by then")
+		Expect(c.drainMs(vacateFor+time.Second, 4000, 1)).To(BeNumerically("~", 4000, 1), "the loans have expired")
 	})
 })
--- a/internal/executor/lengths.go
+++ b/internal/executor/lengths.go
@@ -21,9 +21,9 @@
 	// minSampleWeight is the least weight of a new step in the averages, so that a step's
 	// influence fades after some 30 others.
 	minSampleWeight = 0.03
-	// fewRuns is how many measured runs it takes to use the model instead of callers'
+	// minModelRuns is how many measured runs it takes to use the model instead of callers'
 	// estimates alone.
-	fewRuns = 8
+	minModelRuns = 8
 	// priorSlope is the assumed regression slope of lengths on estimates before a queue has
 	// shown how accurate its estimates are. priorSlopeWeight is its weight against the
 	// measurements, in squared logarithms of one step.
@@ -36,60 +36,59 @@
 	minRemainingShare = 0.1
 )
 
-// lengths models the run lengths of a queue: the means, variances and covariance of the
+// lengthModel models the run lengths of a queue: the means, variances and covariance of the
 // logarithms of lengths and callers' estimates, in ms.
-type lengths struct {
+type lengthModel struct {
 	// steps and runs are the sample sizes.
 	steps, runs int
-	// actual and estimate are the means; the other fields are the variances and the
-	// covariance.
-	actual, estimate       float64
-	varActual, varEstimate float64
-	covariance             float64
+	// The logarithms' means, variances and covariance; meanLogEstimate is 0 before any estimate.
+	meanLogActual, meanLogEstimate float64
+	varLogActual, varLogEstimate   float64
+	covariance                     float64
 }
 
 // add adds a step of which runs tasks took ms each. An estimate of zero means that there is
 // none.
-func (l *lengths) add(ms float64, runs, estimateMs int) {
+func (l *lengthModel) add(ms float64, runs, estimateMs int) {
 	l.steps++
 	l.runs += runs
 	w := max(minSampleWeight, 1/float64(l.steps))
-	deviation := math.Log(max(1, ms)) - l.actual
-	l.actual += w * deviation
-	l.varActual = (1 - w) * (l.varActual + w*deviation*deviation)
+	deviation := math.Log(max(1, ms)) - l.meanLogActual
+	l.meanLogActual += w * deviation
+	l.varLogActual = (1 - w) * (l.varLogActual + w*deviation*deviation)
 	if estimateMs <= 0 {
 		return
 	}
-	if l.estimate == 0 {
-		l.estimate = math.Log(float64(estimateMs))
+	if l.meanLogEstimate == 0 {
+		l.meanLogEstimate = math.Log(float64(estimateMs))
 	}
-	estimateDeviation := math.Log(float64(estimateMs)) - l.estimate
-	l.estimate += w * estimateDeviation
-	l.varEstimate = (1 - w) * (l.varEstimate + w*estimateDeviation*estimateDeviation)
+	estimateDeviation := math.Log(float64(estimateMs)) - l.meanLogEstimate
+	l.meanLogEstimate += w * estimateDeviation
+	l.varLogEstimate = (1 - w) * (l.varLogEstimate + w*estimateDeviation*estimateDeviation)
 	l.covariance = (1 - w) * (l.covariance + w*deviation*estimateDeviation)
 }
 
 // hasEnoughRuns reports whether the model rests on enough runs to be used.
-func (l *lengths) hasEnoughRuns() bool { return l != nil && l.runs >= fewRuns }
+func (l *lengthModel) hasEnoughRuns() bool { return l != nil && l.runs >= minModelRuns }
 
 // meanMs returns the mean length of the queue's runs.
-func (l *lengths) meanMs() float64 { return math.Exp(l.actual + l.varActual/2) }
+func (l *lengthModel) meanMs() float64 { return math.Exp(l.meanLogActual + l.varLogActual/2) }
 
 // expectedMs returns the expected length of a run, given its caller's estimate.
-func (l *lengths) expectedMs(estimateMs int) float64 {
-	if estimateMs <= 0 || l.estimate == 0 {
+func (l *lengthModel) expectedMs(estimateMs int) float64 {
+	if estimateMs <= 0 || l.meanLogEstimate == 0 {
 		return l.meanMs()
 	}
 	prior := priorSlopeWeight / float64(l.steps)
-	slope := (l.covariance + prior*priorSlope) / (l.varEstimate + prior)
+	slope := (l.covariance + prior*priorSlope) / (l.varLogEstimate + prior)
 	slope = min(1, max(0, slope))
-	residualVariance := max(0, l.varActual-slope*l.covariance)
-	return math.Exp(l.actual + slope*(math.Log(float64(estimateMs))-l.estimate) + residualVariance/2)
+	residualVariance := max(0, l.varLogActual-slope*l.covariance)
+	return math.Exp(l.meanLogActual + slope*(math.Log(float64(estimateMs))-l.meanLogEstimate) + residualVariance/2)
 }
 
-// expectMs returns the expected length of a step's tasks before any of them has ended.
-func (c *Core) expectMs(queue string, s *jobs.Step) float64 {
-	if l := c.learned[queue]; l.hasEnoughRuns() {
+// expectedTaskMs returns the expected length of a step's tasks before any of them has ended.
+func (c *Core) expectedTaskMs(queue string, s *jobs.Step) float64 {
+	if l := c.lengthModels[queue]; l.hasEnoughRuns() {
 		return l.expectedMs(s.EstimateMs)
 	}
 	if s.EstimateMs > 0 {
@@ -100,49 +99,49 @@
 
 // taskMs returns the current prediction of the length of a step's tasks.
 func (c *Core) taskMs(s *stepRun) float64 {
-	if s.ran > 0 {
-		return s.ranMs / float64(s.ran)
+	if s.measuredRuns > 0 {
+		return s.measuredRunMs / float64(s.measuredRuns)
 	}
-	return c.expectMs(s.job.rec.Queue, s.spec)
+	return c.expectedTaskMs(s.job.rec.Queue, s.spec)
 }
 
 // Learned returns the mean measured length of a queue's runs, or zero before there are enough
 // of them.
 func (c *Core) Learned(queue string) time.Duration {
-	if l := c.learned[queue]; l.hasEnoughRuns() {
+	if l := c.lengthModels[queue]; l.hasEnoughRuns() {
 		return time.Duration(l.meanMs() * float64(time.Millisecond))
 	}
 	return 0
 }
 
-func (c *Core) learn(queue string, ms float64, runs, estimateMs int) {
-	l := c.learned[queue]
+func (c *Core) addLength(queue string, ms float64, runs, estimateMs int) {
+	l := c.lengthModels[queue]
 	if l == nil {
-		l = &lengths{}
-		c.learned[queue] = l
+		l = &lengthModel{}
+		c.lengthModels[queue] = l
 	}
 	l.add(ms, runs, estimateMs)
-	c.learntChanged = true
+	c.lengthsChanged = true
 }
 
-// noteLength records the length of a task that has succeeded. It skips restored runs, which
+// recordLength records the length of a task that has succeeded. It skips restored runs, which
 // began before this owner observed them, resumed runs, which had done a part of their work
 // before, and runs on slow endpoints, which are not typical of the queue. Included, they would
 // make jobs seem on time when they are not, and healthy endpoints slow.
-func (c *Core) noteLength(now time.Duration, t *task) {
-	if t.confirmedAt == 0 || t.restored || t.resumed || t.host.speed.slow {
+func (c *Core) recordLength(now time.Duration, t *task) {
+	if t.confirmedAt == 0 || t.restored || t.resumed || t.endpoint.speed.slow {
 		return
 	}
 	s := t.step
-	s.ran++
-	s.ranMs += float64((now - t.confirmedAt).Milliseconds())
-	if s.ran == 1 {
+	s.measuredRuns++
+	s.measuredRunMs += float64((now - t.confirmedAt).Milliseconds())
+	if s.measuredRuns == 1 {
 		c.setObjective(s.job)
 	}
 }
 
-// chainMs returns the length of a job's critical path.
-func (c *Core) chainMs(j *job) float64 {
+// criticalPathMs returns the length of a job's critical path.
+func (c *Core) criticalPathMs(j *job) float64 {
 	steps := j.rec.Job.Steps
 	ends := make([]float64, len(steps))
 	longest := 0.0
@@ -162,7 +161,7 @@
 	if len(j.current) > 0 && step < len(j.current[0].steps) {
 		return c.taskMs(j.current[0].steps[step])
 	}
-	return c.expectMs(j.rec.Queue, &j.rec.Job.Steps[step])
+	return c.expectedTaskMs(j.rec.Queue, &j.rec.Job.Steps[step])
 }
 
 // remainingMs returns the length of the critical path that remains of a job.
@@ -193,15 +192,15 @@
 	return max(minRemainingShare*whole, whole-float64((now-s.placedAt).Milliseconds()))
 }
 
-// hopeless reports whether a job can no longer end within its objective, even if all of its
-// tasks started at once.
-func (c *Core) hopeless(now time.Duration, j *job) bool {
+// cannotMeetObjective reports whether a job can no longer end within its objective, even if all of
+// its tasks started at once.
+func (c *Core) cannotMeetObjective(now time.Duration, j *job) bool {
 	return now+time.Duration(c.remainingMs(now, j)*float64(time.Millisecond)) > j.objective
 }
 
 // setObjective sets the time from which a job is late, by the current prediction of its length.
 func (c *Core) setObjective(j *job) {
-	chain := c.chainMs(j) * j.rec.Terms.Stretch
-	j.objective = j.offered + time.Duration(chain*float64(time.Millisecond)) + j.rec.Terms.Slack
+	allowedMs := c.criticalPathMs(j) * j.rec.Terms.Stretch
+	j.objective = j.offered + time.Duration(allowedMs*float64(time.Millisecond)) + j.rec.Terms.Slack
 	c.unsorted = true
 }
--- a/internal/executor/lengths_test.go
+++ b/internal/executor/lengths_test.go
@@ -10,9 +10,9 @@
 
 // predictionError returns the typical error, in logarithms, of predictions for steps whose
 // lengths vary by spread and whose estimates are off by off.
-func predictionError(predict func(l *lengths, estimateMs int) float64, spread, off float64) float64 {
+func predictionError(predict func(l *lengthModel, estimateMs int) float64, spread, off float64) float64 {
 	rng := rand.New(rand.NewPCG(1, 1))
-	var l lengths
+	var l lengthModel
 	sum, n := 0.0, 0
 	for k := range 2000 {
 		ms := 1000 * math.Exp(spread*rng.NormFloat64())
@@ -27,9 +27,9 @@
 }
 
 var _ = Describe("the expected length of a run", func() {
-	byBoth := func(l *lengths, estimateMs int) float64 { return l.expectedMs(estimateMs) }
-	byMean := func(l *lengths, _ int) float64 { return l.meanMs() }
-	byEstimate := func(_ *lengths, estimateMs int) float64 { return float64(estimateMs) }
+	byBoth := func(l *lengthModel, estimateMs int) float64 { return l.expectedMs(estimateMs) }
+	byMean := func(l *lengthModel, _ int) float64 { return l.meanMs() }
+	byEstimate := func(_ *lengthModel, estimateMs int) float64 { return float64(estimateMs) }
 
 	// Guards against predictions by one source alone, when lengths and estimates both vary by
 	// half: by the mean alone a short job seems on time until it is late; by the estimate
@@ -46,7 +46,7 @@
 	})
 
 	It("is the mean where callers give no estimate", func() {
-		var l lengths
+		var l lengthModel
 		for range 10 {
 			l.add(400, 2, 0)
 		}
--- a/internal/executor/loans.go
+++ b/internal/executor/loans.go
@@ -19,29 +19,29 @@
 	InMs int64 `cbor:"2,keyasint"`
 }
 
-type loan struct {
+type capacityArrival struct {
 	cpuMilli float64
 	at       time.Duration
 }
 
 // Lent replaces the list of capacity that is about to be added to this pool.
 func (c *Core) Lent(now time.Duration, loans []Loan) {
-	c.loans = c.loans[:0]
+	c.incoming = c.incoming[:0]
 	for _, l := range loans {
-		c.loans = append(c.loans, loan{float64(l.CPUMilli), now + time.Duration(l.InMs)*time.Millisecond})
+		c.incoming = append(c.incoming, capacityArrival{float64(l.CPUMilli), now + time.Duration(l.InMs)*time.Millisecond})
 	}
-	slices.SortFunc(c.loans, func(a, b loan) int { return cmp.Compare(a.at, b.at) })
-	c.loansUntil = now + vacateFor
+	slices.SortFunc(c.incoming, func(a, b capacityArrival) int { return cmp.Compare(a.at, b.at) })
+	c.incomingValidUntil = now + vacateFor
 }
 
-// waitMs returns how long a backlog, in milli-core-ms, takes to drain with the present capacity
+// drainMs returns how long a backlog, in milli-core-ms, takes to drain with the present capacity
 // and what arrives meanwhile.
-func (c *Core) waitMs(now time.Duration, backlog, cpuMilli float64) float64 {
+func (c *Core) drainMs(now time.Duration, backlog, cpuMilli float64) float64 {
 	elapsed := 0.0
-	if now > c.loansUntil {
+	if now > c.incomingValidUntil {
 		return backlog / cpuMilli
 	}
-	for _, l := range c.loans {
+	for _, l := range c.incoming {
 		until := float64((l.at - now).Milliseconds())
 		drained := (until - elapsed) * cpuMilli
 		if drained >= backlog {
--- a/internal/executor/looks.go
+++ b/internal/executor/looks.go
@@ -159,7 +159,7 @@
 	switch {
 	case t.stopping, t.orderedAt > 0 && t.confirmedAt == 0 && now-t.orderedAt > startAnswerTimeout:
 		return uncertainPollWait
-	case t.step.spec.LongRunning && t.percent < atWork:
+	case t.step.spec.LongRunning && t.percent < fullyStarted:
 		return startingPollWait
 	case t.confirmedAt == 0:
 		return unconfirmedPollWait
@@ -300,7 +300,7 @@
 // find returns the task that is placed on e under this run.
 func (c *Core) find(e *endpoint, name string, run int) *task {
 	t := c.taskByName(name)
-	if t == nil || t.host != e || t.run != run {
+	if t == nil || t.endpoint != e || t.run != run {
 		return nil
 	}
 	return t
@@ -337,7 +337,7 @@
 	if t.confirmedFor() >= stableRunAfter {
 		c.clearEvidence(t)
 	}
-	c.noteProgress(clock, t, r.Percent)
+	c.updateSpeed(clock, t, r.Percent)
 	if r.Percent != t.percent {
 		t.percent, t.progressAt = r.Percent, now
 	}
@@ -375,7 +375,7 @@
 // requeueUnlisted requeues a task whose run its endpoint does not have. If an incarnation has ended
 // since the start, the run ended with it and counts as crash evidence.
 func (c *Core) requeueUnlisted(t *task, reason string) {
-	c.event(Event{Kind: EventLost, Job: t.step.job.rec.Job.ID, Task: t.name(), Run: t.run, Endpoint: t.host.id, Reason: reason})
+	c.event(Event{Kind: EventLost, Job: t.step.job.rec.Job.ID, Task: t.name(), Run: t.run, Endpoint: t.endpoint.id, Reason: reason})
 	possible := t.possibleCrash
 	c.requeue(t)
 	if possible != nil {
--- a/internal/executor/orders.go
+++ b/internal/executor/orders.go
@@ -57,26 +57,26 @@
 // outcome with OrderDone. ok is false if none is ready or the limit on starts in flight is
 // reached.
 func (c *Core) NextStart(now time.Duration) (o Order, lease time.Duration, ok bool) {
-	c.pace.pass(now)
-	for len(c.startQueue) > 0 && c.pace.free() > 0 {
+	c.startLimiter.releaseOverdueSlots(now)
+	for len(c.startQueue) > 0 && c.startLimiter.free() > 0 {
 		o, c.startQueue = c.startQueue[0], c.startQueue[1:]
-		if !o.isCurrent() || o.Fence != c.fence(o.task.host) || o.task.stopping {
+		if !o.isCurrent() || o.Fence != c.fence(o.task.endpoint) || o.task.stopping {
 			continue
 		}
-		if !c.maySendStart(now, o.task.host) {
+		if !c.maySendStart(now, o.task.endpoint) {
 			c.cancelStart(o.task)
 			continue
 		}
 		o.task.orderedAt, o.task.orderAnswered, o.task.resending = now, false, false
-		o.sent, o.slot = now, c.pace.sent(now)
-		return o, c.grantLease(o.task.host, now), true
+		o.sent, o.slot = now, c.startLimiter.acquireSlot(now)
+		return o, c.grantLease(o.task.endpoint, now), true
 	}
 	return Order{}, 0, false
 }
 
 // isCurrent reports whether the order belongs to the newest run of its task.
 func (o *Order) isCurrent() bool {
-	return o.task != nil && o.task.host != nil && o.task.host.id == o.Endpoint && o.task.run == o.Run
+	return o.task != nil && o.task.endpoint != nil && o.task.endpoint.id == o.Endpoint && o.task.run == o.Run
 }
 
 // OrderDone applies the outcome of an order.
@@ -84,11 +84,11 @@
 	switch {
 	case o.slot == nil:
 	case result == OrderUnanswered:
-		c.pace.unanswered(now, o.slot)
+		c.startLimiter.recordTimeout(now, o.slot)
 	default:
-		c.pace.answered(now, o.slot)
+		c.startLimiter.recordAnswer(now, o.slot)
 	}
-	c.explainPace(now)
+	c.logStartLimit(now)
 	e := c.endpoints[o.Endpoint]
 	if e == nil || o.Fence != c.fence(e) {
 		return // sent to an earlier incarnation
@@ -110,7 +110,7 @@
 		return
 	}
 	t := o.task
-	if t == nil || t.host != e || t.run != o.Run {
+	if t == nil || t.endpoint != e || t.run != o.Run {
 		return
 	}
 	switch o.Kind {
@@ -193,7 +193,7 @@
 // Tick issues the stops that are due, repeats those whose run is still listed, and stops runs
 // that have stalled.
 func (c *Core) Tick(now time.Duration) {
-	c.judgeSpeeds()
+	c.updateSlowEndpoints()
 	for _, e := range c.endpoints {
 		if e.vacating && now > e.vacateUntil && !e.draining {
 			e.vacating = false
@@ -219,7 +219,7 @@
 	if t.gangStartOverdue(now) {
 		c.stopGangMembers(t.step)
 	}
-	c.rescue(e, t)
+	c.restartElsewhere(e, t)
 	if !t.stopping || e.addr == "" || t.stopSentAt > 0 && now-t.stopSentAt < stopRepeat {
 		return
 	}
@@ -248,11 +248,11 @@
 
 // isStalled reports whether a run has made no progress for too long.
 func (c *Core) isStalled(t *task) bool {
-	if t.step.spec.LongRunning && t.percent >= atWork {
+	if t.step.spec.LongRunning && t.percent >= fullyStarted {
 		return false
 	}
 	expected := time.Duration(c.taskMs(t.step)) * time.Millisecond
 	limit := max(minStallTimeout, stallFactor*expected/10)
 	// Progress is unknown while the endpoint does not answer.
-	return t.host.failedPolls == 0 && t.host.lastPollAnswer-max(t.progressAt, t.confirmedAt) > limit
+	return t.endpoint.failedPolls == 0 && t.endpoint.lastPollAnswer-max(t.progressAt, t.confirmedAt) > limit
 }
--- a/internal/executor/pace.go
+++ b/internal/executor/pace.go
@@ -62,25 +62,25 @@
 // placementBudget returns how many starts this round may decide. A start decided long before it is
 // sent occupies capacity that others could use, for a job that may no longer be the best.
 func (c *Core) placementBudget() int {
-	limit := c.pace.limit
-	if len(c.startQueue) == 0 && c.pace.free() > 0 {
+	limit := c.startLimiter.limit
+	if len(c.startQueue) == 0 && c.startLimiter.free() > 0 {
 		limit *= unlimitedFactor
 	}
-	limit = max(limit, c.pace.answerRate*(decideAhead+c.storeDelay).Seconds())
+	limit = max(limit, c.startLimiter.answerRate*(decideAhead+c.storeDelay).Seconds())
 	return int(limit) - len(c.startQueue) - c.startsNotDurable - len(c.decidedStarts)
 }
 
-// pacedLogInterval is the least time between log lines about the limit.
-const pacedLogInterval = time.Second
+// startLimitLogInterval is the least time between log lines about the limit.
+const startLimitLogInterval = time.Second
 
-// explainPace logs that the limit was lowered, with the limit as the event's run and the median
+// logStartLimit logs that the limit was lowered, with the limit as the event's run and the median
 // answer time as its age.
-func (c *Core) explainPace(now time.Duration) {
-	if !c.pace.slow || now-c.pacedAt < pacedLogInterval {
+func (c *Core) logStartLimit(now time.Duration) {
+	if !c.startLimiter.slow || now-c.startLimitLoggedAt < startLimitLogInterval {
 		return
 	}
-	c.pacedAt = now
-	c.event(Event{Kind: EventPaced, Run: int(c.pace.limit), Reason: "answers are slow", AgeMs: c.pace.median.Milliseconds()})
+	c.startLimitLoggedAt = now
+	c.event(Event{Kind: EventPaced, Run: int(c.startLimiter.limit), Reason: "answers are slow", AgeMs: c.startLimiter.median.Milliseconds()})
 }
 
 // slot is held by a start in flight.
@@ -89,10 +89,10 @@
 	released bool
 }
 
-// pace limits the starts in flight. Using the median answer time distinguishes an overloaded
+// startLimiter limits the starts in flight. Using the median answer time distinguishes an overloaded
 // owner from slow endpoints, as a minority of them does not shift it. Unresponsive endpoints
 // count only if no endpoint answers.
-type pace struct {
+type startLimiter struct {
 	limit    float64
 	inFlight int
 	// slots are those of the starts sent last, oldest first.
@@ -114,103 +114,103 @@
 	answerRate float64
 }
 
-func newPace() pace { return pace{limit: initialStartLimit} }
+func newStartLimiter() startLimiter { return startLimiter{limit: initialStartLimit} }
 
 // slowAnswerThreshold returns the answer time above which a median is slow.
-func (p *pace) slowAnswerThreshold() time.Duration {
-	return max(minSlowAnswer, slowAnswerFactor*p.bestMedian)
+func (l *startLimiter) slowAnswerThreshold() time.Duration {
+	return max(minSlowAnswer, slowAnswerFactor*l.bestMedian)
 }
 
 // free returns how many more starts may be sent.
-func (p *pace) free() int { return int(p.limit) - p.inFlight }
+func (l *startLimiter) free() int { return int(l.limit) - l.inFlight }
 
-// sent takes a slot for a start that has been sent.
-func (p *pace) sent(now time.Duration) *slot {
+// acquireSlot takes a slot for a start that has been sent.
+func (l *startLimiter) acquireSlot(now time.Duration) *slot {
 	s := &slot{sent: now}
-	p.slots = append(p.slots, s)
-	p.inFlight++
-	p.limitReached = p.limitReached || p.free() <= 0
+	l.slots = append(l.slots, s)
+	l.inFlight++
+	l.limitReached = l.limitReached || l.free() <= 0
 	return s
 }
 
 // release frees a start's slot.
-func (p *pace) release(s *slot) {
+func (l *startLimiter) release(s *slot) {
 	if s.released {
 		return
 	}
 	s.released = true
-	p.inFlight--
+	l.inFlight--
 }
 
-// pass frees the slots of starts that have been unanswered for too long.
-func (p *pace) pass(now time.Duration) {
-	for len(p.slots) > 0 && (p.slots[0].released || now-p.slots[0].sent > slotHoldFactor*p.slowAnswerThreshold()) {
-		p.release(p.slots[0])
-		p.slots = p.slots[1:]
+// releaseOverdueSlots frees the slots of starts that have been unanswered for too long.
+func (l *startLimiter) releaseOverdueSlots(now time.Duration) {
+	for len(l.slots) > 0 && (l.slots[0].released || now-l.slots[0].sent > slotHoldFactor*l.slowAnswerThreshold()) {
+		l.release(l.slots[0])
+		l.slots = l.slots[1:]
 	}
 }
 
-// unanswered records that a start has timed out.
-func (p *pace) unanswered(now time.Duration, s *slot) {
-	p.release(s)
-	if now-p.lastAnswer > noAnswerPeriod {
-		p.recordDuration(now, now-s.sent)
+// recordTimeout records that a start has timed out.
+func (l *startLimiter) recordTimeout(now time.Duration, s *slot) {
+	l.release(s)
+	if now-l.lastAnswer > noAnswerPeriod {
+		l.recordDuration(now, now-s.sent)
 	}
 }
 
-// answered records that a start was answered.
-func (p *pace) answered(now time.Duration, s *slot) {
-	p.release(s)
-	p.lastAnswer = now
-	p.recordDuration(now, now-s.sent)
+// recordAnswer records that a start was answered.
+func (l *startLimiter) recordAnswer(now time.Duration, s *slot) {
+	l.release(s)
+	l.lastAnswer = now
+	l.recordDuration(now, now-s.sent)
 }
 
-func (p *pace) recordDuration(now, took time.Duration) {
-	if len(p.durations) == 0 {
-		p.windowStart = now - took // idle time before the first start must not lower the rate
+func (l *startLimiter) recordDuration(now, took time.Duration) {
+	if len(l.durations) == 0 {
+		l.windowStart = now - took // idle time before the first start must not lower the rate
 	}
-	p.durations = append(p.durations, took)
-	due := len(p.durations) >= fullWindowAnswers || now-p.windowStart >= windowDuration && len(p.durations) >= minWindowAnswers
+	l.durations = append(l.durations, took)
+	due := len(l.durations) >= fullWindowAnswers || now-l.windowStart >= windowDuration && len(l.durations) >= minWindowAnswers
 	if due {
-		p.closeWindow(now)
+		l.closeWindow(now)
 	}
 }
 
-func (p *pace) closeWindow(now time.Duration) {
-	slices.Sort(p.durations)
-	p.median = p.durations[len(p.durations)/2]
-	p.slow = p.median > p.slowAnswerThreshold()
-	if p.limitReached || p.slow {
-		p.updateAnswerRate(float64(len(p.durations)) / max(time.Millisecond, now-p.windowStart).Seconds())
+func (l *startLimiter) closeWindow(now time.Duration) {
+	slices.Sort(l.durations)
+	l.median = l.durations[len(l.durations)/2]
+	l.slow = l.median > l.slowAnswerThreshold()
+	if l.limitReached || l.slow {
+		l.updateAnswerRate(float64(len(l.durations)) / max(time.Millisecond, now-l.windowStart).Seconds())
 	}
 	switch {
-	case p.slow:
-		p.limit = max(minStartLimit, p.limit*limitCutFactor)
-	case p.limitReached:
-		p.limit = min(maxStartLimit, p.limit+max(minLimitGrowth, p.limit*limitGrowth))
+	case l.slow:
+		l.limit = max(minStartLimit, l.limit*limitCutFactor)
+	case l.limitReached:
+		l.limit = min(maxStartLimit, l.limit+max(minLimitGrowth, l.limit*limitGrowth))
 	}
-	p.bestMedian = time.Duration(float64(p.bestMedian) * bestMedianGrowth)
-	if answered := now-p.lastAnswer <= noAnswerPeriod; answered && (p.bestMedian == 0 || p.median < p.bestMedian) {
-		p.bestMedian = p.median
+	l.bestMedian = time.Duration(float64(l.bestMedian) * bestMedianGrowth)
+	if answered := now-l.lastAnswer <= noAnswerPeriod; answered && (l.bestMedian == 0 || l.median < l.bestMedian) {
+		l.bestMedian = l.median
 	}
-	p.durations, p.limitReached = p.durations[:0], p.free() <= 0
+	l.durations, l.limitReached = l.durations[:0], l.free() <= 0
 }
 
 // updateAnswerRate updates the moving average of the rate.
-func (p *pace) updateAnswerRate(rate float64) {
+func (l *startLimiter) updateAnswerRate(rate float64) {
 	const share = 0.2
-	if p.answerRate == 0 {
-		p.answerRate = rate
+	if l.answerRate == 0 {
+		l.answerRate = rate
 		return
 	}
-	p.answerRate += share * (rate - p.answerRate)
+	l.answerRate += share * (rate - l.answerRate)
 }
 
-// startsWait returns how long it takes to send as many starts as wait, or 0 if the limit is not
+// startQueueDelay returns how long it takes to send as many starts as wait, or 0 if the limit is not
 // reached.
-func (p *pace) startsWait(waiting int) time.Duration {
-	if p.answerRate == 0 || p.free() > 0 {
+func (l *startLimiter) startQueueDelay(waiting int) time.Duration {
+	if l.answerRate == 0 || l.free() > 0 {
 		return 0
 	}
-	return time.Duration(float64(waiting) / p.answerRate * float64(time.Second))
+	return time.Duration(float64(waiting) / l.answerRate * float64(time.Second))
 }
--- a/internal/executor/pace_test.go
+++ b/internal/executor/pace_test.go
@@ -36,17 +36,17 @@
 
 // deliverDue delivers the answers and timeouts due at now, and returns how many of each there
 // were.
-func (l *serialLink) deliverDue(now time.Duration, p *pace) (answered, timedOut int) {
+func (l *serialLink) deliverDue(now time.Duration, p *startLimiter) (answered, timedOut int) {
 	for _, a := range l.takeDue(now) {
 		if a.inTime {
-			p.answered(now, a.slot)
+			p.recordAnswer(now, a.slot)
 			answered++
 		} else {
-			p.unanswered(now, a.slot)
+			p.recordTimeout(now, a.slot)
 			timedOut++
 		}
 	}
-	p.pass(now)
+	p.releaseOverdueSlots(now)
 	return answered, timedOut
 }
 
@@ -67,18 +67,18 @@
 // goodput simulates ten seconds of starts at a rate, over a link that carries 200 a second, and
 // returns how many per second were answered in time. An unanswered start is sent again, as an
 // owner does.
-func goodput(rate float64, paced bool) float64 {
+func goodput(rate float64, limited bool) float64 {
 	const lasts, tick = 10 * time.Second, time.Millisecond
 	l := &serialLink{work: 5 * time.Millisecond, timeout: 700 * time.Millisecond}
-	p := newPace()
+	p := newStartLimiter()
 	waiting, answeredInTime := 0.0, 0
 	for now := time.Duration(0); now < lasts; now += tick {
 		answered, timedOut := l.deliverDue(now, &p)
 		answeredInTime += answered
 		waiting += float64(timedOut) + rate*tick.Seconds()
-		for waiting >= 1 && (!paced || p.free() > 0) {
+		for waiting >= 1 && (!limited || p.free() > 0) {
 			waiting--
-			l.send(now, p.sent(now))
+			l.send(now, p.acquireSlot(now))
 		}
 	}
 	return float64(answeredInTime) / lasts.Seconds()
@@ -105,7 +105,7 @@
 	g := NewWithT(t)
 	const rate, unanswered, lasts = 1000.0, 240, 3 * time.Second
 	l := &serialLink{work: 200 * time.Microsecond, timeout: 700 * time.Millisecond}
-	p := newPace()
+	p := newStartLimiter()
 	waiting, failed, answeredInTime := 0.0, 0, 0
 	for now := time.Duration(0); now < lasts; now += time.Millisecond {
 		answered, _ := l.deliverDue(now, &p)
@@ -115,10 +115,10 @@
 			waiting--
 			if now > time.Second && failed < unanswered {
 				failed++
-				l.sendUnanswered(now, p.sent(now))
+				l.sendUnanswered(now, p.acquireSlot(now))
 				continue
 			}
-			l.send(now, p.sent(now))
+			l.send(now, p.acquireSlot(now))
 		}
 	}
 	g.Expect(failed).To(Equal(unanswered))
@@ -130,11 +130,11 @@
 func TestTimeoutsLowerTheStartLimit(t *testing.T) {
 	g := NewWithT(t)
 	l := &serialLink{timeout: 700 * time.Millisecond}
-	p := newPace()
+	p := newStartLimiter()
 	for now := time.Duration(0); now < 5*time.Second; now += time.Millisecond {
 		l.deliverDue(now, &p)
 		for p.free() > 0 {
-			l.sendUnanswered(now, p.sent(now))
+			l.sendUnanswered(now, p.acquireSlot(now))
 		}
 	}
 	g.Expect(int(p.limit)).To(Equal(minStartLimit))
@@ -145,39 +145,39 @@
 // once: an idle period must not count as a low start rate.
 func TestIdleTimeDoesNotLowerTheStartRate(t *testing.T) {
 	g := NewWithT(t)
-	p := newPace()
+	p := newStartLimiter()
 	l := &serialLink{work: 200 * time.Microsecond, timeout: 700 * time.Millisecond}
 	turn := func(from time.Duration) {
 		for now := from; now < from+100*time.Millisecond; now += time.Millisecond {
 			l.deliverDue(now, &p)
 			for p.free() > 0 {
-				l.send(now, p.sent(now))
+				l.send(now, p.acquireSlot(now))
 			}
 		}
 	}
 	turn(0)
 	turn(20 * time.Second)
-	g.Expect(p.startsWait(100)).To(BeNumerically("<", time.Second))
+	g.Expect(p.startQueueDelay(100)).To(BeNumerically("<", time.Second))
 }
 
 // Guards against a limit that stays at its initial value though the owner carries ten times as
 // many starts, which prolongs a demand peak.
 func TestStartLimitGrowsWithFastAnswers(t *testing.T) {
 	g := NewWithT(t)
-	p := newPace()
+	p := newStartLimiter()
 	now := time.Duration(0)
 	for range 200 {
 		now += 10 * time.Millisecond
 		var out []*slot
 		for p.free() > 0 {
-			out = append(out, p.sent(now))
+			out = append(out, p.acquireSlot(now))
 		}
 		for _, s := range out {
-			p.answered(now+6*time.Millisecond, s)
+			p.recordAnswer(now+6*time.Millisecond, s)
 		}
 	}
 	g.Expect(p.limit).To(BeNumerically(">", 5*initialStartLimit))
-	g.Expect(p.startsWait(100)).To(BeZero(), "nothing waits while the limit is not in the way")
+	g.Expect(p.startQueueDelay(100)).To(BeZero(), "nothing waits while the limit is not in the way")
 }
 
 // Guards against a late start that can't be explained from the log and the dump: its task was
@@ -187,13 +187,13 @@
 	c := New("pool", 1, Limits{}, 0)
 	now := time.Second
 	for range 3 * fullWindowAnswers {
-		s := c.pace.sent(now)
+		s := c.startLimiter.acquireSlot(now)
 		now += 10 * time.Millisecond
 		c.OrderDone(now, Order{Kind: OrderStart, slot: s}, OrderDone, Answer{})
 	}
 	g.Expect(c.TakeEvents()).To(BeEmpty(), "answers are fast")
 	for range 3 * fullWindowAnswers {
-		s := c.pace.sent(now)
+		s := c.startLimiter.acquireSlot(now)
 		now += 100 * time.Millisecond
 		c.OrderDone(now, Order{Kind: OrderStart, slot: s}, OrderDone, Answer{})
 	}
--- a/internal/executor/place.go
+++ b/internal/executor/place.go
@@ -8,8 +8,8 @@
 	"cyclamenwheel/internal/jobs"
 )
 
-// atWork is the progress, in percent, of a task that is fully started.
-const atWork = 100
+// fullyStarted is the progress, in percent, that a long-running task reports once it has started up.
+const fullyStarted = 100
 
 // usable reports whether tasks may be placed on the endpoint at all: service discovery lists it,
 // it is neither draining nor being vacated, and its state under this epoch has been read.
@@ -21,7 +21,7 @@
 // answered its last lease renewal gets none: a start sent there would block its task until the
 // lease has expired.
 func (c *Core) isOpen(now time.Duration, e *endpoint) bool {
-	return c.closedBy(now, e) == obstacleNone
+	return c.endpointObstacle(now, e) == obstacleNone
 }
 
 func (e *endpoint) free() Room { return e.capacity.Minus(e.used) }
@@ -29,29 +29,29 @@
 // occupy allocates a task's resources on an endpoint.
 func (c *Core) occupy(t *task, e *endpoint) {
 	t.phase = taskPlaced
-	t.host = e
+	t.endpoint = e
 	e.tasks[t] = true
 	e.used = e.used.Plus(needs(t.step.spec))
-	t.step.perHost[e]++
+	t.step.perEndpoint[e]++
 	t.step.job.placedTasks++
-	c.allowance.Take(t.step.job.rec.Account, declared(t.step.spec))
+	c.allowance.Take(t.step.job.rec.Account, accountUsage(t.step.spec))
 	t.beginIsolation()
 }
 
 // release takes a task off its endpoint and frees its resources. The caller sets the task's next
 // phase.
 func (c *Core) release(t *task) {
-	e := t.host
+	e := t.endpoint
 	t.endIsolation()
 	delete(e.tasks, t)
 	e.used = e.used.Minus(needs(t.step.spec))
-	t.step.perHost[e]--
-	if t.step.perHost[e] == 0 {
-		delete(t.step.perHost, e)
+	t.step.perEndpoint[e]--
+	if t.step.perEndpoint[e] == 0 {
+		delete(t.step.perEndpoint, e)
 	}
 	t.step.job.placedTasks--
-	c.allowance.Give(t.step.job.rec.Account, declared(t.step.spec))
-	t.host = nil
+	c.allowance.Give(t.step.job.rec.Account, accountUsage(t.step.spec))
+	t.endpoint = nil
 	t.orderedAt, t.confirmedAt, t.stopSentAt = 0, 0, 0
 	t.orderAnswered, t.resending, t.stopping, t.onCurrentIncarnation, t.restored, t.resumed = false, false, false, false, false, false
 	t.percent, t.listedAt, t.ticket = 0, 0, ""
@@ -69,7 +69,7 @@
 	c.evictEnded()
 	c.evictRefused(now)
 	c.sortOpen()
-	c.forgetBlocked()
+	c.dropIdleAccounts()
 	c.explainWaiting(now)
 	c.updateCautious(now)
 	endpoints := c.openEndpoints(now)
@@ -83,7 +83,7 @@
 		if j.rec.State.Ended() || !j.waits() {
 			continue
 		}
-		if !lasting(&j.rec.Job) && c.hopeless(now, j) {
+		if !isLongRunning(&j.rec.Job) && c.cannotMeetObjective(now, j) {
 			late = append(late, j)
 			continue
 		}
@@ -162,13 +162,13 @@
 
 func (c *Core) placeStep(now time.Duration, s *stepRun, endpoints []*endpoint) {
 	for _, t := range s.tasks {
-		if !c.mayPlace(s) || !c.admits(now, s, 1) {
+		if !c.mayPlace(s) || !c.admitsStart(now, s, 1) {
 			return
 		}
 		if !c.isDue(now, t) {
 			continue
 		}
-		e := c.choose(now, t, endpoints)
+		e := c.bestEndpoint(now, t, endpoints)
 		if e == nil {
 			return
 		}
@@ -183,7 +183,7 @@
 // placeGang places all tasks of a gang or none, because an incomplete gang would hold resources
 // without making progress. All members get the same run number.
 func (c *Core) placeGang(now time.Duration, s *stepRun, endpoints []*endpoint) {
-	if !c.mayPlace(s) || !c.admits(now, s, len(s.tasks)) {
+	if !c.mayPlace(s) || !c.admitsStart(now, s, len(s.tasks)) {
 		return
 	}
 	run := 0
@@ -227,13 +227,13 @@
 	var chosen []*endpoint
 	undo := func() {
 		for i, t := range s.tasks[:len(chosen)] {
-			t.host = chosen[i]
+			t.endpoint = chosen[i]
 			c.release(t)
 			t.phase = taskWaiting
 		}
 	}
 	for _, t := range s.tasks {
-		e := c.choose(now, t, endpoints)
+		e := c.bestEndpoint(now, t, endpoints)
 		if e == nil {
 			undo()
 			return false
@@ -259,7 +259,7 @@
 	t.step.job.startDecided = true
 	t.progressAt = now
 	t.isolationWaitSince = 0
-	delete(c.blocked, t.step.job.rec.Account)
+	delete(c.atShareSince, t.step.job.rec.Account)
 	c.markDirty(t.step.job)
 	c.decidedStarts = append(c.decidedStarts, c.startOrder(t))
 	c.placementsLeft--
@@ -267,11 +267,11 @@
 }
 
 func (c *Core) startOrder(t *task) Order {
-	return Order{Kind: OrderStart, Endpoint: t.host.id, Addr: t.host.addr, Fence: c.fence(t.host), Task: t.name(), Run: t.run,
+	return Order{Kind: OrderStart, Endpoint: t.endpoint.id, Addr: t.endpoint.addr, Fence: c.fence(t.endpoint), Task: t.name(), Run: t.run,
 		Spec: t.step.job.rec.Job.Spec, Checkpoint: t.checkpoint, Ticket: t.ticket, task: t}
 }
 
-func (e *endpoint) hasLasting() bool {
+func (e *endpoint) hasLongRunning() bool {
 	for t := range e.tasks {
 		if t.step.spec.LongRunning {
 			return true
@@ -280,8 +280,8 @@
 	return false
 }
 
-// choose returns the endpoint with the highest score for a task, or nil if none fits.
-func (c *Core) choose(now time.Duration, t *task, endpoints []*endpoint) *endpoint {
+// bestEndpoint returns the endpoint with the highest score for a task, or nil if none fits.
+func (c *Core) bestEndpoint(now time.Duration, t *task, endpoints []*endpoint) *endpoint {
 	var best *endpoint
 	bestScore := 0.0
 	for _, e := range endpoints {
@@ -300,11 +300,11 @@
 	return c.obstacle(now, t, e) == obstacleNone
 }
 
-// sharesBadly reports whether a filler task and a serving task would share the endpoint. Load:
-// filler tasks disturb the response times of serving tasks by amounts that change within seconds
-// and can't be predicted. Keeping them apart avoids this, at the price of an endpoint that runs
-// fillers only.
-func sharesBadly(s *jobs.Step, e *endpoint) bool {
+// mixesFillerAndServing reports whether a filler task and a serving task would share the endpoint.
+// Load: filler tasks disturb the response times of serving tasks by amounts that change within
+// seconds and can't be predicted. Keeping them apart avoids this, at the price of an endpoint that
+// runs fillers only.
+func mixesFillerAndServing(s *jobs.Step, e *endpoint) bool {
 	if !s.Fills && !s.Serves() {
 		return false
 	}
@@ -322,11 +322,11 @@
 	// remoteDataPenalty applies if the task's data is on another rack: the task then takes
 	// remoteFactor times as long.
 	remoteDataPenalty = 2.0
-	// avoidFailed is a penalty for the incarnation on which the task last failed.
-	avoidFailed = 3.0
-	// besideLasting is a bonus that packs long-running tasks onto few endpoints, so that the
+	// failedEndpointPenalty is a penalty for the incarnation on which the task last failed.
+	failedEndpointPenalty = 3.0
+	// packLongRunningBonus is a bonus that packs long-running tasks onto few endpoints, so that the
 	// others can be moved and maintained without stopping any.
-	besideLasting = 2.0
+	packLongRunningBonus = 2.0
 	// vacatedSoonPenalty keeps long-running tasks off endpoints that a maintenance wave is still
 	// to take. There they would be stopped and moved a second time, and the disruption budget
 	// for that is what makes waves late.
@@ -346,17 +346,17 @@
 	switch {
 	case t.evidence.Suspect:
 		score = t.isolationScore(e, free)
-	case s.LongRunning && e.hasLasting():
-		score += besideLasting
+	case s.LongRunning && e.hasLongRunning():
+		score += packLongRunningBonus
 	}
-	if s.LongRunning && now < e.dueUntil {
+	if s.LongRunning && now < e.vacatingSoonUntil {
 		score -= vacatedSoonPenalty
 	}
 	if s.DataRack != "" && s.DataRack != e.rack {
 		score -= remoteDataPenalty
 	}
 	if t.avoid == e.incarnation() {
-		score -= avoidFailed
+		score -= failedEndpointPenalty
 	}
 	return score - failurePenalty*float64(e.consecutiveFailures)
 }
--- a/internal/executor/reserve.go
+++ b/internal/executor/reserve.go
@@ -22,24 +22,24 @@
 
 // reserve reserves endpoints for long-running tasks that find no free capacity, and for suspect
 // tasks that find no endpoint without recently started tasks.
-func (c *Core) reserve(now time.Duration, hosts []*endpoint) {
-	kept := c.dropReservations(now)
-	most := max(1, int(maxReservedShare*float64(len(hosts))))
+func (c *Core) reserve(now time.Duration, endpoints []*endpoint) {
+	reserved := c.dropReservations(now)
+	most := max(1, int(maxReservedShare*float64(len(endpoints))))
 	tried := 0
 	for _, t := range append(c.startableLongRunningTasks(now), c.suspectsWaiting(now)...) {
-		if len(kept) >= most || tried == maxReservationTriesPerRound {
+		if len(reserved) >= most || tried == maxReservationTriesPerRound {
 			return
 		}
-		if kept[t] {
+		if reserved[t] {
 			continue
 		}
 		tried++
-		if c.choose(now, t, hosts) != nil {
+		if c.bestEndpoint(now, t, endpoints) != nil {
 			continue // this round places it
 		}
-		if e := c.endpointToReserve(now, t, hosts); e != nil {
-			e.keptFor, e.keptUntil = t, now+reservationDuration
-			kept[t] = true
+		if e := c.endpointToReserve(now, t, endpoints); e != nil {
+			e.reservedFor, e.reservedUntil = t, now+reservationDuration
+			reserved[t] = true
 			c.event(Event{Kind: EventKept, Job: t.step.job.rec.Job.ID, Task: t.name(), Endpoint: e.id, Run: len(e.tasks)})
 		}
 	}
@@ -48,18 +48,18 @@
 // dropReservations ends the reservations that are used or expired, and returns the tasks of the
 // others.
 func (c *Core) dropReservations(now time.Duration) map[*task]bool {
-	kept := map[*task]bool{}
+	reserved := map[*task]bool{}
 	for _, e := range c.endpoints {
-		if e.keptFor == nil {
+		if e.reservedFor == nil {
 			continue
 		}
-		if t := e.keptFor; now >= e.keptUntil || !c.isOpen(now, e) || t.phase != taskWaiting || t.step.job.rec.State.Ended() {
-			e.keptFor = nil
+		if t := e.reservedFor; now >= e.reservedUntil || !c.isOpen(now, e) || t.phase != taskWaiting || t.step.job.rec.State.Ended() {
+			e.reservedFor = nil
 			continue
 		}
-		kept[e.keptFor] = true
+		reserved[e.reservedFor] = true
 	}
-	return kept
+	return reserved
 }
 
 // startableLongRunningTasks returns the long-running tasks that could start now.
@@ -85,10 +85,10 @@
 
 // endpointToReserve returns the endpoint with the most free capacity among those that would fit
 // the task once their short tasks have ended.
-func (c *Core) endpointToReserve(now time.Duration, t *task, hosts []*endpoint) *endpoint {
+func (c *Core) endpointToReserve(now time.Duration, t *task, endpoints []*endpoint) *endpoint {
 	var best *endpoint
-	for _, e := range hosts {
-		if e.keptFor != nil || !e.capacityWithoutShortTasks().Holds(needs(t.step.spec)) || c.mismatch(now, t, e) != obstacleNone {
+	for _, e := range endpoints {
+		if e.reservedFor != nil || !e.capacityWithoutShortTasks().Holds(needs(t.step.spec)) || c.taskObstacle(now, t, e) != obstacleNone {
 			continue
 		}
 		if best == nil || e.free().CPUMilli > best.free().CPUMilli {
--- a/internal/executor/restart_test.go
+++ b/internal/executor/restart_test.go
@@ -169,7 +169,7 @@
 }
 
 // startReachesNextIncarnation restarts an endpoint unseen and lets the start of a long task that was
-// sent to its earlier incarnation reach the next one; the owner stops before it learns of that.
+// sent to its earlier incarnation reach the next one; the owner stops before that is reported to it.
 func (w *world) startReachesNextIncarnation(g Gomega, o *owner, h *host) jobs.Job {
 	w.hosts["i-01"].draining = true
 	w.lengthOf = func(jobs.TaskName) time.Duration { return 9 * time.Second }
@@ -183,7 +183,7 @@
 }
 
 // Guards against a task that runs twice at once: its start, with a lease by an earlier incarnation's
-// clock, has reached the next one, and its owner stops before it learns of that. The next owner
+// clock, has reached the next one, and its owner stops before that is reported to it. The next owner
 // assumes that the lease is as short as its own.
 func TestANewOwnerRestoresWhichIncarnationAStartWasFor(t *testing.T) {
 	g := NewWithT(t)
--- a/internal/executor/speed.go
+++ b/internal/executor/speed.go
@@ -33,11 +33,11 @@
 	// maxUsualSpeed bounds the usual speed, should all endpoints be faster than when the
 	// queue's run lengths were measured.
 	maxUsualSpeed = 1.5
-	// rescueFactor is how many times longer the rest of a run must take than the whole run
+	// slowRestartFactor is how many times longer the rest of a run must take than the whole run
 	// elsewhere: the stop takes time and the work done is lost.
-	rescueFactor = 2.0
-	// maxRescues bounds the restarts of one task, as the task itself may be slow.
-	maxRescues = 1
+	slowRestartFactor = 2.0
+	// maxSlowRestarts bounds the restarts of one task, as the task itself may be slow.
+	maxSlowRestarts = 1
 )
 
 // speed is an endpoint's speed relative to the measured lengths of the queues' runs: 1 is as
@@ -65,34 +65,34 @@
 // hasEnoughData reports whether the endpoint can be rated.
 func (s *speed) hasEnoughData() bool { return s.weight >= minSpeedWeight }
 
-// noteProgress updates an endpoint's speed from a run's reported progress. clock is the
+// updateSpeed updates an endpoint's speed from a run's reported progress. clock is the
 // endpoint's own clock, as the report may have been delayed on its way or in this process.
-func (c *Core) noteProgress(clock time.Duration, t *task, percent int) {
+func (c *Core) updateSpeed(clock time.Duration, t *task, percent int) {
 	lastPercent, lastReport := t.percent, t.listedAt
 	if clock <= lastReport {
 		return // reports can arrive out of order
 	}
 	t.listedAt = clock
-	if lastReport == 0 || percent < lastPercent || !indicatesSpeed(t) || !c.hasLearnedLengths(t.step.job) {
+	if lastReport == 0 || percent < lastPercent || !indicatesSpeed(t) || !c.hasMeasuredLengths(t.step.job) {
 		return
 	}
-	t.host.speed.add(float64(percent-lastPercent)/100*c.taskMs(t.step), clock-lastReport)
+	t.endpoint.speed.add(float64(percent-lastPercent)/100*c.taskMs(t.step), clock-lastReport)
 }
 
-// hasLearnedLengths reports whether enough runs of the job's queue were measured. By callers'
+// hasMeasuredLengths reports whether enough runs of the job's queue were measured. By callers'
 // estimates alone, an endpoint would seem slow whose jobs were estimated too short.
-func (c *Core) hasLearnedLengths(j *job) bool { return c.learned[j.rec.Queue].hasEnoughRuns() }
+func (c *Core) hasMeasuredLengths(j *job) bool { return c.lengthModels[j.rec.Queue].hasEnoughRuns() }
 
 // indicatesSpeed reports whether a run's progress indicates its endpoint's speed: a gang member
 // waits for the others, and a task away from its data is slow on any endpoint.
 func indicatesSpeed(t *task) bool {
 	s := t.step.spec
-	atData := s.DataRack == "" || s.DataRack == t.host.rack
+	atData := s.DataRack == "" || s.DataRack == t.endpoint.rack
 	return !s.LongRunning && !s.Gang && atData && !t.stopping
 }
 
-// judgeSpeeds compares the pool's endpoints with each other and marks the slow ones.
-func (c *Core) judgeSpeeds() {
+// updateSlowEndpoints compares the pool's endpoints with each other and marks the slow ones.
+func (c *Core) updateSlowEndpoints() {
 	usual := c.usualSpeed()
 	for _, e := range c.endpoints {
 		s := &e.speed
@@ -142,17 +142,17 @@
 	return min(maxUsualSpeed, values[len(values)/2])
 }
 
-// rescue stops a run on a slow endpoint if it would end sooner when restarted elsewhere. Its
+// restartElsewhere stops a run on a slow endpoint if it would end sooner when restarted elsewhere. Its
 // checkpoint, if any, is kept.
-func (c *Core) rescue(e *endpoint, t *task) {
-	if !e.speed.slow || t.rescues >= maxRescues || t.confirmedAt == 0 || t.stopping || !indicatesSpeed(t) {
+func (c *Core) restartElsewhere(e *endpoint, t *task) {
+	if !e.speed.slow || t.slowRestarts >= maxSlowRestarts || t.confirmedAt == 0 || t.stopping || !indicatesSpeed(t) {
 		return
 	}
 	remaining := (1 - float64(t.percent)/100) / max(e.speed.value, 0.01)
-	if remaining < rescueFactor {
+	if remaining < slowRestartFactor {
 		return
 	}
-	t.rescues++
+	t.slowRestarts++
 	t.avoid = e.incarnation()
 	c.requestStop(t, "endpoint slow")
 }
--- a/internal/executor/submit.go
+++ b/internal/executor/submit.go
@@ -196,7 +196,7 @@
 	for i := range j.rec.Job.Steps {
 		spec := &j.rec.Job.Steps[i]
 		s := &stepRun{job: j, occ: o, index: i, spec: spec, left: spec.Count, waiting: spec.Count,
-			waitsFor: len(uniqueInts(spec.After)), perHost: map[*endpoint]int{}}
+			waitsFor: len(uniqueInts(spec.After)), perEndpoint: map[*endpoint]int{}}
 		block := make([]task, spec.Count)
 		s.tasks = make([]*task, spec.Count)
 		for k := range block {
@@ -263,18 +263,18 @@
 	if !c.canEverRun(j) {
 		return Refusal{Reason: RefusedAccount}, true
 	}
-	if lasting(&j.rec.Job) || j.rec.Job.Occurrences > 0 {
+	if isLongRunning(&j.rec.Job) || j.rec.Job.Occurrences > 0 {
 		return Refusal{}, false
 	}
 	pool := float64(c.shortTaskCPU())
 	if pool <= 0 {
 		return Refusal{}, false
 	}
-	chain := c.chainMs(j)
-	slack := (j.rec.Terms.Stretch-1)*chain + float64(j.rec.Terms.Slack.Milliseconds())
+	criticalPath := c.criticalPathMs(j)
+	slack := (j.rec.Terms.Stretch-1)*criticalPath + float64(j.rec.Terms.Slack.Milliseconds())
 	ahead := c.backlog(now, j.rec.Terms.Priority)
-	backlog := c.withinShares(ahead.byAccount, slack)
-	wait := max(c.waitMs(now, backlog, pool), float64(c.pace.startsWait(ahead.tasks+len(c.startQueue)).Milliseconds()))
+	backlog := c.workWithinShares(ahead.byAccount, slack)
+	wait := max(c.drainMs(now, backlog, pool), float64(c.startLimiter.startQueueDelay(ahead.tasks+len(c.startQueue)).Milliseconds()))
 	reason := RefusedBacklog
 	if accountWait := c.accountWaitMs(now, j.rec.Account, ahead.byAccount[j.rec.Account]); accountWait > wait {
 		wait, reason = accountWait, RefusedAccountBacklog
@@ -301,12 +301,12 @@
 	} else {
 		delete(c.refusedSince, id)
 	}
-	if resubmitted || lasting(&j.rec.Job) {
+	if resubmitted || isLongRunning(&j.rec.Job) {
 		return firstOffered
 	}
 	for i := range j.rec.Job.Steps {
 		st := &j.rec.Job.Steps[i]
-		c.offered += float64(st.Count) * float64(st.CPUMilli) / 1000 * c.expectMs(j.rec.Queue, st)
+		c.offered += float64(st.Count) * float64(st.CPUMilli) / 1000 * c.expectedTaskMs(j.rec.Queue, st)
 	}
 	return firstOffered
 }
@@ -320,8 +320,8 @@
 	}
 }
 
-// lasting reports whether the job has a long-running step.
-func lasting(j *jobs.Job) bool {
+// isLongRunning reports whether the job has a long-running step.
+func isLongRunning(j *jobs.Job) bool {
 	for i := range j.Steps {
 		if j.Steps[i].LongRunning {
 			return true
@@ -335,13 +335,13 @@
 	total := 0
 	for _, e := range c.endpoints {
 		if e.usable() {
-			total += max(0, e.capacity.CPUMilli-e.lastingCPU())
+			total += max(0, e.capacity.CPUMilli-e.longRunningCPU())
 		}
 	}
 	return total
 }
 
-func (e *endpoint) lastingCPU() int {
+func (e *endpoint) longRunningCPU() int {
 	cpu := 0
 	for t := range e.tasks {
 		if t.step.spec.LongRunning && !t.step.spec.Fills {
@@ -364,7 +364,7 @@
 func (c *Core) backlog(now time.Duration, priority int) queuedWork {
 	q := queuedWork{byAccount: map[string]float64{}}
 	for _, j := range c.open {
-		if j.rec.State.Ended() || j.rec.Terms.Priority > priority || lasting(&j.rec.Job) || c.hopeless(now, j) {
+		if j.rec.State.Ended() || j.rec.Terms.Priority > priority || isLongRunning(&j.rec.Job) || c.cannotMeetObjective(now, j) {
 			continue
 		}
 		w := c.remaining(j)
--- a/internal/executor/summary.go
+++ b/internal/executor/summary.go
@@ -42,7 +42,7 @@
 }
 
 func (e *endpoint) hostLoad() HostLoad {
-	return HostLoad{Endpoint: e.id, UsedMilli: e.used.CPUMilli, Tasks: len(e.tasks), Lasting: e.hasLasting()}
+	return HostLoad{Endpoint: e.id, UsedMilli: e.used.CPUMilli, Tasks: len(e.tasks), Lasting: e.hasLongRunning()}
 }
 
 // lateJobShare is how much of the ready work of jobs that will be late anyway counts as demand
@@ -60,17 +60,17 @@
 		s.CapacityMilli += e.capacity.CPUMilli
 		s.RunningCPUMilli += e.used.CPUMilli
 		s.Hosts = append(s.Hosts, e.hostLoad())
-		s.LastingCPUMilli += e.lastingCPU()
+		s.LastingCPUMilli += e.longRunningCPU()
 	}
 	slices.SortFunc(s.Hosts, func(a, b HostLoad) int { return cmp.Compare(a.Endpoint, b.Endpoint) })
 	s.OfferedCoreMs = c.offered
-	s.LeastHosts, s.Starved = c.minLongRunningHosts(), c.countUnplaceableSteps(now)
+	s.LeastHosts, s.Starved = c.minLongRunningEndpoints(), c.countUnplaceableSteps(now)
 	for _, j := range c.open {
-		if j.rec.State.Ended() || lasting(&j.rec.Job) {
+		if j.rec.State.Ended() || isLongRunning(&j.rec.Job) {
 			continue
 		}
 		w := c.remaining(j)
-		if c.hopeless(now, j) {
+		if c.cannotMeetObjective(now, j) {
 			w.ready *= lateJobShare
 		}
 		s.ReadyCoreMs += w.ready / 1000
@@ -84,9 +84,9 @@
 	return s
 }
 
-// minLongRunningHosts returns how many endpoints the long-running steps need at least: serving
+// minLongRunningEndpoints returns how many endpoints the long-running steps need at least: serving
 // and filling steps never share an endpoint.
-func (c *Core) minLongRunningHosts() int {
+func (c *Core) minLongRunningEndpoints() int {
 	serving, filling := 0, 0
 	for _, j := range c.open {
 		if j.rec.State.Ended() {
@@ -116,7 +116,7 @@
 func (c *Core) countUnplaceableSteps(now time.Duration) int {
 	n := 0
 	for _, j := range c.open {
-		if j.rec.State.Ended() || !lasting(&j.rec.Job) {
+		if j.rec.State.Ended() || !isLongRunning(&j.rec.Job) {
 			continue
 		}
 		for _, t := range j.firstWaitingTasks() {
--- a/internal/executor/trial.go
+++ b/internal/executor/trial.go
@@ -27,7 +27,7 @@
 // beginIsolation reserves the endpoint of a suspect for that suspect's job.
 func (t *task) beginIsolation() {
 	if t.evidence.Suspect {
-		t.isIsolated, t.host.isolatedFor = true, t.step.job
+		t.isIsolated, t.endpoint.isolatedFor = true, t.step.job
 	}
 }
 
@@ -37,17 +37,17 @@
 		return
 	}
 	t.isIsolated = false
-	for other := range t.host.tasks {
+	for other := range t.endpoint.tasks {
 		if other.isIsolated {
 			return
 		}
 	}
-	t.host.isolatedFor = nil
+	t.endpoint.isolatedFor = nil
 }
 
 // isIsolating reports whether an endpoint has an isolated run of a suspect or is reserved for one.
 func (e *endpoint) isIsolating() bool {
-	return e.isolatedFor != nil || e.keptFor != nil && e.keptFor.evidence.Suspect
+	return e.isolatedFor != nil || e.reservedFor != nil && e.reservedFor.evidence.Suspect
 }
 
 // needsIsolatedRun reports whether a task may only be placed where no run of another job is new.
@@ -59,11 +59,11 @@
 // than that of its last crash.
 func (t *task) isolationScore(e *endpoint, free float64) float64 {
 	score := free
-	if e.hasLasting() {
-		score -= besideLasting
+	if e.hasLongRunning() {
+		score -= packLongRunningBonus
 	}
 	if e.addr == t.evidence.Addr {
-		score -= avoidFailed
+		score -= failedEndpointPenalty
 	}
 	return score
 }
--- a/internal/executor/vacate.go
+++ b/internal/executor/vacate.go
@@ -48,7 +48,7 @@
 func (c *Core) LeavesSoon(now time.Duration, ids []string) {
 	for _, id := range ids {
 		if e := c.endpoints[id]; e != nil {
-			e.dueUntil = now + vacateFor
+			e.vacatingSoonUntil = now + vacateFor
 		}
 	}
 }
@@ -95,7 +95,7 @@
 		return
 	}
 	t.stopping = true
-	c.event(Event{Kind: EventStop, Job: t.step.job.rec.Job.ID, Task: t.name(), Run: t.run, Endpoint: t.host.id, Reason: reason})
+	c.event(Event{Kind: EventStop, Job: t.step.job.rec.Job.ID, Task: t.name(), Run: t.run, Endpoint: t.endpoint.id, Reason: reason})
 }
 
 // countUnavailable counts the tasks of a step, other than one, that are not confirmed to be
@@ -103,7 +103,7 @@
 func (c *Core) countUnavailable(s *stepRun, except *task) int {
 	n := 0
 	for _, t := range s.tasks {
-		if t != except && (t.phase != taskPlaced || t.stopping || t.percent < atWork || t.host.failedPolls > 0) {
+		if t != except && (t.phase != taskPlaced || t.stopping || t.percent < fullyStarted || t.endpoint.failedPolls > 0) {
 			n++
 		}
 	}
--- a/internal/executor/world_test.go
+++ b/internal/executor/world_test.go
@@ -33,7 +33,7 @@
 	// runs is the history of each task, by name.
 	runs   map[string]*history
 	limits executor.Limits
-	// lengthOf, if set, returns how long a task takes on any host.
+	// lengthOf, if set, returns how long a task takes on any endpoint.
 	lengthOf func(jobs.TaskName) time.Duration
 	// slowJournal makes the journal accept several batches at a time and answer them late.
 	slowJournal bool
