--- a/internal/executor/accounts_test.go
+++ b/internal/executor/accounts_test.go
@@ -60,8 +60,8 @@
 	})
 })
 
-// limited gives an account a limit of milli milli-cores in this pool.
-func limited(w *world, o *owner, account string, milli int, rev int64) {
+// setAccountLimit gives an account a limit of milli milli-cores in this pool.
+func setAccountLimit(w *world, o *owner, account string, milli int, rev int64) {
 	d := accounts.NewDirectory()
 	limit := accounts.Limit{CPUMilli: milli}
 	if err := d.Add(accounts.Account{Name: account, Limit: limit}); err != nil {
@@ -71,10 +71,10 @@
 	o.core.TakeShares(w.now, []quota.Grant{{Account: account, Share: quota.Whole, Limit: limit, Ceiling: limit, Rev: rev}})
 }
 
-// noteAccount records a violation if the account's running tasks exceed its limit.
-func (w *world) noteAccount() {
+// checkAccountLimit records a violation if the account's running tasks exceed its limit.
+func (w *world) checkAccountLimit() {
 	if running := 1000 * w.runningTasks(); w.account != "" && running > w.limitMilli {
-		w.broken = append(w.broken, fmt.Sprintf("%v: the account has %d of %d running", w.now, running, w.limitMilli))
+		w.violations = append(w.violations, fmt.Sprintf("%v: the account has %d of %d running", w.now, running, w.limitMilli))
 	}
 }
 
@@ -85,14 +85,14 @@
 	for seed := uint64(1); seed <= uint64(seeds/3+additionalSeeds()); seed++ {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			t.Parallel()
-			randomDay(NewWithT(t), seed, variant{inOrder: seed%2 == 0, slowJournal: seed%3 == 0, restarts: seed%5 == 0, crashing: seed%4 == 0, limited: true})
+			randomScenario(NewWithT(t), seed, variant{inOrder: seed%2 == 0, slowJournal: seed%3 == 0, restarts: seed%5 == 0, crashing: seed%4 == 0, limited: true})
 		})
 	}
 }
 
 func (w *world) runningTasks() int {
 	n := 0
-	for _, h := range w.hosts {
+	for _, h := range w.endpoints {
 		n += len(h.running)
 	}
 	return n
@@ -104,7 +104,7 @@
 		w := newWorld(1, 4)
 		o := w.takeOver()
 		w.run(10 * step)
-		limited(w, o, "alpha", 2500, 1)
+		setAccountLimit(w, o, "alpha", 2500, 1)
 		w.lengthOf = func(jobs.TaskName) time.Duration { return 700 * time.Millisecond }
 		wide := small(6)
 		wide.CPUMilli = 1000
@@ -120,8 +120,8 @@
 		Expect(w.state(o, j)).To(Equal("completed"))
 	})
 
-	// Guards against a new owner without a recorded share that starts what its predecessor
-	// gave away.
+	// Guards against a new owner that, without a recorded share, starts tasks on a share that its
+	// predecessor has returned.
 	It("lets no task start without a recorded share", func() {
 		w := newWorld(1, 4)
 		o := w.takeOver()
@@ -131,7 +131,7 @@
 		w.run(100 * step)
 		Expect(w.runningTasks()).To(BeZero())
 		Expect(o.core.Dump(w.now).Jobs[0].Waiting[0]).To(ContainSubstring("its account's limit"))
-		limited(w, o, "alpha", 5000, 1)
+		setAccountLimit(w, o, "alpha", 5000, 1)
 		w.run(100 * step)
 		Expect(w.state(o, j)).To(Equal("completed"))
 	})
@@ -141,7 +141,7 @@
 		w := newWorld(1, 2)
 		o := w.takeOver()
 		w.run(10 * step)
-		limited(w, o, "alpha", 1000, 1)
+		setAccountLimit(w, o, "alpha", 1000, 1)
 		w.lengthOf = func(n jobs.TaskName) time.Duration {
 			if n.Job == jobOf(1).ID {
 				return time.Minute
@@ -164,7 +164,7 @@
 		w := newWorld(1, 4)
 		o := w.takeOver()
 		w.run(10 * step)
-		limited(w, o, "alpha", 1500, 1)
+		setAccountLimit(w, o, "alpha", 1500, 1)
 		limit := accounts.Limit{CPUMilli: 1500}
 		o.core.TakeShares(w.now, []quota.Grant{{Account: "alpha", Share: quota.Whole / 2, Limit: limit, Ceiling: limit, Rev: 2}}) // less than a task
 		wide := jobOf(1, small(20))
@@ -187,13 +187,13 @@
 		w := newWorld(1, 4)
 		o := w.takeOver()
 		w.run(10 * step)
-		limited(w, o, "alpha", 3000, 1)
+		setAccountLimit(w, o, "alpha", 3000, 1)
 		together := small(4)
 		together.Gang, together.CPUMilli = true, 1000
 		verdict, refusal := o.core.Submit(w.now, jobOf(1, together), accepting("alpha"), 1)
 		Expect(verdict).To(Equal(executor.VerdictRefused), "it can never start")
 		Expect(refusal).To(Equal(executor.Refusal{Reason: executor.RefusedAccount}), "a retry would not help")
-		limited(w, o, "alpha", 5000, 2)
+		setAccountLimit(w, o, "alpha", 5000, 2)
 		w.lengthOf = func(jobs.TaskName) time.Duration { return 400 * time.Millisecond }
 		o.core.Submit(w.now, jobOf(2, small(2)), accepting("alpha"), 2)
 		w.run(5 * step)
@@ -204,7 +204,7 @@
 		Expect(w.runningTasks()).To(Equal(2), "three of the gang would fit")
 		w.run(2 * time.Second)
 		Expect(w.state(o, j)).To(Equal("completed"))
-		Expect(w.broken).To(BeEmpty())
+		Expect(w.violations).To(BeEmpty())
 	})
 
 	// Guards against usage missing from a new owner's reports: the holder of the shares would
@@ -213,7 +213,7 @@
 		w := newWorld(1, 2)
 		o := w.takeOver()
 		w.run(10 * step)
-		limited(w, o, "alpha", 5000, 1)
+		setAccountLimit(w, o, "alpha", 5000, 1)
 		w.lengthOf = func(jobs.TaskName) time.Duration { return time.Minute }
 		o.core.Submit(w.now, jobOf(1, small(3)), accepting("alpha"), 1)
 		w.run(20 * step)
--- a/internal/executor/bench_test.go
+++ b/internal/executor/bench_test.go
@@ -13,7 +13,7 @@
 func pool(endpoints, waiting int) (*world, *owner) {
 	w := newWorld(1, 0)
 	for i := range endpoints {
-		w.addHost(fmt.Sprintf("i-%04d", i)).took = time.Hour
+		w.addEndpoint(fmt.Sprintf("i-%04d", i)).runLength = time.Hour
 	}
 	o := w.takeOver()
 	w.run(300 * time.Millisecond)
@@ -42,7 +42,7 @@
 func BenchmarkTask(b *testing.B) {
 	w := newWorld(1, 0)
 	for i := range 80 {
-		w.addHost(fmt.Sprintf("i-%04d", i)).took = step
+		w.addEndpoint(fmt.Sprintf("i-%04d", i)).runLength = step
 	}
 	o := w.takeOver()
 	w.run(300 * time.Millisecond)
--- a/internal/executor/crash_test.go
+++ b/internal/executor/crash_test.go
@@ -82,7 +82,7 @@
 
 // run runs the scenario, and returns its last owner and the healthy jobs.
 func (d crashScenario) run(w *world) (o *owner, healthy []jobs.Job) {
-	w.crasher, w.limits.KeepEnded = isCrashingTask, time.Hour
+	w.crashesEndpoint, w.limits.KeepEnded = isCrashingTask, time.Hour
 	d.configure(w)
 	o = w.takeOver()
 	w.run(500 * time.Millisecond)
@@ -118,7 +118,7 @@
 			g := NewWithT(t)
 			w := newWorld(1, 6)
 			o, healthy := d.run(w)
-			g.Expect(w.broken).To(BeEmpty())
+			g.Expect(w.violations).To(BeEmpty())
 			g.Expect(w.state(o, d.job)).To(Equal("failed"))
 			g.Expect(o.core.Dump(w.now).Failed).To(ContainElement(And(HaveField("ID", d.job.ID),
 				HaveField("Reason", MatchRegexp("task .* is given up: [345] endpoints have crashed under it")))), "what an operator sees")
@@ -137,9 +137,9 @@
 			g := NewWithT(t)
 			w := newWorld(1, 12)
 			w.newIDs, w.limits.KeepEnded = newIDs, time.Hour
-			w.crasher = func(n jobs.TaskName) bool { return jobNumber(n.Job)%5 == 0 && n.Index == 1 }
-			for _, h := range w.hosts {
-				h.took = 800 * time.Millisecond
+			w.crashesEndpoint = func(n jobs.TaskName) bool { return jobNumber(n.Job)%5 == 0 && n.Index == 1 }
+			for _, h := range w.endpoints {
+				h.runLength = 800 * time.Millisecond
 			}
 			o := w.takeOver()
 			w.run(500 * time.Millisecond)
@@ -151,7 +151,7 @@
 				w.run(150 * time.Millisecond)
 			}
 			w.run(60 * time.Second)
-			g.Expect(w.broken).To(BeEmpty())
+			g.Expect(w.violations).To(BeEmpty())
 			for _, j := range all {
 				want := "completed"
 				if jobNumber(j.ID)%5 == 0 {
@@ -183,7 +183,7 @@
 		return 500 * time.Millisecond
 	}
 	for i := range 12 {
-		h := w.addHost(fmt.Sprintf("i-%02d", i))
+		h := w.addEndpoint(fmt.Sprintf("i-%02d", i))
 		h.zone, h.percent = fmt.Sprint("z", i%3), 100
 	}
 	o = w.takeOver()
@@ -192,10 +192,10 @@
 }
 
 // inZone calls f for each endpoint of a zone that still exists.
-func (w *world) inZone(zone int, f func(*host)) {
-	for _, h := range w.hosts {
+func (w *world) inZone(zone int, visit func(*simEndpoint)) {
+	for _, h := range w.endpoints {
 		if h.zone == fmt.Sprint("z", zone) && !h.dead {
-			f(h)
+			visit(h)
 		}
 	}
 }
@@ -207,7 +207,7 @@
 // unlucky reports whether that many have ended with runs of one of a job's tasks.
 func (w *world) unlucky(j jobs.Job) bool {
 	for name, past := range w.runs {
-		if strings.HasPrefix(name, j.ID) && past.taken >= unluckyCrashes {
+		if strings.HasPrefix(name, j.ID) && past.lostRuns >= unluckyCrashes {
 			return true
 		}
 	}
@@ -217,10 +217,10 @@
 // Guards against healthy jobs that fail because the zone of their endpoints is unreachable or loses
 // power, one zone after the other, several times.
 func TestHealthyJobsInZoneOutagesDoNotFail(t *testing.T) {
-	for name, outage := range map[string]struct{ begin, end func(*world, *host) }{
-		"cut":              {func(_ *world, h *host) { h.silent = true }, func(_ *world, h *host) { h.silent = false }},
-		"power":            {func(w *world, h *host) { w.crash(h); h.backAt = time.Hour }, func(w *world, h *host) { w.comeBack(h) }},
-		"cut and restarts": {func(_ *world, h *host) { h.silent = true }, func(w *world, h *host) { h.silent = false; w.restart(h) }},
+	for name, outage := range map[string]struct{ begin, end func(*world, *simEndpoint) }{
+		"cut":              {func(_ *world, h *simEndpoint) { h.silent = true }, func(_ *world, h *simEndpoint) { h.silent = false }},
+		"power":            {func(w *world, h *simEndpoint) { w.crash(h); h.backAt = time.Hour }, func(w *world, h *simEndpoint) { w.restartCrashed(h) }},
+		"cut and restarts": {func(_ *world, h *simEndpoint) { h.silent = true }, func(w *world, h *simEndpoint) { h.silent = false; w.restart(h) }},
 	} {
 		for _, every := range []time.Duration{1500 * time.Millisecond, 4 * time.Second, 12 * time.Second} {
 			for _, newIDs := range []bool{false, true} {
@@ -238,17 +238,17 @@
 						all = append(all, j)
 					}
 					for round := range 9 {
-						w.inZone(round%3, func(h *host) { outage.begin(w, h) })
+						w.inZone(round%3, func(h *simEndpoint) { outage.begin(w, h) })
 						for n := range 6 {
 							j := jobOf(100+10*round+n, small(2), small(2, 0))
 							w.submit(o, j)
 							all = append(all, j)
 							w.run(every / 6)
 						}
-						w.inZone(round%3, func(h *host) { outage.end(w, h) })
+						w.inZone(round%3, func(h *simEndpoint) { outage.end(w, h) })
 					}
 					w.run(40 * time.Second)
-					g.Expect(w.broken).To(BeEmpty())
+					g.Expect(w.violations).To(BeEmpty())
 					for _, j := range all {
 						switch {
 						case w.unlucky(j):
@@ -277,15 +277,15 @@
 		w.submit(o, j)
 		for range 20 {
 			w.run(6 * time.Second)
-			for _, h := range w.hosts {
+			for _, h := range w.endpoints {
 				if len(h.running) > 0 {
 					w.crash(h)
 				}
 			}
 		}
 		w.run(6 * time.Second)
-		g.Expect(w.broken).To(BeEmpty())
-		g.Expect(w.runs[j.ID+".0.0.0"].taken).To(BeNumerically(">", 10))
+		g.Expect(w.violations).To(BeEmpty())
+		g.Expect(w.runs[j.ID+".0.0.0"].lostRuns).To(BeNumerically(">", 10))
 		g.Expect(w.state(o, j)).To(Equal("running"))
 	}
 }
@@ -295,7 +295,7 @@
 func TestANewOwnerCountsACrashThatAnotherJobsRecordShows(t *testing.T) {
 	g := NewWithT(t)
 	w := newWorld(1, 1)
-	w.crasher = isCrashingTask
+	w.crashesEndpoint = isCrashingTask
 	o := w.takeOver()
 	w.run(300 * time.Millisecond)
 	other := small(1)
@@ -305,7 +305,7 @@
 	w.run(300 * time.Millisecond)
 	w.submit(o, jobOf(crashingJob, small(1)))
 	w.run(2 * step)
-	g.Expect(w.hosts["i-00"].down).To(BeTrue())
+	g.Expect(w.endpoints["i-00"].down).To(BeTrue())
 	key := "p" + jobOf(crashingJob).ID
 	before := w.journal.newest[key]
 	w.run(2200 * time.Millisecond) // the endpoint is back and the other job runs there again
@@ -314,8 +314,8 @@
 	w.takeOver()
 	w.run(300 * time.Millisecond)
 	task := jobs.TaskName{Job: jobOf(crashingJob).ID}.String()
-	g.Expect(w.story(task)).To(ContainSubstring("never began"))
-	g.Expect(w.story(task)).To(MatchRegexp(`1 endpoints have crashed under it.* epoch 2`))
+	g.Expect(w.traceOf(task)).To(ContainSubstring("never began"))
+	g.Expect(w.traceOf(task)).To(MatchRegexp(`1 endpoints have crashed under it.* epoch 2`))
 }
 
 // Guards against crashes that don't count because the instances of the unresponsive endpoints are
@@ -323,21 +323,21 @@
 func TestCrashesCountWhereInstancesAreMovedMeanwhile(t *testing.T) {
 	g := NewWithT(t)
 	w := newWorld(1, 8)
-	w.crasher, w.limits.KeepEnded, w.downFor, w.newIDs = isCrashingTask, time.Hour, 10*time.Second, true
+	w.crashesEndpoint, w.limits.KeepEnded, w.downFor, w.newIDs = isCrashingTask, time.Hour, 10*time.Second, true
 	o := w.takeOver()
 	w.run(300 * time.Millisecond)
 	j := jobOf(crashingJob, small(1))
 	w.submit(o, j)
 	for range 600 {
 		w.run(100 * time.Millisecond)
-		for _, h := range w.hosts {
+		for _, h := range w.endpoints {
 			if h.down && w.now-h.downAt > 4*time.Second {
 				o.core.Gone(executor.Incarnation{ID: h.id, StartedMs: h.startedMs})
-				w.comeBack(h)
+				w.restartCrashed(h)
 			}
 		}
 	}
-	g.Expect(w.broken).To(BeEmpty())
+	g.Expect(w.violations).To(BeEmpty())
 	g.Expect(w.state(o, j)).To(Equal("failed"))
 }
 
@@ -347,7 +347,7 @@
 	for seed := uint64(1); seed <= uint64(seeds+additionalSeeds()); seed++ {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			t.Parallel()
-			randomDay(NewWithT(t), seed, variant{inOrder: seed%2 == 0, slowJournal: seed%3 == 0, restarts: seed%5 == 0, crashing: true})
+			randomScenario(NewWithT(t), seed, variant{inOrder: seed%2 == 0, slowJournal: seed%3 == 0, restarts: seed%5 == 0, crashing: true})
 		})
 	}
 }
@@ -368,16 +368,16 @@
 		gang := small(4)
 		gang.Gang, gang.MaxPerEndpoint, gang.EstimateMs = true, 1, 20_000
 		w.lengthOf = func(jobs.TaskName) time.Duration { return time.Hour }
-		w.crash(w.hosts["i-02"])
+		w.crash(w.endpoints["i-02"])
 		j := jobOf(2, gang)
 		w.submit(o, j)
 		w.run(gangTimeout - 200*time.Millisecond)
-		for _, h := range w.hosts {
+		for _, h := range w.endpoints {
 			g.Expect(h.running).To(BeEmpty(), h.id)
 		}
 		w.lengthOf = func(jobs.TaskName) time.Duration { return 500 * time.Millisecond }
 		w.run(15 * time.Second)
-		g.Expect(w.broken).To(BeEmpty())
+		g.Expect(w.violations).To(BeEmpty())
 		g.Expect(w.state(o, j)).To(Equal("completed"))
 	}
 }
--- a/internal/executor/executor_test.go
+++ b/internal/executor/executor_test.go
@@ -26,13 +26,13 @@
 		Expect(w.runs).NotTo(HaveKey(j.ID + ".0.1.0"))
 		w.run(2 * time.Second)
 		Expect(w.state(o, j)).To(Equal("completed"))
-		Expect(w.broken).To(BeEmpty())
+		Expect(w.violations).To(BeEmpty())
 	})
 
 	It("fail once a task has failed as often as its queue allows", func() {
 		w := newWorld(1, 3)
 		o := w.takeOver()
-		steps := make([]jobs.Step, poisonStep+1)
+		steps := make([]jobs.Step, failingStep+1)
 		for i := range steps {
 			steps[i] = small(1)
 		}
@@ -41,7 +41,7 @@
 		w.run(6 * time.Second)
 		Expect(w.state(o, j)).To(Equal("failed"))
 		Expect(w.runs[j.ID+".0.9.0"].failed).To(Equal(3))
-		Expect(w.broken).To(BeEmpty())
+		Expect(w.violations).To(BeEmpty())
 	})
 
 	It("are stopped when cancelled", func() {
@@ -50,7 +50,7 @@
 		long := small(3)
 		long.LongRunning = true
 		j := jobOf(1, long)
-		w.hosts["i-00"].took, w.hosts["i-01"].took, w.hosts["i-02"].took = time.Hour, time.Hour, time.Hour
+		w.endpoints["i-00"].runLength, w.endpoints["i-01"].runLength, w.endpoints["i-02"].runLength = time.Hour, time.Hour, time.Hour
 		w.submit(o, j)
 		w.run(time.Second)
 		Expect(w.state(o, j)).To(Equal("running"))
@@ -58,7 +58,7 @@
 		Expect(known).To(BeTrue())
 		w.run(time.Second)
 		Expect(w.state(o, j)).To(Equal("cancelled"))
-		for _, h := range w.hosts {
+		for _, h := range w.endpoints {
 			Expect(h.running).To(BeEmpty())
 		}
 	})
@@ -74,7 +74,7 @@
 		w.submit(o, j)
 		w.run(50 * time.Millisecond)
 		o.stopped = true
-		w.addHost("i-00")
+		w.addEndpoint("i-00")
 		next := w.takeOver()
 		w.run(2 * time.Second)
 		Expect(w.state(next, j)).To(Equal("completed"))
@@ -93,7 +93,7 @@
 		next := w.takeOver()
 		w.run(2 * time.Second)
 		Expect(w.state(next, j)).To(Equal("completed"))
-		Expect(w.broken).To(BeEmpty())
+		Expect(w.violations).To(BeEmpty())
 	})
 
 	// Guards against a task that runs twice at once. The new owner of a full pool has polled its
@@ -103,8 +103,8 @@
 		w := newWorld(1, 3)
 		o := w.takeOver()
 		w.run(100 * time.Millisecond)
-		for _, h := range w.hosts {
-			h.took = 2 * time.Second
+		for _, h := range w.endpoints {
+			h.runLength = 2 * time.Second
 		}
 		j := jobOf(1, small(6))
 		w.submit(o, j)
@@ -116,7 +116,7 @@
 		w.run(400 * time.Millisecond)
 		next.busy = false
 		w.run(3 * time.Second)
-		Expect(w.broken).To(BeEmpty())
+		Expect(w.violations).To(BeEmpty())
 		Expect(w.state(next, j)).To(Equal("completed"))
 	})
 
@@ -126,36 +126,36 @@
 		w := newWorld(1, 2)
 		o := w.takeOver()
 		w.run(100 * time.Millisecond)
-		for _, h := range w.hosts {
-			h.took, h.skew = time.Hour, 0.98
+		for _, h := range w.endpoints {
+			h.runLength, h.skew = time.Hour, 0.98
 		}
 		j := jobOf(1, small(2))
 		w.submit(o, j)
 		w.run(200 * time.Millisecond)
-		silent := w.hosts["i-00"]
+		silent := w.endpoints["i-00"]
 		silent.silent = true
 		o.stopped = true
 		w.takeOver()
 		w.run(12 * time.Second)
 		Expect(silent.running).To(BeEmpty())
-		Expect(w.broken).To(BeEmpty())
+		Expect(w.violations).To(BeEmpty())
 	})
 
-	// Guards against tasks that stay away throughout a rolling restart. Nodes restart one after
+	// Guards against tasks that don't run throughout a rolling restart. Nodes restart one after
 	// the other, each handing its pool over, while an endpoint is down. Each owner would wait
 	// anew for leases that its predecessors may have renewed.
 	It("does not restart its predecessor's wait for an unresponsive endpoint", func() {
 		w := newWorld(1, 2)
 		o := w.takeOver()
 		w.run(100 * time.Millisecond)
-		for _, h := range w.hosts {
-			h.took, h.skew = time.Hour, 0.98
+		for _, h := range w.endpoints {
+			h.runLength, h.skew = time.Hour, 0.98
 		}
 		long := small(1)
 		long.LongRunning = true
 		w.submit(o, jobOf(1, long))
 		w.run(200 * time.Millisecond)
-		silent := w.hosts["i-00"]
+		silent := w.endpoints["i-00"]
 		Expect(silent.running).To(HaveLen(1))
 		silent.silent = true
 		for range 8 {
@@ -163,12 +163,12 @@
 			w.handOver(o)
 			o = w.takeOver()
 		}
-		Expect(w.hosts["i-01"].running).To(HaveLen(1))
-		Expect(w.broken).To(BeEmpty())
+		Expect(w.endpoints["i-01"].running).To(HaveLen(1))
+		Expect(w.violations).To(BeEmpty())
 	})
 
-	// Guards against two copies of a long-running task being away at once where one may be. The
-	// old owner ended after ordering a stop; the endpoint lists the run as running until the
+	// Guards against two copies of a long-running task being unavailable at once where one may be.
+	// The old owner ended after ordering a stop; the endpoint lists the run as running until the
 	// stop is complete, and the new owner must not stop another.
 	It("stops no long-running task while its predecessor's stop may be in flight", func() {
 		w := newWorld(1, 4)
@@ -176,21 +176,21 @@
 		w.run(100 * time.Millisecond)
 		serve := small(3)
 		serve.LongRunning, serve.MayMiss, serve.MaxPerEndpoint = true, 1, 1
-		for _, h := range w.hosts {
-			h.took, h.percent = time.Hour, 100
+		for _, h := range w.endpoints {
+			h.runLength, h.percent = time.Hour, 100
 		}
 		w.submit(o, jobOf(1, serve))
 		w.run(2 * time.Second)
 		o.stopped = true
 		next := w.takeOver()
 		w.run(200 * time.Millisecond)
-		for id, h := range w.hosts {
+		for id, h := range w.endpoints {
 			if len(h.running) > 0 {
 				next.core.Vacate(w.now, id, false)
 			}
 		}
 		w.run(50 * time.Millisecond)
-		for _, h := range w.hosts {
+		for _, h := range w.endpoints {
 			for _, r := range h.running {
 				Expect(r.outcome).NotTo(Equal(executor.EndedStopped))
 			}
@@ -205,7 +205,7 @@
 	// longer.
 	It("do not exceed the limit where an endpoint's slow clock was read long ago", func() {
 		w := newWorld(1, 1)
-		h := w.hosts["i-00"]
+		h := w.endpoints["i-00"]
 		h.skew = 0.98
 		o := w.takeOver()
 		w.run(15 * time.Second)
@@ -223,7 +223,7 @@
 		w := newWorld(1, 2)
 		o := w.takeOver()
 		w.run(200 * time.Millisecond)
-		for _, h := range w.hosts {
+		for _, h := range w.endpoints {
 			h.silent = true
 		}
 		j := jobOf(1, small(2))
@@ -235,7 +235,7 @@
 		o = w.takeOver()
 		w.run(200 * time.Millisecond)
 		Expect(o.core.Pending("q")).To(Equal(1))
-		for _, h := range w.hosts {
+		for _, h := range w.endpoints {
 			h.silent = false
 		}
 		w.run(time.Second)
@@ -253,16 +253,16 @@
 		j := jobOf(1, small(1))
 		w.submit(o, j)
 		w.run(50 * time.Millisecond)
-		w.hosts["i-00"].silent = true
-		for name := range w.hosts["i-00"].running {
+		w.endpoints["i-00"].silent = true
+		for name := range w.endpoints["i-00"].running {
 			w.history(name).running--
 		}
-		clear(w.hosts["i-00"].running)
-		w.addHost("i-01")
+		clear(w.endpoints["i-00"].running)
+		w.addEndpoint("i-01")
 		w.run(100 * time.Millisecond)
-		o.core.Gone(executor.Incarnation{ID: "i-00", StartedMs: w.hosts["i-00"].startedMs})
+		o.core.Gone(executor.Incarnation{ID: "i-00", StartedMs: w.endpoints["i-00"].startedMs})
 		w.run(time.Second)
 		Expect(w.state(o, j)).To(Equal("completed"))
-		Expect(w.broken).To(BeEmpty())
+		Expect(w.violations).To(BeEmpty())
 	})
 })
--- a/internal/executor/hold_test.go
+++ b/internal/executor/hold_test.go
@@ -18,9 +18,9 @@
 	It("gets an endpoint's capacity within a few runs of the short tasks", func() {
 		w := newWorld(1, 3)
 		n := 0
-		for _, h := range w.hosts {
+		for _, h := range w.endpoints {
 			n++
-			h.took = time.Duration(700+50*n) * time.Millisecond
+			h.runLength = time.Duration(700+50*n) * time.Millisecond
 		}
 		o := w.takeOver()
 		w.run(100 * time.Millisecond)
@@ -42,7 +42,7 @@
 		}
 		Expect(w.runs).To(HaveKey(longRunning.ID+".0.0.0"), fmt.Sprint("after ", w.now-began))
 		Expect(w.now - began).To(BeNumerically("<", 2500*time.Millisecond))
-		Expect(w.broken).To(BeEmpty())
+		Expect(w.violations).To(BeEmpty())
 	})
 })
 
@@ -51,8 +51,8 @@
 	// endpoint of the wave, and has to move again from there.
 	It("moves to an endpoint outside the wave", func() {
 		w := newWorld(1, 4)
-		for _, h := range w.hosts {
-			h.took, h.percent = time.Hour, 100
+		for _, h := range w.endpoints {
+			h.runLength, h.percent = time.Hour, 100
 		}
 		o := w.takeOver()
 		w.run(100 * time.Millisecond)
@@ -60,15 +60,15 @@
 		longRunning.LongRunning, longRunning.MaxPerEndpoint = true, 1
 		w.submit(o, jobOf(1, longRunning))
 		w.run(300 * time.Millisecond)
-		Expect(w.hosts["i-00"].running).To(HaveLen(1))
-		Expect(w.hosts["i-01"].running).To(HaveLen(1))
+		Expect(w.endpoints["i-00"].running).To(HaveLen(1))
+		Expect(w.endpoints["i-01"].running).To(HaveLen(1))
 		for range 10 {
 			o.core.LeavesSoon(w.now, []string{"i-01", "i-02"})
 			o.core.Vacate(w.now, "i-00", false)
 			w.run(100 * time.Millisecond)
 		}
-		Expect(w.hosts["i-00"].running).To(BeEmpty())
-		Expect(w.hosts["i-02"].running).To(BeEmpty())
-		Expect(w.hosts["i-03"].running).To(HaveLen(1))
+		Expect(w.endpoints["i-00"].running).To(BeEmpty())
+		Expect(w.endpoints["i-02"].running).To(BeEmpty())
+		Expect(w.endpoints["i-03"].running).To(HaveLen(1))
 	})
 })
--- a/internal/executor/hosts_test.go
+++ b/internal/executor/hosts_test.go
@@ -23,9 +23,9 @@
 	// crashes counts the endpoints that the task crashed, and afterThird its starts since the
 	// third of these crashes.
 	crashes, afterThird int
-	// taken counts its runs that ended with an incarnation or a lease, and its starts that were sent
+	// lostRuns counts its runs that ended with an incarnation or a lease, and its starts that were sent
 	// to a crashed endpoint.
-	taken int
+	lostRuns int
 }
 
 // After crashLimit crashes a task's starts are counted; maxStartsAfterLimit of them are too many.
@@ -46,8 +46,8 @@
 	return slices.ContainsFunc(p.ends, func(e *pastEnd) bool { return e.acknowledged && e.how == executor.EndedDone })
 }
 
-// wrong returns the rule that one of a task's starts broke, empty if none did.
-func (p *history) wrong(mostFailures int) string {
+// brokenRule returns the rule that one of a task's starts broke, empty if none did.
+func (p *history) brokenRule(mostFailures int) string {
 	for _, before := range p.starts {
 		failures := 0
 		for _, end := range p.ends[:before] {
@@ -73,11 +73,11 @@
 	ends    time.Duration
 	outcome executor.HowEnded
 	needs   executor.Room
-	// hung runs make no progress.
-	hung bool
+	// stalled is set if the run makes no progress.
+	stalled bool
 }
 
-type host struct {
+type simEndpoint struct {
 	id, rack, zone string
 	// startedMs is when the incarnation started, by the time of day; its clock showed bootClock at that
 	// moment.
@@ -87,122 +87,122 @@
 	entry      *executor.EndpointInfo
 	entryUntil time.Duration
 	capacity   executor.Room
-	// rooms are its earlier capacities, the oldest first.
-	rooms []pastRoom
-	// said is the newest entry that it has written to service discovery, if it writes only at
+	// pastCapacities are its earlier capacities, the oldest first.
+	pastCapacities []pastCapacity
+	// entryWritten is the newest entry that it has written to service discovery, if it writes only at
 	// intervals.
-	said    executor.EndpointInfo
-	saidAt  time.Duration
-	fence   int64
-	lease   time.Duration
-	running map[string]*run
-	highest map[string]int
-	ended   []executor.ListedEnd
-	number  int64
-	silent  bool
+	entryWritten   executor.EndpointInfo
+	entryWrittenAt time.Duration
+	fence          int64
+	lease          time.Duration
+	running        map[string]*run
+	highest        map[string]int
+	ended          []executor.ListedEnd
+	number         int64
+	silent         bool
 	// crashAt is when it will crash, 0 for never. A crashed endpoint is down from downAt until backAt.
 	crashAt, downAt, backAt time.Duration
 	down                    bool
 	// hiddenFrom is the lowest epoch whose owner can't reach it; 0 if all owners can.
 	hiddenFrom int64
-	// unwell endpoints reject about half of the starts.
-	unwell   bool
-	dead     bool
-	skew     float64
-	draining bool
-	failsAll bool
-	hangs    bool
-	took     time.Duration
+	// rejectsStarts is set while it rejects about half of the starts.
+	rejectsStarts bool
+	dead          bool
+	skew          float64
+	draining      bool
+	failsAll      bool
+	stalls        bool
+	runLength     time.Duration
 	// endedAt is when each end occurred. An end is void if leases of other runs there expired, most
 	// recently at lapsed, after it and before its acknowledgement. If nothing ran any more, no lease
 	// has expired, and the end counts whenever it is acknowledged.
-	endedAt map[int64]time.Duration
-	lapsed  time.Duration
+	endedAt        map[int64]time.Duration
+	leaseExpiredAt time.Duration
 	// past is the entry of each end in its task's history.
 	past map[int64]*pastEnd
 	// percent, if set, is the progress listed for all runs.
 	percent int
 }
 
-// pastRoom is a capacity that an endpoint had until some time.
-type pastRoom struct {
-	room  executor.Room
-	until time.Duration
+// pastCapacity is a capacity that an endpoint had until some time.
+type pastCapacity struct {
+	capacity executor.Room
+	until    time.Duration
 }
 
 // resize changes an endpoint's capacity while it runs.
-func (w *world) resize(h *host, cpuMilli int) {
-	h.rooms = append(h.rooms, pastRoom{h.capacity, w.now})
+func (w *world) resize(h *simEndpoint, cpuMilli int) {
+	h.pastCapacities = append(h.pastCapacities, pastCapacity{h.capacity, w.now})
 	h.capacity.CPUMilli = cpuMilli
 }
 
-// countedRoom is the most processor capacity that starts may fill: a capacity that has shrunk
+// countedCapacity is the most processor capacity that starts may fill: a capacity that has shrunk
 // counts for some time after. For an order that is carried out late it is the highest ever.
-func (w *world) countedRoom(h *host, late bool) int {
+func (w *world) countedCapacity(h *simEndpoint, late bool) int {
 	most := h.capacity.CPUMilli
-	for _, past := range h.rooms {
+	for _, past := range h.pastCapacities {
 		if late || w.now < past.until+w.limits.RoomHolds {
-			most = max(most, past.room.CPUMilli)
+			most = max(most, past.capacity.CPUMilli)
 		}
 	}
 	return most
 }
 
-// heartbeats makes endpoints write their entries, if they write only at intervals.
-func (w *world) heartbeats() {
-	for _, h := range w.hosts {
-		if w.beat > 0 && !w.storeAway && !h.dead && !h.down && w.now >= h.saidAt+w.beat {
-			h.said, h.saidAt = h.describe(), w.now
-			h.said.Clock = h.clock(w.now)
+// writeEntries makes endpoints write their entries, if they write only at intervals.
+func (w *world) writeEntries() {
+	for _, h := range w.endpoints {
+		if w.heartbeatInterval > 0 && !w.storeDown && !h.dead && !h.down && w.now >= h.entryWrittenAt+w.heartbeatInterval {
+			h.entryWritten, h.entryWrittenAt = h.describe(), w.now
+			h.entryWritten.Clock = h.clock(w.now)
 		}
 	}
 }
 
-func (w *world) addHost(id string) *host {
-	h := &host{id: id, rack: "r1", startedMs: w.wall(), capacity: executor.Room{CPUMilli: 4000, MemoryMB: 4000}, running: map[string]*run{},
-		highest: map[string]int{}, endedAt: map[int64]time.Duration{}, past: map[int64]*pastEnd{}, skew: 1, took: 300 * time.Millisecond}
-	h.said, h.saidAt = h.describe(), w.now
-	h.said.Clock = h.clock(w.now)
-	w.hosts[id] = h
+func (w *world) addEndpoint(id string) *simEndpoint {
+	h := &simEndpoint{id: id, rack: "r1", startedMs: w.wall(), capacity: executor.Room{CPUMilli: 4000, MemoryMB: 4000}, running: map[string]*run{},
+		highest: map[string]int{}, endedAt: map[int64]time.Duration{}, past: map[int64]*pastEnd{}, skew: 1, runLength: 300 * time.Millisecond}
+	h.entryWritten, h.entryWrittenAt = h.describe(), w.now
+	h.entryWritten.Clock = h.clock(w.now)
+	w.endpoints[id] = h
 	return h
 }
 
-// hears reports whether calls of an epoch's owner reach the endpoint.
-func (h *host) hears(epoch int64) bool {
+// reachableBy reports whether calls of an epoch's owner reach the endpoint.
+func (h *simEndpoint) reachableBy(epoch int64) bool {
 	return !h.silent && !h.down && (h.hiddenFrom == 0 || epoch < h.hiddenFrom)
 }
 
-func (h *host) clock(now time.Duration) time.Duration {
+func (h *simEndpoint) clock(now time.Duration) time.Duration {
 	return h.bootClock + time.Duration(float64(now-h.bootedAt)*h.skew)
 }
 
-// hold extends the lease of all runs on an endpoint.
-func (h *host) hold(now, until time.Duration) {
+// extendLease extends the lease of all runs on an endpoint.
+func (h *simEndpoint) extendLease(now, until time.Duration) {
 	h.lease = max(h.lease, min(until, h.clock(now)+longestLease))
 }
 
 // restart replaces an endpoint's incarnation by a new one under the same id, with no earlier state.
 // Answers in flight are lost.
-func (w *world) restart(h *host) {
+func (w *world) restart(h *simEndpoint) {
 	w.note("endpoint restarted", "", h.id, 0, 0, 0)
 	w.dropRuns(h)
 	clear(h.highest)
 	clear(h.endedAt)
 	clear(h.past)
-	h.ended, h.number, h.lapsed = nil, 0, 0
+	h.ended, h.number, h.leaseExpiredAt = nil, 0, 0
 	h.fence, h.lease = 0, 0
 	h.dead, h.draining = false, false
 	h.down, h.crashAt = false, 0
 	h.startedMs = max(h.startedMs+1, w.wall())
-	h.said, h.saidAt = executor.EndpointInfo{}, 0
+	h.entryWritten, h.entryWrittenAt = executor.EndpointInfo{}, 0
 	h.bootedAt, h.bootClock = w.now, time.Duration(w.chance("clock", h.id)*float64(time.Hour))
 }
 
 // dropRuns ends all runs of an endpoint with its incarnation, and loses answers in flight.
-func (w *world) dropRuns(h *host) {
+func (w *world) dropRuns(h *simEndpoint) {
 	for name := range h.running {
 		w.history(name).running--
-		w.history(name).taken++
+		w.history(name).lostRuns++
 	}
 	for i, a := range w.answers {
 		if a.poll.Endpoint == h.id {
@@ -213,7 +213,7 @@
 }
 
 // crash ends an incarnation without notice. The endpoint is back after w.downFor.
-func (w *world) crash(h *host) {
+func (w *world) crash(h *simEndpoint) {
 	w.note("endpoint crashed", "", h.id, 0, 0, 0)
 	for name := range h.running {
 		if w.crashes(name) {
@@ -224,23 +224,23 @@
 	h.down, h.crashAt, h.downAt, h.backAt = true, 0, w.now, w.now+w.downFor
 }
 
-// comeBack starts the next incarnation of a crashed endpoint, under its old id or a new one.
-func (w *world) comeBack(h *host) {
+// restartCrashed starts the next incarnation of a crashed endpoint, under its old id or a new one.
+func (w *world) restartCrashed(h *simEndpoint) {
 	if !w.newIDs {
 		w.restart(h)
 		return
 	}
 	h.down, h.dead = false, true
-	w.born++
-	next := w.addHost(fmt.Sprintf("b-%03d", w.born))
-	next.rack, next.zone, next.took, next.percent, next.capacity = h.rack, h.zone, h.took, h.percent, h.capacity
-	next.said, next.saidAt = executor.EndpointInfo{}, 0
+	w.newIDCount++
+	next := w.addEndpoint(fmt.Sprintf("b-%03d", w.newIDCount))
+	next.rack, next.zone, next.runLength, next.percent, next.capacity = h.rack, h.zone, h.runLength, h.percent, h.capacity
+	next.entryWritten, next.entryWrittenAt = executor.EndpointInfo{}, 0
 }
 
 // crashes reports whether a task crashes the endpoints that start it.
 func (w *world) crashes(task string) bool {
 	n, ok := jobs.ParseTaskName(task)
-	return ok && w.crasher != nil && w.crasher(n)
+	return ok && w.crashesEndpoint != nil && w.crashesEndpoint(n)
 }
 
 // checkCrashingStarts counts the starts of a task after crashLimit crashes.
@@ -251,17 +251,17 @@
 	}
 	past.afterThird++
 	if past.afterThird == maxStartsAfterLimit {
-		w.broken = append(w.broken, fmt.Sprintf("%v: %s is started %d times more after %d endpoints have crashed under it\n%s",
-			w.now, task, maxStartsAfterLimit, crashLimit, w.story(task)))
+		w.violations = append(w.violations, fmt.Sprintf("%v: %s is started %d times more after %d endpoints have crashed under it\n%s",
+			w.now, task, maxStartsAfterLimit, crashLimit, w.traceOf(task)))
 	}
 }
 
 // describe returns an endpoint's service discovery entry.
-func (h *host) describe() executor.EndpointInfo {
+func (h *simEndpoint) describe() executor.EndpointInfo {
 	return executor.EndpointInfo{ID: h.id, StartedMs: h.startedMs, Addr: h.id, Rack: h.rack, Zone: h.zone, Capacity: h.capacity, Draining: h.draining}
 }
 
-func (w *world) carryOut(h *host, order executor.Order, epoch int64, lease time.Duration, late bool) executor.OrderResult {
+func (w *world) carryOut(h *simEndpoint, order executor.Order, epoch int64, lease time.Duration, late bool) executor.OrderResult {
 	if h.dead {
 		return executor.OrderGone
 	}
@@ -274,7 +274,7 @@
 		return executor.OrderDone
 	}
 	if r := h.running[order.Task]; r != nil && r.number == order.Run {
-		h.hold(w.now, lease)
+		h.extendLease(w.now, lease)
 		return executor.OrderDone
 	}
 	if order.Run <= h.highest[order.Task] {
@@ -283,59 +283,59 @@
 	if lease <= h.clock(w.now) {
 		return executor.OrderLate
 	}
-	if h.unwell && w.chance("unwell", order.Task, order.Run, epoch) < 0.5 {
+	if h.rejectsStarts && w.chance("unwell", order.Task, order.Run, epoch) < 0.5 {
 		return executor.OrderUnhealthy
 	}
-	h.hold(w.now, lease)
+	h.extendLease(w.now, lease)
 	w.start(h, order, late)
 	return executor.OrderDone
 }
 
 // start starts a run and checks the invariants.
-func (w *world) start(h *host, order executor.Order, late bool) {
+func (w *world) start(h *simEndpoint, order executor.Order, late bool) {
 	past := w.history(order.Task)
 	if past.running > 0 {
-		w.broken = append(w.broken, fmt.Sprintf("%v: %s runs twice\n%s", w.now, order.Task, w.story(order.Task)))
+		w.violations = append(w.violations, fmt.Sprintf("%v: %s runs twice\n%s", w.now, order.Task, w.traceOf(order.Task)))
 	}
 	past.starts = append(past.starts, len(past.ends))
-	w.judge(order.Task)
+	w.checkStarts(order.Task)
 	past.running++
 	if w.crashes(order.Task) {
 		w.checkCrashingStarts(order.Task)
 		h.crashAt = w.now + w.crashAfter
 	}
 	n, _ := jobs.ParseTaskName(order.Task)
-	took := h.took
+	runLength := h.runLength
 	if w.lengthOf != nil {
-		took = w.lengthOf(n)
+		runLength = w.lengthOf(n)
 	}
-	r := &run{task: order.Task, number: order.Run, began: w.now, ends: w.now + took, needs: executor.Room{CPUMilli: 1000, MemoryMB: 10}}
-	if h.failsAll || n.Step == poisonStep {
+	r := &run{task: order.Task, number: order.Run, began: w.now, ends: w.now + runLength, needs: executor.Room{CPUMilli: 1000, MemoryMB: 10}}
+	if h.failsAll || n.Step == failingStep {
 		r.outcome = executor.EndedFailed
 	}
-	if h.hangs {
-		r.ends, r.hung = w.now+time.Hour, true
+	if h.stalls {
+		r.ends, r.stalled = w.now+time.Hour, true
 	}
 	h.running[order.Task] = r
-	w.noteAccount()
+	w.checkAccountLimit()
 	var used executor.Room
 	for _, other := range h.running {
 		used.CPUMilli += other.needs.CPUMilli
 	}
-	if room := w.countedRoom(h, late); used.CPUMilli > room {
-		w.broken = append(w.broken, fmt.Sprintf("%v: %s is over its capacity: %d of %d", w.now, h.id, used.CPUMilli, room))
+	if countedCapacity := w.countedCapacity(h, late); used.CPUMilli > countedCapacity {
+		w.violations = append(w.violations, fmt.Sprintf("%v: %s is over its capacity: %d of %d", w.now, h.id, used.CPUMilli, countedCapacity))
 	}
 }
 
-// judge records a rule that a task's starts have broken.
-func (w *world) judge(task string) {
-	if wrong := w.history(task).wrong(terms().Attempts); wrong != "" {
-		w.broken = append(w.broken, fmt.Sprintf("%v: %s %s\n%s", w.now, task, wrong, w.story(task)))
+// checkStarts records a rule that a task's starts have broken.
+func (w *world) checkStarts(task string) {
+	if rule := w.history(task).brokenRule(terms().Attempts); rule != "" {
+		w.violations = append(w.violations, fmt.Sprintf("%v: %s %s\n%s", w.now, task, rule, w.traceOf(task)))
 	}
 }
 
-// poisonStep is a step number whose tasks always fail.
-const poisonStep = 9
+// failingStep is a step number whose tasks always fail.
+const failingStep = 9
 
 func (w *world) history(task string) *history {
 	if w.runs[task] == nil {
@@ -344,7 +344,7 @@
 	return w.runs[task]
 }
 
-func (w *world) stop(h *host, order executor.Order) {
+func (w *world) stop(h *simEndpoint, order executor.Order) {
 	if r := h.running[order.Task]; r != nil && r.number == order.Run {
 		r.outcome, r.ends = executor.EndedStopped, w.now+100*time.Millisecond
 		return
@@ -353,40 +353,40 @@
 }
 
 // acknowledge drops acknowledged ends from an endpoint's list, and counts those that are not void.
-func (w *world) acknowledge(h *host, upTo int64) {
+func (w *world) acknowledge(h *simEndpoint, upTo int64) {
 	h.ended = slices.DeleteFunc(h.ended, func(e executor.ListedEnd) bool {
 		if e.Number > upTo {
 			return false
 		}
-		if h.lapsed < h.endedAt[e.Number] {
+		if h.leaseExpiredAt < h.endedAt[e.Number] {
 			h.past[e.Number].acknowledged = true
-			w.judge(e.Task)
+			w.checkStarts(e.Task)
 		}
 		return true
 	})
 }
 
-func (w *world) endpoints() {
+func (w *world) tickEndpoints() {
 	due := w.late
 	w.late = nil
 	for _, l := range due {
-		if h := w.hosts[l.order.Endpoint]; l.at <= w.now && h != nil && !h.silent && !h.down && h.startedMs == l.startedMs {
+		if h := w.endpoints[l.order.Endpoint]; l.at <= w.now && h != nil && !h.silent && !h.down && h.startedMs == l.startedMs {
 			result := w.carryOut(h, l.order, l.epoch, l.lease, true)
 			w.note(fmt.Sprintf("late order %d", l.order.Kind), l.order.Task, h.id, l.order.Run, l.epoch, result)
 		} else if l.at > w.now {
 			w.late = append(w.late, l)
 		}
 	}
-	for _, h := range w.hosts {
+	for _, h := range w.endpoints {
 		switch {
 		case h.down && w.now >= h.backAt:
-			w.comeBack(h)
+			w.restartCrashed(h)
 		case h.crashAt > 0 && w.now >= h.crashAt:
 			w.crash(h)
 		}
 		lapsed := h.clock(w.now) > h.lease
 		if lapsed && len(h.running) > 0 {
-			h.lapsed = w.now
+			h.leaseExpiredAt = w.now
 		}
 		for name, r := range h.running {
 			if lapsed {
@@ -398,7 +398,7 @@
 	}
 }
 
-func (w *world) end(h *host, name string, r *run, how executor.HowEnded) {
+func (w *world) end(h *simEndpoint, name string, r *run, how executor.HowEnded) {
 	delete(h.running, name)
 	w.note("end "+how.String(), name, h.id, r.number, h.fence, 0)
 	h.highest[name] = max(h.highest[name], r.number)
@@ -413,12 +413,12 @@
 	case executor.EndedFailed:
 		past.failed++
 	case executor.EndedLapsed:
-		past.taken++
+		past.lostRuns++
 	}
 }
 
 // kill ends an incarnation and everything on it, for good.
-func (w *world) kill(h *host) {
+func (w *world) kill(h *simEndpoint) {
 	h.dead = true
 	w.note("endpoint killed", "", h.id, 0, 0, 0)
 	for name := range h.running {
--- a/internal/executor/kinds_test.go
+++ b/internal/executor/kinds_test.go
@@ -26,7 +26,7 @@
 		w.submit(o, j)
 		w.run(100 * time.Millisecond)
 		running := 0
-		for _, h := range w.hosts {
+		for _, h := range w.endpoints {
 			for _, r := range h.running {
 				Expect(r.number).To(Equal(1))
 				running++
@@ -55,13 +55,13 @@
 		w := newWorld(1, 3)
 		o := w.takeOver()
 		w.run(200 * time.Millisecond)
-		for _, h := range w.hosts {
-			h.took = 800 * time.Millisecond
+		for _, h := range w.endpoints {
+			h.runLength = 800 * time.Millisecond
 		}
 		j := jobOf(1, gang(6))
 		w.submit(o, j)
 		w.run(200 * time.Millisecond)
-		for _, h := range w.hosts {
+		for _, h := range w.endpoints {
 			if len(h.running) > 0 {
 				w.kill(h)
 				break
@@ -70,7 +70,7 @@
 		numbers := map[int]int{}
 		for range 60 {
 			w.run(50 * time.Millisecond)
-			for _, h := range w.hosts {
+			for _, h := range w.endpoints {
 				for _, r := range h.running {
 					numbers[r.number]++
 				}
@@ -78,7 +78,7 @@
 		}
 		Expect(numbers).To(HaveKey(2))
 		Expect(w.state(o, j)).To(Equal("completed"))
-		Expect(w.broken).To(BeEmpty())
+		Expect(w.violations).To(BeEmpty())
 	})
 })
 
@@ -103,7 +103,7 @@
 		w.run(1500 * time.Millisecond)
 		Expect(w.runs).To(HaveKey(j.ID + ".2.0.0"))
 		Expect(w.state(o, j)).To(Equal("completed"))
-		Expect(w.broken).To(BeEmpty())
+		Expect(w.violations).To(BeEmpty())
 	})
 
 	// Guards against a new owner that runs an occurrence again. The second one ends before the
@@ -112,15 +112,15 @@
 		w := newWorld(1, 2)
 		o := w.takeOver()
 		w.run(200 * time.Millisecond)
-		for _, h := range w.hosts {
-			h.took = 3 * time.Second
+		for _, h := range w.endpoints {
+			h.runLength = 3 * time.Second
 		}
 		j := jobOf(1, small(1))
 		j.Occurrences, j.StartAtMs, j.IntervalMs = 2, w.wall()+100, 500
 		w.submit(o, j)
 		w.run(400 * time.Millisecond)
-		for _, h := range w.hosts {
-			h.took = 300 * time.Millisecond
+		for _, h := range w.endpoints {
+			h.runLength = 300 * time.Millisecond
 		}
 		w.run(1200 * time.Millisecond)
 		Expect(w.runs[j.ID+".1.0.0"].done()).To(BeTrue())
@@ -128,7 +128,7 @@
 		o.stopped = true
 		o = w.takeOver()
 		w.run(4 * time.Second)
-		Expect(w.broken).To(BeEmpty())
+		Expect(w.violations).To(BeEmpty())
 		Expect(w.state(o, j)).To(Equal("completed"))
 	})
 })
@@ -147,7 +147,7 @@
 		o = w.takeOver()
 		w.run(2 * time.Second)
 		Expect(w.state(o, j)).To(Equal("completed"))
-		Expect(w.broken).To(BeEmpty())
+		Expect(w.violations).To(BeEmpty())
 	})
 })
 
@@ -173,7 +173,7 @@
 		}
 		Expect(asked).To(BeNumerically(">=", 2))
 		Expect(w.state(o, j)).To(Equal("completed"))
-		Expect(w.hosts["i-00"].highest).To(BeEmpty())
-		Expect(w.hosts["i-02"].highest).To(BeEmpty())
+		Expect(w.endpoints["i-00"].highest).To(BeEmpty())
+		Expect(w.endpoints["i-02"].highest).To(BeEmpty())
 	})
 })
--- a/internal/executor/late_test.go
+++ b/internal/executor/late_test.go
@@ -11,14 +11,14 @@
 
 // reportedLate starts one task on the first of some endpoints, which is then unresponsive until its leases
 // have expired. Its run ends meanwhile.
-func reportedLate(hosts int) (w *world, o *owner, j jobs.Job, late *host) {
-	w = newWorld(1, hosts)
+func reportedLate(endpoints int) (w *world, o *owner, j jobs.Job, late *simEndpoint) {
+	w = newWorld(1, endpoints)
 	o = w.takeOver()
 	w.run(100 * time.Millisecond)
 	j = jobOf(1, small(1))
 	w.submit(o, j)
 	w.run(50 * time.Millisecond)
-	late = w.hosts["i-00"]
+	late = w.endpoints["i-00"]
 	Expect(late.running).To(HaveLen(1))
 	late.silent = true
 	w.run(w.limits.Lease + time.Second)
@@ -35,7 +35,7 @@
 		w.run(25 * time.Second) // an idle endpoint is polled again by then
 		Expect(w.state(o, j)).To(Equal("completed"))
 		Expect(late.ended).To(HaveLen(1))
-		Expect(w.broken).To(BeEmpty())
+		Expect(w.violations).To(BeEmpty())
 	})
 
 	// No other endpoint has capacity, so the task is still waiting when its end is reported.
@@ -44,7 +44,7 @@
 		w.run(time.Second)
 		Expect(w.state(o, j)).To(Equal("completed"))
 		Expect(late.highest).To(HaveKeyWithValue(j.ID+".0.0.0", 1), "the first run is the only one")
-		Expect(w.broken).To(BeEmpty())
+		Expect(w.violations).To(BeEmpty())
 	})
 
 	// What is not acknowledged is listed with every answer: an endpoint that kept accepting
@@ -59,6 +59,6 @@
 		Expect(late.ended).To(HaveLen(1))
 		Expect(late.running).To(BeEmpty())
 		w.run(5 * time.Second)
-		Expect(w.broken).To(BeEmpty())
+		Expect(w.violations).To(BeEmpty())
 	})
 })
--- a/internal/executor/property_test.go
+++ b/internal/executor/property_test.go
@@ -36,10 +36,10 @@
 // capacity of its endpoint.
 var _ = Describe("random faults", func() {
 	for seed := uint64(1); seed <= uint64(seeds+additionalSeeds()); seed++ {
-		It(fmt.Sprintf("violate no contract with seed %d", seed), func() { randomDay(NewWithT(GinkgoT()), seed, variant{}) })
-		It(fmt.Sprintf("violate no contract where owners hand over, with seed %d", seed), func() { randomDay(NewWithT(GinkgoT()), seed, variant{inOrder: true}) })
+		It(fmt.Sprintf("violate no contract with seed %d", seed), func() { randomScenario(NewWithT(GinkgoT()), seed, variant{}) })
+		It(fmt.Sprintf("violate no contract where owners hand over, with seed %d", seed), func() { randomScenario(NewWithT(GinkgoT()), seed, variant{inOrder: true}) })
 		It(fmt.Sprintf("violate no contract with a slow journal, with seed %d", seed), func() {
-			randomDay(NewWithT(GinkgoT()), seed, variant{inOrder: seed%2 == 0, slowJournal: true})
+			randomScenario(NewWithT(GinkgoT()), seed, variant{inOrder: seed%2 == 0, slowJournal: true})
 		})
 	}
 })
@@ -65,23 +65,23 @@
 
 const maxStaleEntry = 1500 * time.Millisecond
 
-// randomDay runs a random scenario and checks that the contracts hold.
-func randomDay(g Gomega, seed uint64, v variant) {
+// randomScenario runs a random scenario and checks that the contracts hold.
+func randomScenario(g Gomega, seed uint64, v variant) {
 	rng := rand.New(rand.NewPCG(seed, 99))
 	w := newWorld(seed, 4)
 	w.inOrder, w.slowJournal = v.inOrder, v.slowJournal
 	if v.crashing {
-		w.crasher = func(n jobs.TaskName) bool { return jobNumber(n.Job)%7 == 0 && n.Index == 0 }
+		w.crashesEndpoint = func(n jobs.TaskName) bool { return jobNumber(n.Job)%7 == 0 && n.Index == 0 }
 		w.downFor = time.Duration(200+rng.IntN(6000)) * time.Millisecond
 		w.newIDs = rng.IntN(2) == 0
 		w.crashAfter = time.Duration(1+rng.IntN(5)) * step
 	}
 	w.loseOrders, w.loseAnswers, w.lateOrders = 0.05*rng.Float64(), 0.05*rng.Float64(), 0.7
-	for _, h := range w.hosts {
+	for _, h := range w.endpoints {
 		h.skew = 0.98 + 0.02*rng.Float64()
 	}
 	if v.resizing {
-		w.beat = beat
+		w.heartbeatInterval = testHeartbeatInterval
 	}
 	if v.limited {
 		w.account, w.limitMilli = "alpha", 1000*(2+rng.IntN(5))
@@ -109,7 +109,7 @@
 	if v.crashing || v.limited {
 		w.runUntilEnded(o, handedIn, time.Minute)
 	}
-	g.Expect(w.broken).To(BeEmpty())
+	g.Expect(w.violations).To(BeEmpty())
 	for _, j := range handedIn {
 		g.Expect(w.state(o, j)).To(Or(Equal("completed"), Equal("failed"), Equal("unknown")), j.ID)
 	}
@@ -118,9 +118,9 @@
 // resizeRandomly changes the capacity of an endpoint, and sometimes whether the store is
 // available.
 func (w *world) resizeRandomly(rng *rand.Rand) {
-	w.resize(w.hosts[fmt.Sprintf("i-%02d", rng.IntN(4))], 1000*(1+rng.IntN(4)))
+	w.resize(w.endpoints[fmt.Sprintf("i-%02d", rng.IntN(4))], 1000*(1+rng.IntN(4)))
 	if rng.IntN(8) == 0 {
-		w.storeAway = !w.storeAway
+		w.storeDown = !w.storeDown
 	}
 }
 
@@ -137,7 +137,7 @@
 
 // restartOne restarts an endpoint under its id.
 func (w *world) restartOne(rng *rand.Rand, v variant) {
-	h := w.hosts[fmt.Sprintf("i-%02d", rng.IntN(4))]
+	h := w.endpoints[fmt.Sprintf("i-%02d", rng.IntN(4))]
 	if v.unseen {
 		w.restartUnseen(h, time.Duration(rng.Int64N(int64(maxStaleEntry))))
 		return
@@ -147,7 +147,7 @@
 
 // injectFault causes one random fault, and returns the owner that callers reach.
 func (w *world) injectFault(rng *rand.Rand, o *owner, round int) *owner {
-	host := w.hosts[fmt.Sprintf("i-%02d", rng.IntN(4))]
+	endpoint := w.endpoints[fmt.Sprintf("i-%02d", rng.IntN(4))]
 	switch rng.IntN(14) {
 	case 0:
 		if w.inOrder {
@@ -161,22 +161,22 @@
 		o.cut = true
 		return w.takeOver()
 	case 3, 4:
-		host.silent = true
+		endpoint.silent = true
 	case 5, 6:
-		host.silent = false
+		endpoint.silent = false
 	case 7:
-		w.kill(host)
-		w.addHost(fmt.Sprintf("n-%02d", round))
+		w.kill(endpoint)
+		w.addEndpoint(fmt.Sprintf("n-%02d", round))
 	case 8:
-		host.failsAll = !host.failsAll
+		endpoint.failsAll = !endpoint.failsAll
 	case 9:
-		host.hangs = !host.hangs
+		endpoint.stalls = !endpoint.stalls
 	case 10:
-		host.draining = true
+		endpoint.draining = true
 	case 11:
-		host.unwell = !host.unwell
+		endpoint.rejectsStarts = !endpoint.rejectsStarts
 	case 12:
-		host.hiddenFrom = o.epoch + 1
+		endpoint.hiddenFrom = o.epoch + 1
 		o.cut = true
 		return w.takeOver()
 	}
@@ -185,14 +185,14 @@
 
 // clearFaults ends all faults and all owners.
 func (w *world) clearFaults() {
-	w.storeAway = false
+	w.storeDown = false
 	w.loseOrders, w.loseAnswers = 0, 0
-	for _, h := range w.hosts {
-		h.silent, h.failsAll, h.hangs = false, false, false
-		h.draining, h.unwell, h.hiddenFrom = false, false, 0
+	for _, h := range w.endpoints {
+		h.silent, h.failsAll, h.stalls = false, false, false
+		h.draining, h.rejectsStarts, h.hiddenFrom = false, false, 0
 	}
 	for _, o := range w.owners {
 		o.stopped = true
 	}
-	w.addHost("last")
+	w.addEndpoint("last")
 }
--- a/internal/executor/restart_test.go
+++ b/internal/executor/restart_test.go
@@ -14,7 +14,7 @@
 
 // restartUnseen restarts an endpoint while service discovery still lists the previous incarnation.
 // Leases by the previous clock have not expired by the new one.
-func (w *world) restartUnseen(h *host, shownFor time.Duration) {
+func (w *world) restartUnseen(h *simEndpoint, shownFor time.Duration) {
 	former := h.describe()
 	h.entry, h.entryUntil = &former, w.now+shownFor
 	w.restart(h)
@@ -22,11 +22,11 @@
 }
 
 // withEnds returns a world in which an endpoint has ended several tasks, all of them acknowledged.
-func withEnds(g Gomega, hosts int) (w *world, o *owner, h *host) {
-	w = newWorld(1, hosts)
+func withEnds(g Gomega, endpoints int) (w *world, o *owner, h *simEndpoint) {
+	w = newWorld(1, endpoints)
 	o = w.takeOver()
 	w.run(100 * time.Millisecond)
-	h = w.hosts["i-00"]
+	h = w.endpoints["i-00"]
 	warm := jobOf(1, small(8))
 	w.submit(o, warm)
 	w.run(2 * time.Second)
@@ -46,7 +46,7 @@
 	j := jobOf(2, small(4))
 	w.submit(o, j)
 	w.run(2 * time.Second)
-	g.Expect(w.broken).To(BeEmpty())
+	g.Expect(w.violations).To(BeEmpty())
 	g.Expect(w.state(o, j)).To(Equal("completed"))
 }
 
@@ -59,7 +59,7 @@
 	j := jobOf(2, small(2))
 	w.submit(o, j)
 	w.run(20 * time.Second)
-	g.Expect(w.broken).To(BeEmpty())
+	g.Expect(w.violations).To(BeEmpty())
 	g.Expect(w.state(o, j)).To(Equal("failed"))
 }
 
@@ -80,7 +80,7 @@
 			w.run(2 * step)
 		}
 		w.run(10 * time.Second)
-		g.Expect(w.broken).To(BeEmpty())
+		g.Expect(w.violations).To(BeEmpty())
 		for n := range submitted {
 			g.Expect(w.state(o, jobOf(10+n))).To(Equal("completed"))
 		}
@@ -98,7 +98,7 @@
 	w.run(20 * time.Millisecond)
 	w.loseOrders = 0
 	g.Expect(w.late).NotTo(BeEmpty())
-	h := w.hosts[w.late[0].order.Endpoint]
+	h := w.endpoints[w.late[0].order.Endpoint]
 	w.restart(h)
 	h.bootClock = 0 // the order's lease, by the former clock, is still to come by this one
 	w.lengthOf = func(jobs.TaskName) time.Duration { return time.Second }
@@ -107,7 +107,7 @@
 		w.late[i].at, w.late[i].startedMs = w.now, h.startedMs
 	}
 	w.run(3 * time.Second)
-	g.Expect(w.broken).To(BeEmpty())
+	g.Expect(w.violations).To(BeEmpty())
 	g.Expect(w.state(o, j)).To(Equal("completed"))
 }
 
@@ -124,7 +124,7 @@
 	g.Expect(w.state(o, j)).NotTo(Equal("completed"))
 	w.restart(h)
 	w.run(2 * time.Second)
-	g.Expect(w.broken).To(BeEmpty())
+	g.Expect(w.violations).To(BeEmpty())
 	g.Expect(w.state(o, j)).To(Equal("completed"))
 }
 
@@ -133,16 +133,16 @@
 func TestARestartedEndpointIsNotFilledByItsFormerCapacity(t *testing.T) {
 	g := NewWithT(t)
 	w, o, h := withEnds(g, 1)
-	h.took = 5 * time.Second
+	h.runLength = 5 * time.Second
 	w.submit(o, jobOf(3, small(1)))
 	w.run(200 * time.Millisecond)
 	w.restartUnseen(h, 1500*time.Millisecond)
-	h.capacity.CPUMilli, h.took = 1000, 300*time.Millisecond
+	h.capacity.CPUMilli, h.runLength = 1000, 300*time.Millisecond
 	w.run(300 * time.Millisecond)
 	j := jobOf(2, small(4))
 	w.submit(o, j)
 	w.run(5 * time.Second)
-	g.Expect(w.broken).To(BeEmpty())
+	g.Expect(w.violations).To(BeEmpty())
 	g.Expect(w.state(o, j)).To(Equal("completed"))
 }
 
@@ -153,25 +153,25 @@
 	w, o, h := withEnds(g, 2)
 	former := executor.Incarnation{ID: h.id, StartedMs: h.startedMs}
 	w.restart(h)
-	w.hosts["i-01"].draining = true
-	h.took = 3 * time.Second
+	w.endpoints["i-01"].draining = true
+	h.runLength = 3 * time.Second
 	j := jobOf(2, small(2))
 	w.submit(o, j)
 	w.run(300 * time.Millisecond)
 	g.Expect(h.running).To(HaveLen(2))
-	w.hosts["i-01"].draining = false
+	w.endpoints["i-01"].draining = false
 	o.stopped = true
 	o = w.takeOver()
 	o.core.Gone(former)
 	w.run(5 * time.Second)
-	g.Expect(w.broken).To(BeEmpty())
+	g.Expect(w.violations).To(BeEmpty())
 	g.Expect(w.state(o, j)).To(Equal("completed"))
 }
 
 // startReachesNextIncarnation restarts an endpoint unseen and lets the start of a long task that was
 // sent to its earlier incarnation reach the next one; the owner stops before that is reported to it.
-func (w *world) startReachesNextIncarnation(g Gomega, o *owner, h *host) jobs.Job {
-	w.hosts["i-01"].draining = true
+func (w *world) startReachesNextIncarnation(g Gomega, o *owner, h *simEndpoint) jobs.Job {
+	w.endpoints["i-01"].draining = true
 	w.lengthOf = func(jobs.TaskName) time.Duration { return 9 * time.Second }
 	w.restartUnseen(h, 2*step)
 	j := jobOf(2, small(1))
@@ -189,14 +189,14 @@
 	g := NewWithT(t)
 	w, o, h := withEnds(g, 2)
 	j := w.startReachesNextIncarnation(g, o, h)
-	w.hosts["i-01"].draining = false
+	w.endpoints["i-01"].draining = false
 	o = w.takeOver()
 	w.run(300 * time.Millisecond)
 	h.silent = true
 	w.run(12 * time.Second)
 	h.silent = false
 	w.run(12 * time.Second)
-	g.Expect(w.broken).To(BeEmpty())
+	g.Expect(w.violations).To(BeEmpty())
 	g.Expect(w.state(o, j)).To(Equal("completed"))
 }
 
@@ -205,7 +205,7 @@
 func TestARecordOfTheNextIncarnationDoesNotHideAnEarlierStart(t *testing.T) {
 	g := NewWithT(t)
 	w, o, h := withEnds(g, 2)
-	w.hosts["i-01"].draining = true
+	w.endpoints["i-01"].draining = true
 	h.bootClock = time.Hour
 	w.submit(o, jobOf(4, small(1)))
 	w.run(time.Second) // its clock is reported
@@ -216,13 +216,13 @@
 	w.run(100 * time.Millisecond)
 	g.Expect(h.running).To(HaveLen(2))
 	o.stopped = true
-	w.hosts["i-01"].draining = false
+	w.endpoints["i-01"].draining = false
 	h.silent = true
 	o = w.takeOver()
 	w.run(12 * time.Second)
 	h.silent = false
 	w.run(12 * time.Second)
-	g.Expect(w.broken).To(BeEmpty())
+	g.Expect(w.violations).To(BeEmpty())
 	g.Expect(w.state(o, j)).To(Equal("completed"))
 }
 
@@ -231,18 +231,18 @@
 func TestANewIncarnationMayHaveAnEarlierStartTime(t *testing.T) {
 	g := NewWithT(t)
 	w, o, h := withEnds(g, 1)
-	h.took = 2 * time.Second
+	h.runLength = 2 * time.Second
 	w.submit(o, jobOf(3, small(1)))
 	w.run(100 * time.Millisecond)
 	former := h.startedMs
 	w.restart(h)
 	h.startedMs = former - 5000
-	h.took = 300 * time.Millisecond
+	h.runLength = 300 * time.Millisecond
 	w.run(time.Second)
 	j := jobOf(2, small(2))
 	w.submit(o, j)
 	w.run(5 * time.Second)
-	g.Expect(w.broken).To(BeEmpty())
+	g.Expect(w.violations).To(BeEmpty())
 	g.Expect(w.state(o, j)).To(Equal("completed"))
 }
 
@@ -269,7 +269,7 @@
 			w.restart(h)
 		}
 	}
-	g.Expect(w.broken).To(BeEmpty())
+	g.Expect(w.violations).To(BeEmpty())
 	g.Expect(w.state(o, j)).To(Equal("completed"))
 }
 
@@ -279,7 +279,7 @@
 	for _, again := range []bool{false, true} {
 		g := NewWithT(t)
 		w := newWorld(1, 2)
-		for _, h := range w.hosts {
+		for _, h := range w.endpoints {
 			h.failsAll = true
 		}
 		o := w.takeOver()
@@ -287,7 +287,7 @@
 		j := jobOf(1, small(1))
 		w.submit(o, j)
 		w.run(50 * time.Millisecond)
-		late, other := w.hosts["i-00"], w.hosts["i-01"]
+		late, other := w.endpoints["i-00"], w.endpoints["i-01"]
 		g.Expect(late.running).To(HaveLen(1))
 		late.silent = true
 		if again {
@@ -304,7 +304,7 @@
 		}
 		late.silent = false
 		w.run(20 * time.Second)
-		g.Expect(w.broken).To(BeEmpty())
+		g.Expect(w.violations).To(BeEmpty())
 		g.Expect(w.state(o, j)).To(Or(Equal("failed"), Equal("completed")))
 	}
 }
@@ -320,7 +320,7 @@
 		j := jobOf(1, small(1))
 		w.submit(o, j)
 		w.run(50 * time.Millisecond)
-		late := w.hosts["i-00"]
+		late := w.endpoints["i-00"]
 		g.Expect(late.running).To(HaveLen(1))
 		late.silent = true
 		w.run(w.limits.Lease + time.Second)
@@ -334,7 +334,7 @@
 		w.takeOver()
 		late.silent = false
 		w.run(25 * time.Second) // an idle endpoint is polled again by then
-		g.Expect(w.broken).To(BeEmpty())
+		g.Expect(w.violations).To(BeEmpty())
 	}
 }
 
@@ -345,13 +345,13 @@
 		v := variant{inOrder: seed%2 == 0, slowJournal: seed%3 == 0, restarts: true}
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			t.Parallel()
-			randomDay(NewWithT(t), seed, v)
+			randomScenario(NewWithT(t), seed, v)
 		})
 		late := v
 		late.unseen = true
 		t.Run(fmt.Sprint("unseen, seed ", seed), func(t *testing.T) {
 			t.Parallel()
-			randomDay(NewWithT(t), seed, late)
+			randomScenario(NewWithT(t), seed, late)
 		})
 	}
 }
--- a/internal/executor/room_test.go
+++ b/internal/executor/room_test.go
@@ -10,15 +10,16 @@
 	"cyclamenwheel/internal/jobs"
 )
 
-// beat is the interval at which endpoints of these tests write their service discovery entries.
-const beat = 1500 * time.Millisecond
+// testHeartbeatInterval is the interval at which endpoints of these tests write their entries in
+// service discovery.
+const testHeartbeatInterval = 1500 * time.Millisecond
 
 // capacityWorld returns a pool whose endpoints write their entries at intervals.
 func capacityWorld(seed uint64) (w *world, o *owner) {
 	w = newWorld(seed, 4)
-	w.beat, w.limits.KeepEnded = beat, time.Hour
-	for _, h := range w.hosts {
-		h.took = 700 * time.Millisecond
+	w.heartbeatInterval, w.limits.KeepEnded = testHeartbeatInterval, time.Hour
+	for _, h := range w.endpoints {
+		h.runLength = 700 * time.Millisecond
 	}
 	o = w.takeOver()
 	w.run(300 * time.Millisecond)
@@ -42,24 +43,24 @@
 	w, o := capacityWorld(1)
 	all := w.backlog(o, 1, 30)
 	for round := range 8 {
-		for _, h := range w.hosts {
+		for _, h := range w.endpoints {
 			w.resize(h, []int{4000, 1000, 3000, 2000}[round%4])
 		}
 		w.run(3 * time.Second)
 	}
-	for _, h := range w.hosts {
+	for _, h := range w.endpoints {
 		w.resize(h, 4000)
 	}
 	w.run(10 * time.Second)
 	filled := w.backlog(o, 1000, 8)
 	w.run(300 * time.Millisecond)
 	running := 0
-	for _, h := range w.hosts {
+	for _, h := range w.endpoints {
 		running += len(h.running)
 	}
 	g.Expect(running).To(Equal(16), "all of the capacity, once it has grown again")
 	w.run(20 * time.Second)
-	g.Expect(w.broken).To(BeEmpty())
+	g.Expect(w.violations).To(BeEmpty())
 	for _, j := range append(all, filled...) {
 		g.Expect(w.state(o, j)).To(Equal("completed"), j.ID)
 	}
@@ -78,23 +79,23 @@
 					w.run(5 * time.Second)
 					all := w.backlog(o, 1, 12)
 					w.run(2 * step)
-					w.storeAway = true
+					w.storeDown = true
 					w.run(500 * time.Millisecond)
-					for _, h := range w.hosts {
+					for _, h := range w.endpoints {
 						w.resize(h, 1000)
 					}
 					w.run(away)
-					w.storeAway = false
+					w.storeDown = false
 					if next {
 						o.stopped = true
 						o = w.takeOver()
 					}
-					for _, h := range w.hosts {
+					for _, h := range w.endpoints {
 						// Entries come back one after the other, within two seconds.
-						h.saidAt = w.now - beat + time.Duration(w.chance("back", h.id)*float64(2*time.Second))
+						h.entryWrittenAt = w.now - testHeartbeatInterval + time.Duration(w.chance("back", h.id)*float64(2*time.Second))
 					}
 					w.run(30 * time.Second)
-					g.Expect(w.broken).To(BeEmpty())
+					g.Expect(w.violations).To(BeEmpty())
 					for _, j := range all {
 						if !next {
 							g.Expect(w.state(o, j)).To(Equal("completed"), j.ID)
@@ -112,7 +113,7 @@
 	for seed := uint64(1); seed <= uint64(seeds+additionalSeeds()); seed++ {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			t.Parallel()
-			randomDay(NewWithT(t), seed, variant{inOrder: seed%2 == 0, slowJournal: seed%3 == 0, restarts: seed%5 == 0, crashing: seed%4 == 0, resizing: true})
+			randomScenario(NewWithT(t), seed, variant{inOrder: seed%2 == 0, slowJournal: seed%3 == 0, restarts: seed%5 == 0, crashing: seed%4 == 0, resizing: true})
 		})
 	}
 }
--- a/internal/executor/speed_test.go
+++ b/internal/executor/speed_test.go
@@ -45,9 +45,9 @@
 	return float64(good) / float64(count)
 }
 
-// roomy gives each endpoint capacity for sixteen tasks.
-func roomy(w *world) *world {
-	for _, h := range w.hosts {
+// withLargeEndpoints gives each endpoint capacity for sixteen tasks.
+func withLargeEndpoints(w *world) *world {
+	for _, h := range w.endpoints {
 		h.capacity.CPUMilli = 16000
 	}
 	return w
@@ -58,13 +58,13 @@
 	// completes all tasks, but ten times as slowly: each job has four tasks, and most have one
 	// there.
 	It("gets so few tasks that nine of ten jobs are on time", func() {
-		w := roomy(newWorld(1, 5))
+		w := withLargeEndpoints(newWorld(1, 5))
 		o := w.takeOver()
 		w.run(100 * time.Millisecond)
 		w.inTime(o, 1, 10, time.Second) // measures the queue's run lengths
-		w.hosts["i-00"].took = 3 * time.Second
+		w.endpoints["i-00"].runLength = 3 * time.Second
 		Expect(w.inTime(o, 100, 60, time.Second)).To(BeNumerically(">=", 0.9))
-		Expect(w.broken).To(BeEmpty())
+		Expect(w.violations).To(BeEmpty())
 	})
 
 	// Guards against avoiding an endpoint for good after it has recovered: callers would be
@@ -74,10 +74,10 @@
 		o := w.takeOver()
 		w.run(100 * time.Millisecond)
 		w.inTime(o, 1, 10, time.Second)
-		slow := w.hosts["i-00"]
-		slow.took = 3 * time.Second
+		slow := w.endpoints["i-00"]
+		slow.runLength = 3 * time.Second
 		w.inTime(o, 100, 30, time.Second)
-		slow.took = 300 * time.Millisecond
+		slow.runLength = 300 * time.Millisecond
 		w.inTime(o, 200, 10, time.Second)
 		before := len(slow.highest)
 		w.inTime(o, 300, 40, time.Second)
@@ -91,15 +91,15 @@
 		o := w.takeOver()
 		w.run(100 * time.Millisecond)
 		w.inTime(o, 1, 10, time.Second)
-		for _, h := range w.hosts {
-			h.took = 2 * time.Second
+		for _, h := range w.endpoints {
+			h.runLength = 2 * time.Second
 		}
 		for n := range 5 {
 			w.submit(o, jobOf(400+n, small(4)))
 		}
 		w.run(1500 * time.Millisecond)
 		running := 0
-		for _, h := range w.hosts {
+		for _, h := range w.endpoints {
 			running += len(h.running)
 			for _, r := range h.running {
 				Expect(r.number).To(Equal(1))
--- a/internal/executor/uneven_test.go
+++ b/internal/executor/uneven_test.go
@@ -99,7 +99,7 @@
 		t.submitDue()
 		w.run(step)
 	}
-	Expect(w.broken).To(BeEmpty())
+	Expect(w.violations).To(BeEmpty())
 	return t.inTime()
 }
 
--- a/internal/executor/world_test.go
+++ b/internal/executor/world_test.go
@@ -16,20 +16,20 @@
 // with fencing tokens, leases and ends, and one or more owners. Orders and answers can be lost
 // or late.
 type world struct {
-	now     time.Duration
-	seed    uint64
-	journal *journal
-	hosts   map[string]*host
-	owners  []*owner
-	late    []lateOrder
-	answers []lateAnswer
+	now       time.Duration
+	seed      uint64
+	journal   *journal
+	endpoints map[string]*simEndpoint
+	owners    []*owner
+	late      []lateOrder
+	answers   []lateAnswer
 	// loseOrders and loseAnswers are the fractions of orders and answers that are lost;
 	// lateOrders is the fraction of lost orders that are carried out later.
 	loseOrders, loseAnswers, lateOrders float64
 	// trace records what happened to tasks; it is printed for tasks that violate a contract.
 	trace []traceEvent
-	// broken lists the contract violations seen on the endpoints.
-	broken []string
+	// violations lists the contract violations seen on the endpoints.
+	violations []string
 	// runs is the history of each task, by name.
 	runs   map[string]*history
 	limits executor.Limits
@@ -37,17 +37,17 @@
 	lengthOf func(jobs.TaskName) time.Duration
 	// slowJournal makes the journal accept several batches at a time and answer them late.
 	slowJournal bool
-	// crasher selects the tasks that crash the endpoints that start them, crashAfter their
+	// crashesEndpoint selects the tasks that crash the endpoints that start them, crashAfter their
 	// start. An endpoint that has crashed is back after downFor, under another id if newIDs is
 	// set.
-	crasher             func(jobs.TaskName) bool
+	crashesEndpoint     func(jobs.TaskName) bool
 	crashAfter, downFor time.Duration
 	newIDs              bool
-	born                int
-	// beat is the interval at which endpoints write their service discovery entries, 0 for
-	// immediately. While storeAway is set, neither they nor owners can write.
-	beat      time.Duration
-	storeAway bool
+	newIDCount          int
+	// heartbeatInterval is the interval at which endpoints write their service discovery entries, 0 for
+	// immediately. While storeDown is set, neither they nor owners can write.
+	heartbeatInterval time.Duration
+	storeDown         bool
 	// account is the account that submits the jobs. It may have limitMilli running in this pool.
 	account    string
 	limitMilli int
@@ -83,22 +83,22 @@
 type traceEvent struct {
 	at         time.Duration
 	what, task string
-	host       string
+	endpoint   string
 	run        int
 	epoch      int64
 	result     executor.OrderResult
 }
 
-func (w *world) note(what, task, host string, run int, epoch int64, result executor.OrderResult) {
-	w.trace = append(w.trace, traceEvent{w.now, what, task, host, run, epoch, result})
+func (w *world) note(what, task, endpoint string, run int, epoch int64, result executor.OrderResult) {
+	w.trace = append(w.trace, traceEvent{w.now, what, task, endpoint, run, epoch, result})
 }
 
-// story returns the trace of a task as text.
-func (w *world) story(task string) string {
+// traceOf returns the trace of a task as text.
+func (w *world) traceOf(task string) string {
 	var b strings.Builder
 	for _, t := range w.trace {
 		if t.task == task || t.task == "" {
-			fmt.Fprintf(&b, "%v %s %s run %d epoch %d %v\n", t.at, t.what, t.host, t.run, t.epoch, t.result)
+			fmt.Fprintf(&b, "%v %s %s run %d epoch %d %v\n", t.at, t.what, t.endpoint, t.run, t.epoch, t.result)
 		}
 	}
 	return b.String()
@@ -162,11 +162,11 @@
 		RoomHolds: 4500 * time.Millisecond}
 }
 
-func newWorld(seed uint64, hosts int) *world {
+func newWorld(seed uint64, endpoints int) *world {
 	w := &world{now: time.Second, seed: seed, limits: testLimits(), crashAfter: step, downFor: 2 * time.Second,
-		journal: &journal{newest: map[string][]byte{}}, hosts: map[string]*host{}, runs: map[string]*history{}}
-	for i := range hosts {
-		w.addHost(fmt.Sprintf("i-%02d", i))
+		journal: &journal{newest: map[string][]byte{}}, endpoints: map[string]*simEndpoint{}, runs: map[string]*history{}}
+	for i := range endpoints {
+		w.addEndpoint(fmt.Sprintf("i-%02d", i))
 	}
 	return w
 }
@@ -187,7 +187,7 @@
 		panic(err)
 	}
 	if w.account != "" {
-		limited(w, o, w.account, w.limitMilli, 1)
+		setAccountLimit(w, o, w.account, w.limitMilli, 1)
 	}
 	w.owners = append(w.owners, o)
 	return o
@@ -207,15 +207,15 @@
 // discoveryList returns what service discovery lists.
 func (w *world) discoveryList() []executor.EndpointInfo {
 	var out []executor.EndpointInfo
-	for _, h := range w.hosts {
+	for _, h := range w.endpoints {
 		switch {
 		case h.entry != nil && w.now < h.entryUntil:
 			out = append(out, *h.entry)
 		case h.down && w.now-h.downAt > entryTTL:
 		case h.dead:
-		case w.beat > 0:
-			if h.said.ID != "" {
-				out = append(out, h.said)
+		case w.heartbeatInterval > 0:
+			if h.entryWritten.ID != "" {
+				out = append(out, h.entryWritten)
 			}
 		default:
 			out = append(out, h.describe())
@@ -229,8 +229,8 @@
 func (w *world) run(d time.Duration) {
 	for end := w.now + d; w.now < end; {
 		w.now += step
-		w.endpoints()
-		w.heartbeats()
+		w.tickEndpoints()
+		w.writeEntries()
 		w.deliverListings()
 		for _, o := range w.owners {
 			if !o.stopped && !o.busy {
@@ -270,7 +270,7 @@
 
 // flush appends a batch, or stops an owner whose epoch is no longer the newest.
 func (w *world) flush(o *owner) {
-	if o.cut || w.storeAway {
+	if o.cut || w.storeDown {
 		return
 	}
 	if o.epoch < w.journal.epoch {
@@ -347,8 +347,8 @@
 }
 
 func (w *world) send(o *owner, order executor.Order, lease time.Duration) {
-	h := w.hosts[order.Endpoint]
-	if h == nil || !h.hears(o.epoch) || w.chance("lost", order.Kind, order.Task, order.Run, o.epoch) < w.loseOrders {
+	h := w.endpoints[order.Endpoint]
+	if h == nil || !h.reachableBy(o.epoch) || w.chance("lost", order.Kind, order.Task, order.Run, o.epoch) < w.loseOrders {
 		if w.chance("late", order.Kind, order.Task, order.Run, o.epoch) < w.lateOrders {
 			at := w.now + time.Duration(5000*w.chance("delay", order.Kind, order.Task, order.Run, o.epoch))*time.Millisecond
 			l := lateOrder{at: at, order: order, epoch: o.epoch, lease: lease}
@@ -358,7 +358,7 @@
 			w.late = append(w.late, l)
 		}
 		if h != nil && h.down && order.Kind == executor.OrderStart {
-			w.history(order.Task).taken++
+			w.history(order.Task).lostRuns++
 		}
 		o.core.OrderDone(w.now, order, executor.OrderUnanswered, executor.Answer{})
 		return
@@ -373,9 +373,9 @@
 }
 
 func (w *world) poll(o *owner, l executor.Look) {
-	h := w.hosts[l.Endpoint]
+	h := w.endpoints[l.Endpoint]
 	switch {
-	case h == nil || !h.hears(o.epoch):
+	case h == nil || !h.reachableBy(o.epoch):
 		o.core.LookDone(w.now, l, executor.LookUnanswered, executor.Listed{})
 		return
 	case h.dead:
@@ -386,7 +386,7 @@
 		return
 	}
 	h.fence = l.Fence
-	h.hold(w.now, l.LeaseUntil)
+	h.extendLease(w.now, l.LeaseUntil)
 	w.acknowledge(h, l.Acknowledged)
 	if w.chance("look", l.Endpoint, o.epoch) < w.loseAnswers {
 		o.core.LookDone(w.now, l, executor.LookUnanswered, executor.Listed{})
@@ -395,7 +395,7 @@
 	listed := executor.Listed{Clock: h.clock(w.now), StartedMs: h.startedMs, Ended: slices.Clone(h.ended)}
 	for _, r := range h.running {
 		percent := 50
-		if !r.hung {
+		if !r.stalled {
 			percent = min(99, int(100*(w.now-r.began)/max(step, r.ends-r.began)))
 		}
 		if h.percent > 0 {
