--- a/internal/executor/polls.go
+++ b/internal/executor/polls.go
@@ -105,8 +105,8 @@
 	c.recordCrashes(crashes)
 }
 
-// Look is a poll to send: it renews the endpoint's leases, acknowledges ends and asks for a listing.
-type Look struct {
+// Poll is a request to an endpoint that renews its leases, acknowledges ends and asks for a listing.
+type Poll struct {
 	Endpoint     string
 	Addr         string
 	Fence        int64
@@ -116,15 +116,15 @@
 	sent         time.Duration
 }
 
-// DueLooks returns the polls to send now; LookDone reports the result of each.
-func (c *Core) DueLooks(now time.Duration) []Look {
-	var due []Look
+// DuePolls returns the polls to send now; PollDone reports the result of each.
+func (c *Core) DuePolls(now time.Duration) []Poll {
+	var due []Poll
 	for _, e := range c.endpoints {
 		if e.pollInFlight || now < e.nextPoll || e.addr == "" || !c.needsPoll(now, e) {
 			continue
 		}
 		e.pollInFlight = true
-		due = append(due, Look{Endpoint: e.id, Addr: e.addr, Fence: c.fence(e), Acknowledged: e.safeAcknowledgement(),
+		due = append(due, Poll{Endpoint: e.id, Addr: e.addr, Fence: c.fence(e), Acknowledged: e.safeAcknowledgement(),
 			LeaseUntil: c.grantLease(e, now), Wait: c.pollWait(now, e), sent: now})
 	}
 	return due
@@ -210,34 +210,34 @@
 	Checkpoint string
 }
 
-// LookResult is the result of a poll.
-type LookResult uint8
+// PollResult is the result of a poll.
+type PollResult uint8
 
 // Results of polls.
 const (
-	LookAnswered LookResult = iota
-	LookUnanswered
-	LookFenced
-	LookGone
+	PollAnswered PollResult = iota
+	PollUnanswered
+	PollFenced
+	PollGone
 )
 
-// LookDone applies the result of a poll.
-func (c *Core) LookDone(now time.Duration, l Look, result LookResult, in Listed) {
-	e := c.endpoints[l.Endpoint]
-	if e == nil || l.Fence != c.fence(e) {
+// PollDone applies the result of a poll.
+func (c *Core) PollDone(now time.Duration, p Poll, result PollResult, in Listed) {
+	e := c.endpoints[p.Endpoint]
+	if e == nil || p.Fence != c.fence(e) {
 		return // result for an earlier incarnation
 	}
 	e.pollInFlight = false
 	switch result {
-	case LookGone:
+	case PollGone:
 		c.incarnationCrashed(e)
-	case LookFenced:
+	case PollFenced:
 		c.fenced = true
 		c.event(Event{Kind: EventFenced, Endpoint: e.id})
-	case LookUnanswered:
+	case PollUnanswered:
 		e.pollFailed(now)
-	case LookAnswered:
-		c.pollAnswered(now, l, e, in)
+	case PollAnswered:
+		c.pollAnswered(now, p, e, in)
 	}
 }
 
@@ -248,10 +248,10 @@
 
 // pollAnswered applies a listing. If it is from a new incarnation, it only shows that this one is
 // running: orders for the previous incarnation may still reach it.
-func (c *Core) pollAnswered(now time.Duration, l Look, e *endpoint, in Listed) {
+func (c *Core) pollAnswered(now time.Duration, p Poll, e *endpoint, in Listed) {
 	c.observeIncarnation(now, e, in.StartedMs)
-	if l.Fence == c.fence(e) {
-		c.applyListing(now, l.sent, e, in)
+	if p.Fence == c.fence(e) {
+		c.applyListing(now, p.sent, e, in)
 	}
 }
 
--- a/internal/executor/simulated_endpoints_test.go
+++ b/internal/executor/simulated_endpoints_test.go
@@ -206,7 +206,7 @@
 	}
 	for i, a := range w.answers {
 		if a.poll.Endpoint == h.id {
-			w.answers[i].result = executor.LookUnanswered
+			w.answers[i].result = executor.PollUnanswered
 		}
 	}
 	clear(h.running)
--- a/internal/executor/world_test.go
+++ b/internal/executor/world_test.go
@@ -74,9 +74,9 @@
 type lateAnswer struct {
 	at     time.Duration
 	to     *owner
-	poll   executor.Look
+	poll   executor.Poll
 	listed executor.Listed
-	result executor.LookResult
+	result executor.PollResult
 }
 
 // traceEvent is something that happened to a task.
@@ -257,8 +257,8 @@
 		return
 	}
 	if w.now-o.lastProof < w.limits.ProofAge {
-		for _, l := range c.DueLooks(w.now) {
-			w.poll(o, l)
+		for _, p := range c.DuePolls(w.now) {
+			w.poll(o, p)
 		}
 		for _, order := range c.TakeStops() {
 			w.send(o, order, 0)
@@ -372,24 +372,24 @@
 	o.core.OrderDone(w.now, order, result, executor.Answer{Clock: h.clock(w.now)})
 }
 
-func (w *world) poll(o *owner, l executor.Look) {
-	h := w.endpoints[l.Endpoint]
+func (w *world) poll(o *owner, p executor.Poll) {
+	h := w.endpoints[p.Endpoint]
 	switch {
 	case h == nil || !h.reachableBy(o.epoch):
-		o.core.LookDone(w.now, l, executor.LookUnanswered, executor.Listed{})
+		o.core.PollDone(w.now, p, executor.PollUnanswered, executor.Listed{})
 		return
 	case h.dead:
-		o.core.LookDone(w.now, l, executor.LookGone, executor.Listed{})
+		o.core.PollDone(w.now, p, executor.PollGone, executor.Listed{})
 		return
-	case l.Fence < h.fence:
-		o.core.LookDone(w.now, l, executor.LookFenced, executor.Listed{})
+	case p.Fence < h.fence:
+		o.core.PollDone(w.now, p, executor.PollFenced, executor.Listed{})
 		return
 	}
-	h.fence = l.Fence
-	h.extendLease(w.now, l.LeaseUntil)
-	w.acknowledge(h, l.Acknowledged)
-	if w.chance("look", l.Endpoint, o.epoch) < w.loseAnswers {
-		o.core.LookDone(w.now, l, executor.LookUnanswered, executor.Listed{})
+	h.fence = p.Fence
+	h.extendLease(w.now, p.LeaseUntil)
+	w.acknowledge(h, p.Acknowledged)
+	if w.chance("look", p.Endpoint, o.epoch) < w.loseAnswers {
+		o.core.PollDone(w.now, p, executor.PollUnanswered, executor.Listed{})
 		return
 	}
 	listed := executor.Listed{Clock: h.clock(w.now), StartedMs: h.startedMs, Ended: slices.Clone(h.ended)}
@@ -403,8 +403,8 @@
 		}
 		listed.Running = append(listed.Running, executor.ListedRun{Task: r.task, Run: r.number, Percent: percent})
 	}
-	delay := time.Duration(12*w.chance("answer", l.Endpoint, o.epoch)) * step
-	w.answers = append(w.answers, lateAnswer{w.now + delay, o, l, listed, executor.LookAnswered})
+	delay := time.Duration(12*w.chance("answer", p.Endpoint, o.epoch)) * step
+	w.answers = append(w.answers, lateAnswer{w.now + delay, o, p, listed, executor.PollAnswered})
 }
 
 // deliverListings passes listings to their owners, which may have received newer ones meanwhile.
@@ -415,7 +415,7 @@
 		if a.at > w.now {
 			w.answers = append(w.answers, a)
 		} else if !a.to.stopped {
-			a.to.core.LookDone(w.now, a.poll, a.result, a.listed)
+			a.to.core.PollDone(w.now, a.poll, a.result, a.listed)
 		}
 	}
 }
--- a/internal/shards/orders.go
+++ b/internal/shards/orders.go
@@ -70,7 +70,7 @@
 
 // renew sends a lease renewal to an endpoint in the background and reports the runs that the
 // endpoint listed to the core.
-func (r *Runner) renew(l executor.Look) {
+func (r *Runner) renew(l executor.Poll) {
 	to := platform.EndpointRef{ID: l.Endpoint, Addr: l.Addr}
 	go func() {
 		look, err := r.endpoints.Renew(r.ctx, to, platform.Renewal{Fence: l.Fence, Acknowledged: l.Acknowledged,
@@ -79,21 +79,21 @@
 		if err != nil && r.ctx.Err() == nil {
 			r.log.Info("renewal failed", "epoch", r.epoch, "instance", l.Endpoint, "error", err.Error())
 		}
-		r.post(func(now time.Duration) { r.core.LookDone(now, l, result, toListed(look)) })
+		r.post(func(now time.Duration) { r.core.PollDone(now, l, result, toListed(look)) })
 	}()
 }
 
-func renewalResultOf(err error) executor.LookResult {
+func renewalResultOf(err error) executor.PollResult {
 	if err == nil {
-		return executor.LookAnswered
+		return executor.PollAnswered
 	}
 	switch orderResultOf(err) {
 	case executor.OrderFenced:
-		return executor.LookFenced
+		return executor.PollFenced
 	case executor.OrderGone:
-		return executor.LookGone
+		return executor.PollGone
 	}
-	return executor.LookUnanswered
+	return executor.PollUnanswered
 }
 
 var endReasons = map[platform.EndReason]executor.HowEnded{
--- a/internal/shards/runner.go
+++ b/internal/shards/runner.go
@@ -196,7 +196,7 @@
 		return
 	}
 	if r.hasFreshProof() {
-		for _, l := range r.core.DueLooks(now) {
+		for _, l := range r.core.DuePolls(now) {
 			r.renew(l)
 		}
 		for _, o := range r.core.TakeStops() {
