--- a/internal/executor/incoming_capacity.go
+++ b/internal/executor/incoming_capacity.go
@@ -12,8 +12,8 @@
 // longer can. Counting the announced capacity lets the pool accept the jobs of a peak's first
 // seconds.
 
-// Loan is CPU capacity that will be added to a pool.
-type Loan struct {
+// IncomingCapacity is CPU capacity that will be added to a pool.
+type IncomingCapacity struct {
 	CPUMilli int `cbor:"1,keyasint"`
 	// InMs is how long after this message the capacity arrives.
 	InMs int64 `cbor:"2,keyasint"`
@@ -24,10 +24,10 @@
 	at       time.Duration
 }
 
-// Lent replaces the list of capacity that is about to be added to this pool.
-func (c *Core) Lent(now time.Duration, loans []Loan) {
+// SetIncomingCapacity replaces the list of capacity that is about to be added to this pool.
+func (c *Core) SetIncomingCapacity(now time.Duration, announced []IncomingCapacity) {
 	c.incoming = c.incoming[:0]
-	for _, l := range loans {
+	for _, l := range announced {
 		c.incoming = append(c.incoming, capacityArrival{float64(l.CPUMilli), now + time.Duration(l.InMs)*time.Millisecond})
 	}
 	slices.SortFunc(c.incoming, func(a, b capacityArrival) int { return cmp.Compare(a.at, b.at) })
--- a/internal/executor/length_records_test.go
+++ b/internal/executor/length_records_test.go
@@ -89,7 +89,7 @@
 	It("counts from its arrival on", func() {
 		c := newTestCore(0)
 		Expect(c.drainMs(0, 4000, 1)).To(BeNumerically("~", 4000, 1))
-		c.Lent(0, []Loan{{CPUMilli: 3, InMs: 500}, {CPUMilli: 4, InMs: 1000}})
+		c.SetIncomingCapacity(0, []IncomingCapacity{{CPUMilli: 3, InMs: 500}, {CPUMilli: 4, InMs: 1000}})
 		// 500 with 1, then 2000 with 4, then 1500 with 8.
 		Expect(c.drainMs(0, 4000, 1)).To(BeNumerically("~", 1187.5, 1))
 		Expect(c.drainMs(0, 400, 1)).To(BeNumerically("~", 400, 1))
--- a/internal/fleetops/incoming.go
+++ b/internal/fleetops/incoming.go
@@ -31,11 +31,11 @@
 
 // Loans is, for each pool, the processor capacity on its way there, and the capacity that could be
 // requested at once: switched-off instances and the surplus of other pools.
-func (s *State) Loans(now time.Duration, pools []string) map[string][]executor.Loan {
+func (s *State) Loans(now time.Duration, pools []string) map[string][]executor.IncomingCapacity {
 	unit := s.meanInstanceCPU()
 	idle := s.idleSpareCPU()
 	balances := s.balances(now, unit)
-	loans := make(map[string][]executor.Loan, len(pools))
+	loans := make(map[string][]executor.IncomingCapacity, len(pools))
 	for _, pool := range pools {
 		available := idle
 		for _, b := range balances {
@@ -43,14 +43,14 @@
 				available -= b.shortfall()
 			}
 		}
-		loans[pool] = append(s.incomingInstances(now, pool), executor.Loan{CPUMilli: int(available), InMs: (s.limits.MoveTime + joinTime).Milliseconds()})
+		loans[pool] = append(s.incomingInstances(now, pool), executor.IncomingCapacity{CPUMilli: int(available), InMs: (s.limits.MoveTime + joinTime).Milliseconds()})
 	}
 	return loans
 }
 
 // incomingInstances are the instances on their way to a pool.
-func (s *State) incomingInstances(now time.Duration, pool string) []executor.Loan {
-	var out []executor.Loan
+func (s *State) incomingInstances(now time.Duration, pool string) []executor.IncomingCapacity {
+	var out []executor.IncomingCapacity
 	for _, op := range s.ops {
 		if !s.isIncoming(now, op, pool) {
 			continue
@@ -62,7 +62,7 @@
 		if op.acceptedAt > 0 {
 			left -= now - op.acceptedAt
 		}
-		out = append(out, executor.Loan{CPUMilli: s.instances[op.Instance].CPUMilli, InMs: max(0, left).Milliseconds()})
+		out = append(out, executor.IncomingCapacity{CPUMilli: s.instances[op.Instance].CPUMilli, InMs: max(0, left).Milliseconds()})
 	}
 	return out
 }
--- a/internal/fleetops/run.go
+++ b/internal/fleetops/run.go
@@ -51,7 +51,7 @@
 	// Due are endpoints whose instances a wave will need soon.
 	Due []string
 	// Loans is the processor capacity on its way to the pool, or available to it.
-	Loans []executor.Loan
+	Loans []executor.IncomingCapacity
 	// Shares are the pool's shares of accounts' limits.
 	Shares quota.Ask
 }
--- a/internal/shards/calls.go
+++ b/internal/shards/calls.go
@@ -77,7 +77,7 @@
 	Pool  string       `cbor:"1,keyasint"`
 	Items []VacateItem `cbor:"2,keyasint,omitempty"`
 	// Loans is the CPU capacity that the pool is getting, or can get.
-	Loans []executor.Loan `cbor:"3,keyasint,omitempty"`
+	Loans []executor.IncomingCapacity `cbor:"3,keyasint,omitempty"`
 	// Due are endpoints that will have to be drained soon.
 	Due []string `cbor:"4,keyasint,omitempty"`
 	// Shares are the pool's shares of client accounts' limits.
--- a/internal/shards/runner_calls.go
+++ b/internal/shards/runner_calls.go
@@ -187,7 +187,7 @@
 		}
 	}
 	r.core.LeavesSoon(now, in.Due)
-	r.core.Lent(now, in.Loans)
+	r.core.SetIncomingCapacity(now, in.Loans)
 	result.Summary = r.core.Summary(now)
 	result.ProofAgeMs = r.tenure.ProofAge().Milliseconds()
 	return result, needsProof
