--- a/internal/executor/crash_test.go
+++ b/internal/executor/crash_test.go
@@ -332,7 +332,7 @@
 		w.run(100 * time.Millisecond)
 		for _, h := range w.endpoints {
 			if h.down && w.now-h.downAt > 4*time.Second {
-				o.core.Gone(executor.Incarnation{ID: h.id, StartedMs: h.startedMs})
+				o.core.IncarnationEnded(executor.Incarnation{ID: h.id, StartedMs: h.startedMs})
 				w.restartCrashed(h)
 			}
 		}
--- a/internal/executor/executor_test.go
+++ b/internal/executor/executor_test.go
@@ -260,7 +260,7 @@
 		clear(w.endpoints["i-00"].running)
 		w.addEndpoint("i-01")
 		w.run(100 * time.Millisecond)
-		o.core.Gone(executor.Incarnation{ID: "i-00", StartedMs: w.endpoints["i-00"].startedMs})
+		o.core.IncarnationEnded(executor.Incarnation{ID: "i-00", StartedMs: w.endpoints["i-00"].startedMs})
 		w.run(time.Second)
 		Expect(w.state(o, j)).To(Equal("completed"))
 		Expect(w.violations).To(BeEmpty())
--- a/internal/executor/polls.go
+++ b/internal/executor/polls.go
@@ -78,9 +78,9 @@
 	}
 }
 
-// Gone records that an operation has ended an incarnation with everything on it. If the endpoint's
+// IncarnationEnded records that an operation has ended an incarnation with everything on it. If the endpoint's
 // present incarnation is unknown, its tasks may run on a later one: its first listing shows that.
-func (c *Core) Gone(in Incarnation) {
+func (c *Core) IncarnationEnded(in Incarnation) {
 	c.endedIncarnations[in] = true
 	e := c.endpoints[in.ID]
 	if e == nil || e.incarnation() != in {
--- a/internal/executor/restart_test.go
+++ b/internal/executor/restart_test.go
@@ -162,7 +162,7 @@
 	w.endpoints["i-01"].draining = false
 	o.stopped = true
 	o = w.takeOver()
-	o.core.Gone(former)
+	o.core.IncarnationEnded(former)
 	w.run(5 * time.Second)
 	g.Expect(w.violations).To(BeEmpty())
 	g.Expect(w.state(o, j)).To(Equal("completed"))
--- a/internal/shards/manager.go
+++ b/internal/shards/manager.go
@@ -265,7 +265,7 @@
 	m.mu.Lock()
 	h.ready = true
 	for _, incarnation := range ended {
-		r.core.Gone(incarnation)
+		r.core.IncarnationEnded(incarnation)
 	}
 	r.core.SetAccounts(m.accounts)
 	r.core.TakeShares(r.now(), grants)
--- a/internal/shards/runner_calls.go
+++ b/internal/shards/runner_calls.go
@@ -178,7 +178,7 @@
 	result.Accounts, needsProof = r.core.AccountReports(in.Shares.Grants), in.Shares.Prove
 	for _, item := range in.Items {
 		if item.Ended {
-			r.core.Gone(executor.Incarnation{ID: item.Endpoint, StartedMs: item.StartedMs})
+			r.core.IncarnationEnded(executor.Incarnation{ID: item.Endpoint, StartedMs: item.StartedMs})
 			continue
 		}
 		if v, found := r.core.Vacate(now, item.Endpoint, item.Hurry); found {
