--- a/internal/executor/length_model.go
+++ b/internal/executor/length_model.go
@@ -105,9 +105,9 @@
 	return c.expectedTaskMs(s.job.rec.Queue, s.spec)
 }
 
-// Learned returns the mean measured length of a queue's runs, or zero before there are enough
+// MeanRunLength returns the mean measured length of a queue's runs, or zero before there are enough
 // of them.
-func (c *Core) Learned(queue string) time.Duration {
+func (c *Core) MeanRunLength(queue string) time.Duration {
 	if l := c.lengthModels[queue]; l.hasEnoughRuns() {
 		return time.Duration(l.meanMs() * float64(time.Millisecond))
 	}
--- a/internal/executor/length_records_test.go
+++ b/internal/executor/length_records_test.go
@@ -63,10 +63,10 @@
 		c.Submit(0, jobs.Job{ID: "00000000000000a3", Steps: []jobs.Step{{Count: 1, CPUMilli: 100, EstimateMs: 100}}}, testAcceptance, 1)
 		records := c.Ready(0).Records
 		next := successor(c, records, time.Second)
-		Expect(next.Learned("q")).To(BeNumerically("~", 2*time.Second, 10*time.Millisecond))
+		Expect(next.MeanRunLength("q")).To(BeNumerically("~", 2*time.Second, 10*time.Millisecond))
 		Expect(next.lengthModels["q"].runs).To(BeNumerically("<=", maxRestoredRuns))
 		old := successor(c, records, statsMaxAge+time.Second)
-		Expect(old.Learned("q")).To(BeZero())
+		Expect(old.MeanRunLength("q")).To(BeZero())
 	})
 
 	It("has run statistics written only together with other records", func() {
--- a/internal/executor/speed_test.go
+++ b/internal/executor/speed_test.go
@@ -124,9 +124,9 @@
 		o.stopped = true
 		next := w.takeOver()
 		w.run(400 * time.Millisecond)
-		Expect(next.core.Learned("q")).To(BeZero())
+		Expect(next.core.MeanRunLength("q")).To(BeZero())
 		w.submit(next, jobOf(10, small(10)))
 		w.run(time.Second)
-		Expect(next.core.Learned("q")).To(BeNumerically(">", 280*time.Millisecond))
+		Expect(next.core.MeanRunLength("q")).To(BeNumerically(">", 280*time.Millisecond))
 	})
 })
