--- a/internal/executor/capacity.go
+++ b/internal/executor/capacity.go
@@ -21,7 +21,7 @@
 // hasCurrentCapacity reports whether an endpoint's last reported capacity is recent enough to place
 // tasks by it.
 func (c *Core) hasCurrentCapacity(now time.Duration, e *endpoint) bool {
-	return c.limits.RoomHolds == 0 || e.entryAge(now) <= c.limits.RoomHolds-maxStartDelay
+	return c.limits.CapacityMaxAge == 0 || e.entryAge(now) <= c.limits.CapacityMaxAge-maxStartDelay
 }
 
 // maySendStart reports whether a durable start may still be sent: its endpoint's capacity may have shrunk
--- a/internal/executor/core.go
+++ b/internal/executor/core.go
@@ -39,9 +39,9 @@
 	StopTimeout time.Duration
 	// LongestLease is the longest lease that endpoints grant; they shorten longer ones to it.
 	LongestLease time.Duration
-	// RoomHolds is how long starts may rely on a reported capacity after it has shrunk;
+	// CapacityMaxAge is how long starts may rely on a reported capacity after it has shrunk;
 	// endpoints report their capacity at intervals. 0 means no bound.
-	RoomHolds time.Duration
+	CapacityMaxAge time.Duration
 }
 
 const (
--- a/internal/executor/simulated_endpoints_test.go
+++ b/internal/executor/simulated_endpoints_test.go
@@ -141,7 +141,7 @@
 func (w *world) countedCapacity(h *simEndpoint, late bool) int {
 	most := h.capacity.CPUMilli
 	for _, past := range h.pastCapacities {
-		if late || w.now < past.until+w.limits.RoomHolds {
+		if late || w.now < past.until+w.limits.CapacityMaxAge {
 			most = max(most, past.capacity.CPUMilli)
 		}
 	}
--- a/internal/executor/world_test.go
+++ b/internal/executor/world_test.go
@@ -159,7 +159,7 @@
 
 func testLimits() executor.Limits {
 	return executor.Limits{Lease: 3 * time.Second, ProofAge: 4 * time.Second, KeepEnded: time.Minute, StopTimeout: 200 * time.Millisecond, LongestLease: longestLease,
-		RoomHolds: 4500 * time.Millisecond}
+		CapacityMaxAge: 4500 * time.Millisecond}
 }
 
 func newWorld(seed uint64, endpoints int) *world {
--- a/internal/host/host.go
+++ b/internal/host/host.go
@@ -260,7 +260,7 @@
 		Node: n.set.Node, Addr: addr, Member: member,
 		Membership: n.client, Store: store, Endpoints: n.client, Logger: n.log,
 		Limits: executor.Limits{Lease: lease, ProofAge: proofAge, KeepEnded: n.set.Bounds.KeepEnded, StopTimeout: n.set.Bounds.StopTimeout,
-			LongestLease: n.set.Bounds.LongestLease, RoomHolds: n.set.Bounds.StableWindow + n.set.Bounds.Heartbeat},
+			LongestLease: n.set.Bounds.LongestLease, CapacityMaxAge: n.set.Bounds.StableWindow + n.set.Bounds.Heartbeat},
 		Fleet: func(ctx context.Context, duty shards.Duty) {
 			fleetops.Run(ctx, fleetops.Options{Holder: n.set.Node, Member: member, Claims: duty, Claimed: duty.RecordClaim,
 				Store: store, Cloud: n.client, Pools: calls, Facts: n.facts, Logger: n.log,
