--- a/internal/executor/core.go
+++ b/internal/executor/core.go
@@ -321,10 +321,10 @@
 	startedMs int64
 	// term counts the incarnations that this owner has seen.
 	term     int
-	capacity Room
+	capacity Resources
 	// capacityReportedAt is the endpoint's clock when it reported its capacity; 0 if unknown.
 	capacityReportedAt time.Duration
-	used               Room
+	used               Resources
 	// listed is set while service discovery lists the endpoint.
 	listed   bool
 	draining bool
@@ -382,12 +382,12 @@
 	reservedUntil time.Duration
 }
 
-// Room is an amount of an endpoint's resources.
-type Room = quota.Amount
+// Resources is an amount of an endpoint's resources.
+type Resources = quota.Amount
 
 // needs returns the resources that a task of the step takes from its endpoint. A filler task
 // uses only the CPU time that other tasks leave idle, but its memory is allocated.
-func needs(s *jobs.Step) Room {
+func needs(s *jobs.Step) Resources {
 	r := accountUsage(s)
 	if s.Fills {
 		r.CPUMilli = 0
@@ -400,7 +400,7 @@
 	// StartedMs is when this incarnation started, in ms since 1970; 0 if unknown.
 	StartedMs                  int64
 	ID, Addr, Zone, Kind, Rack string
-	Capacity                   Room
+	Capacity                   Resources
 	Draining                   bool
 	// Clock is the endpoint's monotonic clock when it wrote the entry; 0 if unknown.
 	Clock time.Duration
--- a/internal/executor/dump.go
+++ b/internal/executor/dump.go
@@ -42,17 +42,17 @@
 
 // EndpointDump is an endpoint's state.
 type EndpointDump struct {
-	ID           string `json:"id"`
-	Addr         string `json:"addr"`
-	StartedMs    int64  `json:"started_ms,omitempty"`
-	Free         Room   `json:"free"`
-	Tasks        int    `json:"tasks"`
-	Draining     bool   `json:"draining,omitempty"`
-	Vacating     bool   `json:"vacating,omitempty"`
-	Silent       int    `json:"unanswered,omitempty"`
-	QuarantineMs int64  `json:"quarantine_ms,omitempty"`
-	LookedAgoMs  int64  `json:"looked_ago_ms"`
-	LeaseEndsMs  int64  `json:"lease_ends_in_ms"`
+	ID           string    `json:"id"`
+	Addr         string    `json:"addr"`
+	StartedMs    int64     `json:"started_ms,omitempty"`
+	Free         Resources `json:"free"`
+	Tasks        int       `json:"tasks"`
+	Draining     bool      `json:"draining,omitempty"`
+	Vacating     bool      `json:"vacating,omitempty"`
+	Silent       int       `json:"unanswered,omitempty"`
+	QuarantineMs int64     `json:"quarantine_ms,omitempty"`
+	LookedAgoMs  int64     `json:"looked_ago_ms"`
+	LeaseEndsMs  int64     `json:"lease_ends_in_ms"`
 }
 
 // JobDump is an open job's state.
--- a/internal/executor/place.go
+++ b/internal/executor/place.go
@@ -24,7 +24,7 @@
 	return c.endpointObstacle(now, e) == obstacleNone
 }
 
-func (e *endpoint) free() Room { return e.capacity.Minus(e.used) }
+func (e *endpoint) free() Resources { return e.capacity.Minus(e.used) }
 
 // occupy allocates a task's resources on an endpoint.
 func (c *Core) occupy(t *task, e *endpoint) {
--- a/internal/executor/reserve.go
+++ b/internal/executor/reserve.go
@@ -99,7 +99,7 @@
 }
 
 // capacityWithoutShortTasks returns the capacity that the long-running tasks leave.
-func (e *endpoint) capacityWithoutShortTasks() Room {
+func (e *endpoint) capacityWithoutShortTasks() Resources {
 	capacity := e.capacity
 	for t := range e.tasks {
 		if t.step.spec.LongRunning {
--- a/internal/executor/simulated_endpoints_test.go
+++ b/internal/executor/simulated_endpoints_test.go
@@ -72,7 +72,7 @@
 	began   time.Duration
 	ends    time.Duration
 	outcome executor.HowEnded
-	needs   executor.Room
+	needs   executor.Resources
 	// stalled is set if the run makes no progress.
 	stalled bool
 }
@@ -86,7 +86,7 @@
 	// entry, if set, is what service discovery lists for it until entryUntil.
 	entry      *executor.EndpointInfo
 	entryUntil time.Duration
-	capacity   executor.Room
+	capacity   executor.Resources
 	// pastCapacities are its earlier capacities, the oldest first.
 	pastCapacities []pastCapacity
 	// entryWritten is the newest entry that it has written to service discovery, if it writes only at
@@ -126,7 +126,7 @@
 
 // pastCapacity is a capacity that an endpoint had until some time.
 type pastCapacity struct {
-	capacity executor.Room
+	capacity executor.Resources
 	until    time.Duration
 }
 
@@ -159,7 +159,7 @@
 }
 
 func (w *world) addEndpoint(id string) *simEndpoint {
-	h := &simEndpoint{id: id, rack: "r1", startedMs: w.wall(), capacity: executor.Room{CPUMilli: 4000, MemoryMB: 4000}, running: map[string]*run{},
+	h := &simEndpoint{id: id, rack: "r1", startedMs: w.wall(), capacity: executor.Resources{CPUMilli: 4000, MemoryMB: 4000}, running: map[string]*run{},
 		highest: map[string]int{}, endedAt: map[int64]time.Duration{}, past: map[int64]*pastEnd{}, skew: 1, runLength: 300 * time.Millisecond}
 	h.entryWritten, h.entryWrittenAt = h.describe(), w.now
 	h.entryWritten.Clock = h.clock(w.now)
@@ -309,7 +309,7 @@
 	if w.lengthOf != nil {
 		runLength = w.lengthOf(n)
 	}
-	r := &run{task: order.Task, number: order.Run, began: w.now, ends: w.now + runLength, needs: executor.Room{CPUMilli: 1000, MemoryMB: 10}}
+	r := &run{task: order.Task, number: order.Run, began: w.now, ends: w.now + runLength, needs: executor.Resources{CPUMilli: 1000, MemoryMB: 10}}
 	if h.failsAll || n.Step == failingStep {
 		r.outcome = executor.EndedFailed
 	}
@@ -318,7 +318,7 @@
 	}
 	h.running[order.Task] = r
 	w.checkAccountLimit()
-	var used executor.Room
+	var used executor.Resources
 	for _, other := range h.running {
 		used.CPUMilli += other.needs.CPUMilli
 	}
--- a/internal/host/feeds.go
+++ b/internal/host/feeds.go
@@ -204,7 +204,7 @@
 	n.mu.Lock()
 	for _, e := range n.endpoints {
 		info := executor.EndpointInfo{ID: e.ID, StartedMs: e.StartedMs, Addr: e.Addr, Zone: e.Zone, Kind: e.Kind, Rack: e.Rack, Draining: e.Draining, Clock: e.Clock,
-			Capacity: executor.Room{CPUMilli: e.Capacity.CPUMilli, MemoryMB: e.Capacity.MemoryMB, GPUs: e.Capacity.GPUs}}
+			Capacity: executor.Resources{CPUMilli: e.Capacity.CPUMilli, MemoryMB: e.Capacity.MemoryMB, GPUs: e.Capacity.GPUs}}
 		byPool[e.Service] = append(byPool[e.Service], info)
 	}
 	n.mu.Unlock()
--- a/internal/shards/runner_test.go
+++ b/internal/shards/runner_test.go
@@ -110,7 +110,7 @@
 // startRunner runs a pool with one endpoint until ctx ends.
 func startRunner(ctx context.Context, g *WithT, journal *memoryJournal, endpoints Endpoints, limits executor.Limits) (r *Runner, ended chan struct{}) {
 	return startRunnerWith(ctx, g, journal, endpoints, limits,
-		executor.EndpointInfo{ID: "i-1", Addr: "i-1", Capacity: executor.Room{CPUMilli: 4000, MemoryMB: 4000}})
+		executor.EndpointInfo{ID: "i-1", Addr: "i-1", Capacity: executor.Resources{CPUMilli: 4000, MemoryMB: 4000}})
 }
 
 // startRunnerWith runs a pool with the given endpoints until ctx ends.
