--- a/internal/executor/accounts_test.go
+++ b/internal/executor/accounts_test.go
@@ -27,10 +27,10 @@
 		o.core.Submit(w.now, j, accepting("alpha"), 1)
 		w.run(100 * step)
 		for range 2 {
-			Expect(o.core.Shows(j.ID, executor.Caller{Queue: "q", Account: "alpha"})).To(BeTrue())
-			Expect(o.core.Shows(j.ID, executor.Caller{Queue: "q", Account: "beta"})).To(BeFalse())
-			Expect(o.core.Shows(j.ID, executor.Caller{Queue: "other"})).To(BeFalse())
-			Expect(o.core.Shows(j.ID, executor.Caller{Queue: "q"})).To(BeTrue(), "the queue no longer requires a key")
+			Expect(o.core.VisibleTo(j.ID, executor.Caller{Queue: "q", Account: "alpha"})).To(BeTrue())
+			Expect(o.core.VisibleTo(j.ID, executor.Caller{Queue: "q", Account: "beta"})).To(BeFalse())
+			Expect(o.core.VisibleTo(j.ID, executor.Caller{Queue: "other"})).To(BeFalse())
+			Expect(o.core.VisibleTo(j.ID, executor.Caller{Queue: "q"})).To(BeTrue(), "the queue no longer requires a key")
 			o.stopped = true
 			o = w.takeOver()
 		}
@@ -56,7 +56,7 @@
 		o := w.takeOver()
 		j := jobOf(1, small(1))
 		w.submit(o, j)
-		Expect(o.core.Shows(j.ID, executor.Caller{Queue: "q", Account: "beta"})).To(BeTrue())
+		Expect(o.core.VisibleTo(j.ID, executor.Caller{Queue: "q", Account: "beta"})).To(BeTrue())
 	})
 })
 
--- a/internal/executor/submit.go
+++ b/internal/executor/submit.go
@@ -45,10 +45,10 @@
 	Account string `cbor:"2,keyasint,omitempty"`
 }
 
-// Shows reports whether the caller may see a job. A job that was submitted without an account is
+// VisibleTo reports whether the caller may see a job. A job that was submitted without an account is
 // visible to everybody. A caller without an account also sees the jobs of the queue that it
 // addresses, which may have required a key earlier.
-func (c *Core) Shows(id string, caller Caller) bool {
+func (c *Core) VisibleTo(id string, caller Caller) bool {
 	j := c.jobs[id]
 	if j == nil {
 		return true // the caller is told that there is no such job
@@ -61,7 +61,7 @@
 // yet durable gives VerdictAccepted and a reply of its own.
 func (c *Core) Submit(now time.Duration, in jobs.Job, accepting Accepting, token uint64) (Verdict, Refusal) {
 	if j := c.jobs[in.ID]; j != nil {
-		if !c.Shows(in.ID, Caller{Queue: accepting.Queue, Account: accepting.Account}) {
+		if !c.VisibleTo(in.ID, Caller{Queue: accepting.Queue, Account: accepting.Account}) {
 			return VerdictRefused, Refusal{Reason: RefusedTaken}
 		}
 		if j.accepted {
--- a/internal/shards/runner_calls.go
+++ b/internal/shards/runner_calls.go
@@ -111,7 +111,7 @@
 
 func (r *Runner) cancelJob(ctx context.Context, id string, caller executor.Caller) Result {
 	return r.request(ctx, func(now time.Duration, token uint64) (Result, bool) {
-		if !r.core.Shows(id, caller) {
+		if !r.core.VisibleTo(id, caller) {
 			return Result{Outcome: OutcomeNotFound}, true
 		}
 		found, durable := r.core.Cancel(now, id, token)
@@ -128,7 +128,7 @@
 			return Result{Outcome: OutcomeUnavailable, Reason: "the store does not answer", RetryAfterMs: storeRetryAfterMs}, true
 		}
 		state, found := r.core.State(id)
-		if !found || !r.core.Shows(id, caller) {
+		if !found || !r.core.VisibleTo(id, caller) {
 			return Result{Outcome: OutcomeNotFound}, true
 		}
 		return Result{Outcome: OutcomeDone, State: state}, true
