--- a/internal/executor/long_running_test.go
+++ b/internal/executor/long_running_test.go
@@ -63,7 +63,7 @@
 		Expect(w.endpoints["i-00"].running).To(HaveLen(1))
 		Expect(w.endpoints["i-01"].running).To(HaveLen(1))
 		for range 10 {
-			o.core.LeavesSoon(w.now, []string{"i-01", "i-02"})
+			o.core.SetVacatingSoon(w.now, []string{"i-01", "i-02"})
 			o.core.Vacate(w.now, "i-00", false)
 			w.run(100 * time.Millisecond)
 		}
--- a/internal/executor/vacate.go
+++ b/internal/executor/vacate.go
@@ -43,9 +43,9 @@
 	return Vacancy{Left: len(e.tasks) + e.unknownRuns, StartedMs: e.startedMs}, e.hasReported
 }
 
-// LeavesSoon sets which endpoints will have to be vacated soon. It is valid for vacateFor unless
+// SetVacatingSoon sets which endpoints will have to be vacated soon. It is valid for vacateFor unless
 // it is repeated.
-func (c *Core) LeavesSoon(now time.Duration, ids []string) {
+func (c *Core) SetVacatingSoon(now time.Duration, ids []string) {
 	for _, id := range ids {
 		if e := c.endpoints[id]; e != nil {
 			e.vacatingSoonUntil = now + vacateFor
--- a/internal/shards/runner_calls.go
+++ b/internal/shards/runner_calls.go
@@ -186,7 +186,7 @@
 			needsProof = needsProof || v.Left == 0
 		}
 	}
-	r.core.LeavesSoon(now, in.Due)
+	r.core.SetVacatingSoon(now, in.Due)
 	r.core.SetIncomingCapacity(now, in.Loans)
 	result.Summary = r.core.Summary(now)
 	result.ProofAgeMs = r.tenure.ProofAge().Milliseconds()
