--- a/internal/executor/accounts.go
+++ b/internal/executor/accounts.go
@@ -21,8 +21,8 @@
 // SetAccounts applies the published client accounts.
 func (c *Core) SetAccounts(d *accounts.Directory) { c.allowance.SetDirectory(d) }
 
-// TakeShares applies this pool's shares of the accounts' limits.
-func (c *Core) TakeShares(now time.Duration, grants []quota.Grant) {
+// ApplyShares applies this pool's shares of the accounts' limits.
+func (c *Core) ApplyShares(now time.Duration, grants []quota.Grant) {
 	c.sharesReportedAt = now
 	c.allowance.Grant(grants)
 }
--- a/internal/executor/accounts_test.go
+++ b/internal/executor/accounts_test.go
@@ -68,7 +68,7 @@
 		panic(err)
 	}
 	o.core.SetAccounts(d)
-	o.core.TakeShares(w.now, []quota.Grant{{Account: account, Share: quota.Whole, Limit: limit, Ceiling: limit, Rev: rev}})
+	o.core.ApplyShares(w.now, []quota.Grant{{Account: account, Share: quota.Whole, Limit: limit, Ceiling: limit, Rev: rev}})
 }
 
 // checkAccountLimit records a violation if the account's running tasks exceed its limit.
@@ -166,7 +166,7 @@
 		w.run(10 * step)
 		setAccountLimit(w, o, "alpha", 1500, 1)
 		limit := accounts.Limit{CPUMilli: 1500}
-		o.core.TakeShares(w.now, []quota.Grant{{Account: "alpha", Share: quota.Whole / 2, Limit: limit, Ceiling: limit, Rev: 2}}) // less than a task
+		o.core.ApplyShares(w.now, []quota.Grant{{Account: "alpha", Share: quota.Whole / 2, Limit: limit, Ceiling: limit, Rev: 2}}) // less than a task
 		wide := jobOf(1, small(20))
 		o.core.Submit(w.now, wide, accepting("alpha"), 1)
 		w.run(2 * time.Second)
--- a/internal/shards/manager.go
+++ b/internal/shards/manager.go
@@ -268,7 +268,7 @@
 		r.core.IncarnationEnded(incarnation)
 	}
 	r.core.SetAccounts(m.accounts)
-	r.core.TakeShares(r.now(), grants)
+	r.core.ApplyShares(r.now(), grants)
 	r.core.ObserveEndpoints(r.now(), m.endpoints[r.pool])
 	r.vacateLeaving(leaving)
 	m.mu.Unlock()
--- a/internal/shards/runner_calls.go
+++ b/internal/shards/runner_calls.go
@@ -174,7 +174,7 @@
 // be returned after an append has proved the epoch.
 func (r *Runner) startVacate(now time.Duration, in VacateCall) (result VacateResult, needsProof bool) {
 	result = VacateResult{Owned: true, Left: map[string]int{}, Started: map[string]int64{}}
-	r.core.TakeShares(now, in.Shares.Grants)
+	r.core.ApplyShares(now, in.Shares.Grants)
 	result.Accounts, needsProof = r.core.AccountReports(in.Shares.Grants), in.Shares.Prove
 	for _, item := range in.Items {
 		if item.Ended {
