--- a/internal/executor/advice.go
+++ b/internal/executor/advice.go
@@ -144,8 +144,8 @@
 	return endpoints[:min(count, len(endpoints))]
 }
 
-// AdviceDone applies the answer to a call; ok is false if there was none.
-func (c *Core) AdviceDone(now time.Duration, call AdviceCall, tickets map[string]string, valid time.Duration, ok bool) {
+// ApplyAdvice applies the answer to a call; ok is false if there was none.
+func (c *Core) ApplyAdvice(now time.Duration, call AdviceCall, tickets map[string]string, valid time.Duration, ok bool) {
 	c.adviceInFlight = false
 	a := &call.step.advice
 	a.inFlight = false
--- a/internal/executor/job_kinds_test.go
+++ b/internal/executor/job_kinds_test.go
@@ -169,7 +169,7 @@
 			}
 			asked++
 			Expect(call.Step).To(Equal(j.ID + ".0.0"))
-			o.core.AdviceDone(w.now, call, map[string]string{"i-01": "ticket"}, 600*time.Millisecond, true)
+			o.core.ApplyAdvice(w.now, call, map[string]string{"i-01": "ticket"}, 600*time.Millisecond, true)
 		}
 		Expect(asked).To(BeNumerically(">=", 2))
 		Expect(w.state(o, j)).To(Equal("completed"))
--- a/internal/executor/restart_test.go
+++ b/internal/executor/restart_test.go
@@ -263,7 +263,7 @@
 			if h.startedMs != unfit {
 				tickets[h.id] = "ticket"
 			}
-			o.core.AdviceDone(w.now, call, tickets, time.Minute, true)
+			o.core.ApplyAdvice(w.now, call, tickets, time.Minute, true)
 		}
 		if w.now > 5*time.Second && h.startedMs == unfit {
 			w.restart(h)
--- a/internal/shards/orders.go
+++ b/internal/shards/orders.go
@@ -126,6 +126,6 @@
 		if err != nil {
 			r.log.Info("advice request failed", "epoch", r.epoch, "task", call.Step, "error", err.Error())
 		}
-		r.post(func(now time.Duration) { r.core.AdviceDone(now, call, got.Tickets, got.Valid, err == nil) })
+		r.post(func(now time.Duration) { r.core.ApplyAdvice(now, call, got.Tickets, got.Valid, err == nil) })
 	}()
 }
