--- a/internal/executor/core.go
+++ b/internal/executor/core.go
@@ -177,9 +177,9 @@
 // Fenced reports whether an endpoint has answered that it has seen a newer epoch.
 func (c *Core) Fenced() bool { return c.fenced }
 
-// SetWall sets the wall-clock time, which start times and the age of ended jobs are compared
+// SetWallClock sets the wall-clock time, which start times and the age of ended jobs are compared
 // with.
-func (c *Core) SetWall(ms int64) { c.wallMs = ms }
+func (c *Core) SetWallClock(ms int64) { c.wallMs = ms }
 
 // job is a submitted job and its progress.
 type job struct {
--- a/internal/executor/length_records_test.go
+++ b/internal/executor/length_records_test.go
@@ -13,14 +13,14 @@
 // successor returns an owner that restores the records of c, laterBy after c's present time.
 func successor(c *Core, records []Record, laterBy time.Duration) *Core {
 	next := New("pool", c.epoch+1, c.limits, time.Hour)
-	next.SetWall(c.wallMs + laterBy.Milliseconds())
+	next.SetWallClock(c.wallMs + laterBy.Milliseconds())
 	Expect(next.Restore(records, time.Hour)).To(Succeed())
 	return next
 }
 
 func newTestCore(wallMs int64) *Core {
 	c := New("pool", 1, Limits{Lease: 3 * time.Second, ProofAge: 5 * time.Second, KeepEnded: time.Minute}, 0)
-	c.SetWall(wallMs)
+	c.SetWallClock(wallMs)
 	return c
 }
 
--- a/internal/executor/world_test.go
+++ b/internal/executor/world_test.go
@@ -177,7 +177,7 @@
 	w.note("takeover", "", "", 0, w.journal.epoch, 0)
 	o := &owner{epoch: w.journal.epoch, lastProof: w.now}
 	o.core = executor.New("pool", o.epoch, w.limits, w.now)
-	o.core.SetWall(w.wall())
+	o.core.SetWallClock(w.wall())
 	var records []executor.Record
 	for key, value := range w.journal.newest {
 		records = append(records, executor.Record{Key: key, Value: value})
@@ -243,7 +243,7 @@
 // round runs one iteration of an owner's loop.
 func (w *world) round(o *owner) {
 	c := o.core
-	c.SetWall(w.wall())
+	c.SetWallClock(w.wall())
 	c.ObserveEndpoints(w.now, w.discoveryList())
 	c.Tick(w.now)
 	c.Decide(w.now)
--- a/internal/shards/runner.go
+++ b/internal/shards/runner.go
@@ -116,7 +116,7 @@
 	}
 	r.tenure, r.epoch = held, held.Epoch
 	r.core = executor.New(r.pool, r.epoch, r.limits, r.now())
-	r.core.SetWall(r.wallClock().UnixMilli())
+	r.core.SetWallClock(r.wallClock().UnixMilli())
 	return r.core.Restore(fleetops.RecordsOf(records), r.now())
 }
 
@@ -187,7 +187,7 @@
 // runRound makes decisions and sends what they require. No order or renewal is sent while
 // the last proof of the epoch is too old: a successor relies on that.
 func (r *Runner) runRound(now time.Duration) {
-	r.core.SetWall(r.wallClock().UnixMilli())
+	r.core.SetWallClock(r.wallClock().UnixMilli())
 	r.core.Tick(now)
 	r.core.Decide(now)
 	r.logEvents()
