--- a/internal/executor/accounts_test.go
+++ b/internal/executor/accounts_test.go
@@ -45,7 +45,7 @@
 		o.core.Submit(w.now, j, accepting("alpha"), 1)
 		verdict, refusal := o.core.Submit(w.now, j, accepting("beta"), 2)
 		Expect(verdict).To(Equal(executor.VerdictRefused))
-		Expect(refusal.Reason).To(Equal(executor.RefusedTaken))
+		Expect(refusal.Reason).To(Equal(executor.RefusedIDTaken))
 		verdict, _ = o.core.Submit(w.now, j, accepting("alpha"), 3)
 		Expect(verdict).To(Equal(executor.VerdictAccepted))
 	})
--- a/internal/executor/submit.go
+++ b/internal/executor/submit.go
@@ -11,10 +11,10 @@
 type Verdict uint8
 
 // Verdicts on submissions. VerdictAccepted is given for a new job; its reply follows once the
-// job is durable. VerdictKnown is given for a job that has been accepted already.
+// job is durable. VerdictDuplicate is given for a job that has been accepted already.
 const (
 	VerdictAccepted Verdict = iota
-	VerdictKnown
+	VerdictDuplicate
 	VerdictRefused
 )
 
@@ -28,8 +28,8 @@
 const (
 	// RefusedBacklog means that the job could not end in time behind the accepted work.
 	RefusedBacklog = "backlog"
-	// RefusedTaken means that the id belongs to a job of another caller.
-	RefusedTaken = "id-taken"
+	// RefusedIDTaken means that the id belongs to a job of another caller.
+	RefusedIDTaken = "id-taken"
 	// RefusedAccountBacklog means that the job could not end in time behind other jobs of its
 	// account, which is at its limit.
 	RefusedAccountBacklog = "account-backlog"
@@ -62,10 +62,10 @@
 func (c *Core) Submit(now time.Duration, in jobs.Job, accepting Accepting, token uint64) (Verdict, Refusal) {
 	if j := c.jobs[in.ID]; j != nil {
 		if !c.VisibleTo(in.ID, Caller{Queue: accepting.Queue, Account: accepting.Account}) {
-			return VerdictRefused, Refusal{Reason: RefusedTaken}
+			return VerdictRefused, Refusal{Reason: RefusedIDTaken}
 		}
 		if j.accepted {
-			return VerdictKnown, Refusal{}
+			return VerdictDuplicate, Refusal{}
 		}
 		c.markDirty(j)
 		c.replies = append(c.replies, Reply{token})
--- a/internal/shards/runner_calls.go
+++ b/internal/shards/runner_calls.go
@@ -84,7 +84,7 @@
 		}
 		verdict, refusal := r.core.Submit(now, job, acceptance, token)
 		switch verdict {
-		case executor.VerdictKnown:
+		case executor.VerdictDuplicate:
 			return Result{Outcome: OutcomeDone}, true
 		case executor.VerdictRefused:
 			return Result{Outcome: OutcomeRefused, Reason: refusal.Reason, RetryAfterMs: refusal.RetryAfter.Milliseconds()}, true
