--- a/internal/executor/orders.go
+++ b/internal/executor/orders.go
@@ -12,16 +12,16 @@
 	OrderUnanswered
 	// OrderFenced: the endpoint has seen a newer epoch.
 	OrderFenced
-	// OrderOld: the run has ended or was stopped on the endpoint.
-	OrderOld
-	// OrderLate: the lease had expired when the order arrived.
-	OrderLate
-	// OrderNoRoom: the endpoint, which checks its capacity, is full.
-	OrderNoRoom
+	// OrderStaleRun: the run has ended or was stopped on the endpoint.
+	OrderStaleRun
+	// OrderLeaseExpired: the lease had expired when the order arrived.
+	OrderLeaseExpired
+	// OrderNoCapacity: the endpoint, which checks its capacity, is full.
+	OrderNoCapacity
 	// OrderNoTicket: the endpoint requires a valid ticket.
 	OrderNoTicket
-	// OrderGone: another incarnation answers at the address.
-	OrderGone
+	// OrderOtherIncarnation: another incarnation answers at the address.
+	OrderOtherIncarnation
 	// OrderUnhealthy: the endpoint accepts no orders at present.
 	OrderUnhealthy
 	// OrderInvalid: the endpoint can't decode the order.
@@ -105,7 +105,7 @@
 		c.fenced = true
 		c.event(Event{Kind: EventFenced, Endpoint: o.Endpoint})
 		return
-	case OrderGone:
+	case OrderOtherIncarnation:
 		c.incarnationCrashed(e)
 		return
 	}
@@ -133,17 +133,17 @@
 		e.nextPoll = min(e.nextPoll, now+pollGap)
 	case OrderUnanswered:
 		e.nextPoll = min(e.nextPoll, now+uncertainPollWait)
-	case OrderOld:
+	case OrderStaleRun:
 		// The end of the run, or its stop, is listed or was listed earlier.
 		t.orderAnswered = true
 		t.confirmedAt = max(t.confirmedAt, now)
 		e.nextPoll = now
-	case OrderLate:
+	case OrderLeaseExpired:
 		t.orderAnswered = true
 	case OrderNoTicket:
 		delete(t.step.advice.tickets, e.incarnation())
 		c.withdrawStart(now, t, e, result)
-	case OrderNoRoom, OrderUnhealthy, OrderInvalid:
+	case OrderNoCapacity, OrderUnhealthy, OrderInvalid:
 		c.withdrawStart(now, t, e, result)
 	}
 }
--- a/internal/executor/simulated_endpoints_test.go
+++ b/internal/executor/simulated_endpoints_test.go
@@ -263,7 +263,7 @@
 
 func (w *world) carryOut(h *simEndpoint, order executor.Order, epoch int64, lease time.Duration, late bool) executor.OrderResult {
 	if h.dead {
-		return executor.OrderGone
+		return executor.OrderOtherIncarnation
 	}
 	if order.Fence < h.fence {
 		return executor.OrderFenced
@@ -278,10 +278,10 @@
 		return executor.OrderDone
 	}
 	if order.Run <= h.highest[order.Task] {
-		return executor.OrderOld
+		return executor.OrderStaleRun
 	}
 	if lease <= h.clock(w.now) {
-		return executor.OrderLate
+		return executor.OrderLeaseExpired
 	}
 	if h.rejectsStarts && w.chance("unwell", order.Task, order.Run, epoch) < 0.5 {
 		return executor.OrderUnhealthy
--- a/internal/shards/orders.go
+++ b/internal/shards/orders.go
@@ -53,15 +53,15 @@
 	case platform.RefusedFence:
 		return executor.OrderFenced
 	case platform.RefusedOld:
-		return executor.OrderOld
+		return executor.OrderStaleRun
 	case platform.RefusedLate:
-		return executor.OrderLate
+		return executor.OrderLeaseExpired
 	case platform.RefusedRoom:
-		return executor.OrderNoRoom
+		return executor.OrderNoCapacity
 	case platform.RefusedTicket:
 		return executor.OrderNoTicket
 	case platform.RefusedGone:
-		return executor.OrderGone
+		return executor.OrderOtherIncarnation
 	case platform.RefusedUnhealthy:
 		return executor.OrderUnhealthy
 	}
@@ -90,7 +90,7 @@
 	switch orderResultOf(err) {
 	case executor.OrderFenced:
 		return executor.PollFenced
-	case executor.OrderGone:
+	case executor.OrderOtherIncarnation:
 		return executor.PollGone
 	}
 	return executor.PollUnanswered
