--- a/internal/executor/orders.go
+++ b/internal/executor/orders.go
@@ -185,7 +185,7 @@
 		if e.consecutiveFailures >= quarantineAfter {
 			pause := min(quarantineBase<<min(e.consecutiveFailures-quarantineAfter, 4), quarantineMax)
 			e.quarantine = now + pause
-			c.event(Event{Kind: EventQuiet, Endpoint: e.id, Reason: "runs fail", Run: e.consecutiveFailures, AgeMs: pause.Milliseconds()})
+			c.event(Event{Kind: EventQuarantined, Endpoint: e.id, Reason: "runs fail", Run: e.consecutiveFailures, AgeMs: pause.Milliseconds()})
 		}
 	}
 }
--- a/internal/executor/polls.go
+++ b/internal/executor/polls.go
@@ -323,7 +323,7 @@
 // ordered, so the run was abandoned while its endpoint was still up; it must not go on beside the
 // run that replaces it.
 func (c *Core) stopUnknownRun(e *endpoint, r ListedRun) {
-	c.event(Event{Kind: EventStranger, Task: r.Task, Run: r.Run, Endpoint: e.id})
+	c.event(Event{Kind: EventUnknownRun, Task: r.Task, Run: r.Run, Endpoint: e.id})
 	c.stops = append(c.stops, Order{Kind: OrderStop, Endpoint: e.id, Addr: e.addr, Fence: c.fence(e), Task: r.Task, Run: r.Run})
 }
 
--- a/internal/executor/reserve.go
+++ b/internal/executor/reserve.go
@@ -40,7 +40,7 @@
 		if e := c.endpointToReserve(now, t, endpoints); e != nil {
 			e.reservedFor, e.reservedUntil = t, now+reservationDuration
 			reserved[t] = true
-			c.event(Event{Kind: EventKept, Job: t.step.job.rec.Job.ID, Task: t.name(), Endpoint: e.id, Run: len(e.tasks)})
+			c.event(Event{Kind: EventReserved, Job: t.step.job.rec.Job.ID, Task: t.name(), Endpoint: e.id, Run: len(e.tasks)})
 		}
 	}
 }
--- a/internal/executor/speed.go
+++ b/internal/executor/speed.go
@@ -104,7 +104,7 @@
 		if s.slow != wasSlow {
 			kind := EventSlow
 			if wasSlow {
-				kind = EventFine
+				kind = EventSpeedRecovered
 			}
 			c.event(Event{Kind: kind, Endpoint: e.id, Run: len(e.tasks), Reason: formatRelativeSpeed(s.value / usual)})
 		}
--- a/internal/executor/start_limit.go
+++ b/internal/executor/start_limit.go
@@ -80,7 +80,7 @@
 		return
 	}
 	c.startLimitLoggedAt = now
-	c.event(Event{Kind: EventPaced, Run: int(c.startLimiter.limit), Reason: "answers are slow", AgeMs: c.startLimiter.median.Milliseconds()})
+	c.event(Event{Kind: EventStartsLimited, Run: int(c.startLimiter.limit), Reason: "answers are slow", AgeMs: c.startLimiter.median.Milliseconds()})
 }
 
 // slot is held by a start in flight.
--- a/internal/executor/start_limit_test.go
+++ b/internal/executor/start_limit_test.go
@@ -199,7 +199,7 @@
 	}
 	events := c.TakeEvents()
 	g.Expect(events).NotTo(BeEmpty())
-	g.Expect(events[0].Kind).To(Equal(EventPaced))
+	g.Expect(events[0].Kind).To(Equal(EventStartsLimited))
 	starts := c.Dump(now).Starts
 	g.Expect(starts.Limit).To(BeNumerically("<", initialStartLimit))
 	g.Expect(starts.MedianMs).To(BeNumerically("==", 100))
