--- a/internal/executor/capacity_test.go
+++ b/internal/executor/capacity_test.go
@@ -26,8 +26,8 @@
 	return w, o
 }
 
-// backlog submits healthy jobs.
-func (w *world) backlog(o *owner, from, count int) (all []jobs.Job) {
+// submitBacklog submits healthy jobs.
+func (w *world) submitBacklog(o *owner, from, count int) (all []jobs.Job) {
 	for n := range count {
 		j := jobOf(from+n, small(4), small(2, 0))
 		w.submit(o, j)
@@ -41,7 +41,7 @@
 func TestAnEndpointWhoseCapacityShrinksIsNotOverfilled(t *testing.T) {
 	g := NewWithT(t)
 	w, o := capacityWorld(1)
-	all := w.backlog(o, 1, 30)
+	all := w.submitBacklog(o, 1, 30)
 	for round := range 8 {
 		for _, h := range w.endpoints {
 			w.resize(h, []int{4000, 1000, 3000, 2000}[round%4])
@@ -52,7 +52,7 @@
 		w.resize(h, 4000)
 	}
 	w.run(10 * time.Second)
-	filled := w.backlog(o, 1000, 8)
+	filled := w.submitBacklog(o, 1000, 8)
 	w.run(300 * time.Millisecond)
 	running := 0
 	for _, h := range w.endpoints {
@@ -70,21 +70,21 @@
 // meanwhile endpoints could not report that their capacity had shrunk.
 func TestStartsAfterAStoreOutageKeepToTheReducedCapacity(t *testing.T) {
 	for _, slow := range []bool{false, true} {
-		for _, away := range []time.Duration{2 * time.Second, 6 * time.Second, 20 * time.Second} {
+		for _, outage := range []time.Duration{2 * time.Second, 6 * time.Second, 20 * time.Second} {
 			for _, next := range []bool{false, true} {
-				t.Run(fmt.Sprint("slow ", slow, " away ", away, " next owner ", next), func(t *testing.T) {
+				t.Run(fmt.Sprint("slow ", slow, " away ", outage, " next owner ", next), func(t *testing.T) {
 					g := NewWithT(t)
 					w, o := capacityWorld(2)
 					w.slowJournal = slow
 					w.run(5 * time.Second)
-					all := w.backlog(o, 1, 12)
+					all := w.submitBacklog(o, 1, 12)
 					w.run(2 * step)
 					w.storeDown = true
 					w.run(500 * time.Millisecond)
 					for _, h := range w.endpoints {
 						w.resize(h, 1000)
 					}
-					w.run(away)
+					w.run(outage)
 					w.storeDown = false
 					if next {
 						o.stopped = true
--- a/internal/executor/core.go
+++ b/internal/executor/core.go
@@ -1,8 +1,16 @@
 // Package executor decides which endpoint runs each task of one pool's jobs, and when tasks are
 // started, stopped and retried. Its input is the current time, submitted jobs, service discovery
 // and what endpoints answer; Core is a pure state machine and does no I/O. The owner of the pool
-// calls it: it appends the records that Ready returns and sends the orders and replies that
-// become due.
+// (package shards) calls it: it appends the records that Ready returns and sends the orders and
+// replies that become due.
+//
+// Terms:
+//   - An owner is the process that has claimed the pool; each claim has a higher epoch.
+//   - An endpoint runs tasks. Each start of its process under the same id is an incarnation.
+//   - A run is one attempt of a task, with a number that rises with each attempt. An endpoint runs
+//     it only as long as its lease, which polls renew, has not expired.
+//   - An end is the outcome of a run. Endpoints number their ends and list them in each answer to a
+//     poll until they are acknowledged, which they are once their effect is durable.
 //
 // Contract with the caller:
 //   - The records of one Ready are appended in order, all or none, under the epoch that the Core
@@ -30,8 +38,10 @@
 	// Lease is the duration for which leases are renewed. All owners of a deployment must use
 	// the same value, because a new owner waits until its predecessor's leases have expired.
 	Lease time.Duration
-	// ProofAge is how long an owner may renew leases without confirmation from the store that
-	// its epoch is still the newest.
+	// ProofAge is how old an owner's newest proof may be for it to send polls and orders. A proof is
+	// the journal store's answer to a request under the owner's epoch; it proves that no newer epoch
+	// had been claimed when that request was sent, from which its age is counted. A new owner
+	// can thus rely on its predecessor granting no lease later than ProofAge after the claim.
 	ProofAge time.Duration
 	// KeepEnded is how long the state of an ended job can be queried.
 	KeepEnded time.Duration
@@ -76,9 +86,10 @@
 	epoch  int64
 	limits Limits
 
+	// jobs and endpoints are all that are known, by id.
 	jobs      map[string]*job
 	endpoints map[string]*endpoint
-	// terms are the next term numbers of endpoints that were removed, by id.
+	// terms are the next values of endpoint.term for endpoints that were removed, by id.
 	terms map[string]int
 	// endedIncarnations are incarnations that are confirmed to have ended.
 	endedIncarnations map[Incarnation]bool
@@ -96,18 +107,19 @@
 	// atShareSince maps each account that is at its share to the time since when it has been.
 	atShareSince map[string]time.Duration
 
+	// lengthModels predict the lengths of runs, by queue.
 	lengthModels map[string]*lengthModel
 	// lengthsSavedMs is the wall-clock time at which lengthModels were last written; lengthsChanged
 	// is set when steps have ended since.
 	lengthsSavedMs int64
 	lengthsChanged bool
 
-	// offered is the total work offered, in core-ms. refusedSince is when each refused job was
+	// offeredCoreMs is the total work of submitted jobs, accepted or not, in core-ms. refusedSince is when each refused job was
 	// first offered, so that a resubmitted job is not counted again.
-	offered      float64
-	refusedSince map[string]time.Duration
-	// refusedOf counts refused jobs by client account.
-	refusedOf map[string]int
+	offeredCoreMs float64
+	refusedSince  map[string]time.Duration
+	// refusedByAccount counts refused jobs by client account.
+	refusedByAccount map[string]int
 	// incoming are announced additions to the pool's CPU capacity, soonest first; the announcement
 	// is valid until incomingValidUntil.
 	incoming           []capacityArrival
@@ -126,9 +138,11 @@
 	// savedAbandoned are those that have a record of them.
 	unsavedAbandoned, savedAbandoned map[string]bool
 
-	dirty      map[*job]bool
-	dirtyOrder []*job
-	removed    []string
+	// dirty are the jobs whose records are to be written with the next Ready, and dirtyOrder has
+	// them in the order of their changes. removedKeys are those of records to be deleted.
+	dirty       map[*job]bool
+	dirtyOrder  []*job
+	removedKeys []string
 	// A start passes three stages. decidedStarts are decided and not yet part of a Ready.
 	// startsNotDurable counts those in a Ready that Advance has not been called for. startQueue has
 	// the durable ones, and those to be sent again, which NextStart returns when they may be sent.
@@ -142,19 +156,24 @@
 	placementsLeft int
 	// storeDelay is a moving average of the time that an append to the journal takes.
 	storeDelay time.Duration
-	replies    []Reply
-	acks       map[Incarnation]int64
-	stops      []Order
-	events     []Event
-
+	// replies may be sent once the next Ready is durable, and the ends up to acks, by incarnation,
+	// acknowledged. stops and events have no such condition.
+	replies []Reply
+	acks    map[Incarnation]int64
+	stops   []Order
+	events  []Event
+
+	// claimedAt is when this owner claimed the pool.
 	claimedAt time.Duration
-	// handedOver is, by endpoint, the longest remaining time in ms of the predecessor's leases
-	// at the claim. It is set only if the predecessor handed the pool over.
-	handedOver map[string]int64
-	// explained is when the reasons why tasks wait were last logged.
-	explained time.Duration
-	wallMs    int64
-	fenced    bool
+	// predecessorLeasesMs is how many ms the predecessor's leases may last from the claim on, by
+	// endpoint. It is set only if the predecessor handed the pool over.
+	predecessorLeasesMs map[string]int64
+	// explainedAt is when the reasons why tasks wait were last logged.
+	explainedAt time.Duration
+	// wallMs is the wall-clock time, in ms since 1970.
+	wallMs int64
+	// fenced is set once an endpoint has answered that it has seen a newer epoch.
+	fenced bool
 	// adviceInFlight is set while a call for advice is in flight.
 	adviceInFlight bool
 }
@@ -166,7 +185,7 @@
 		jobs: map[string]*job{}, endpoints: map[string]*endpoint{}, terms: map[string]int{}, endedIncarnations: map[Incarnation]bool{},
 		unsavedAbandoned: map[string]bool{}, savedAbandoned: map[string]bool{}, unreportedLosses: map[string]unreportedLosses{},
 		lengthModels: map[string]*lengthModel{}, allowance: quota.NewAllowance(), atShareSince: map[string]time.Duration{},
-		refusedSince: map[string]time.Duration{}, refusedOf: map[string]int{}, dirty: map[*job]bool{}, acks: map[Incarnation]int64{},
+		refusedSince: map[string]time.Duration{}, refusedByAccount: map[string]int{}, dirty: map[*job]bool{}, acks: map[Incarnation]int64{},
 		startLimiter: newStartLimiter(),
 	}
 }
@@ -184,7 +203,8 @@
 // job is a submitted job and its progress.
 type job struct {
 	rec jobRecord
-	// durable is the state whose record has been appended; callers are shown no other.
+	// durable is the state whose record has been appended; callers are shown no other. accepted is
+	// set once the job's first record has been appended.
 	durable  JobState
 	accepted bool
 	// startDecided is set once a start of one of its tasks has been decided, runConfirmed once an
@@ -193,24 +213,26 @@
 	runConfirmed bool
 	// firstSeen is when this owner first saw the job.
 	firstSeen time.Duration
-	// offered is when the job was first submitted, and objective the time by which it should
-	// end; both are on the same clock as since.
-	offered, objective time.Duration
+	// offeredAt is when the job was first submitted, and objective the time by which it should
+	// end; both are on the same clock as firstSeen.
+	offeredAt, objective time.Duration
 	// firstOpen is the lowest occurrence that has not ended.
 	firstOpen int
-	// next is the lowest occurrence that has not been expanded into tasks.
-	next    int
+	// nextOccurrence is the lowest occurrence that has not been expanded into tasks.
+	nextOccurrence int
+	// current are the occurrences that have been expanded and not yet dropped, in their order.
 	current []*occurrence
 	// placedTasks counts tasks that may be running on some endpoint.
 	placedTasks int
-	queued      bool
+	// inOpen is set while the job is in Core.open.
+	inOpen bool
 }
 
 // occurrence is one execution of all steps of a job; recurring jobs have several.
 type occurrence struct {
-	number int
-	steps  []*stepRun
-	left   int
+	number          int
+	steps           []*stepRun
+	unfinishedSteps int
 }
 
 // stepRun is one step of an occurrence.
@@ -220,10 +242,12 @@
 	index int
 	spec  *jobs.Step
 	tasks []*task
-	left  int
+	// unfinished counts the tasks that are not done.
+	unfinished int
 	// waitsFor counts the earlier steps that must end before this one may start.
 	waitsFor int
-	waiting  int
+	// waiting counts the tasks that are neither placed nor done.
+	waiting int
 	// failures counts the failures of a gang as a whole.
 	failures int
 	// gangDone is set when one member has completed, which counts for all members.
@@ -233,8 +257,9 @@
 	measuredRuns  int
 	measuredRunMs float64
 	// placedAt is when one of its tasks was last placed.
-	placedAt    time.Duration
-	advice      advice
+	placedAt time.Duration
+	advice   advice
+	// perEndpoint counts the tasks that are placed on each endpoint.
 	perEndpoint map[*endpoint]int
 }
 
@@ -242,7 +267,8 @@
 
 const (
 	taskWaiting phase = iota
-	// taskPlaced means that a start has been decided, sent or confirmed.
+	// taskPlaced means that a start has been decided. Later stages, and the endpoint's answers, are
+	// in the fields of task.
 	taskPlaced
 	taskDone
 )
@@ -252,12 +278,18 @@
 	step  *stepRun
 	index int
 	phase phase
-	// run is the number of the newest run whose start may have been sent.
-	run        int
-	failures   int
-	endpoint   *endpoint
+	// run is the number of the newest run whose start has been decided, 0 before the first.
+	run int
+	// failures counts the failed runs; for a gang, stepRun.failures does.
+	failures int
+	// endpoint is where the task is placed, nil unless its phase is taskPlaced.
+	endpoint *endpoint
+	// checkpoint is the newest one that an endpoint has reported; the next run resumes from it.
 	checkpoint string
-	ticket     string
+	// ticket is sent with the start if the step requires one.
+	ticket string
+
+	// The fields up to listedAt concern the current run.
 
 	// orderedAt is when this owner last sent the run's start order, 0 if it has not.
 	orderedAt time.Duration
@@ -271,15 +303,17 @@
 	orderAnswered bool
 	// resending is set while the start order is queued to be sent again.
 	resending bool
-	// onCurrentIncarnation is set once it is certain that the confirmation came from the endpoint's
-	// current incarnation. An answer without a start time may be from a later one.
+	// onCurrentIncarnation is set once it is certain that the run has reached the endpoint's current
+	// incarnation: a listing has shown it as running, or the answer that accepted the start can be
+	// attributed to that incarnation by start time or clock. A confirmation alone may come from
+	// another incarnation at the same address.
 	onCurrentIncarnation bool
 	// restored is set if the start was decided by an earlier owner, or sent to an earlier
 	// incarnation. Its order carries an older fencing token, so that it can't begin once the
 	// current incarnation has accepted a newer token.
 	restored bool
-	// targetStartedMs is the start time, in ms since 1970, of the incarnation that a restored start was
-	// sent to; 0 if unknown.
+	// targetStartedMs is the start time, in ms since 1970, of the incarnation that an earlier owner's
+	// start was decided for; 0 if unknown.
 	targetStartedMs int64
 	// resumed is set if the run started from a checkpoint.
 	resumed bool
@@ -288,6 +322,7 @@
 	progressAt time.Duration
 	// listedAt is when the run was last listed, on the endpoint's clock.
 	listedAt time.Duration
+
 	// slowRestarts counts the task's runs that were stopped because their endpoint was slow.
 	slowRestarts int
 	// evidence counts the crashes that suggest that the task crashes its endpoints. possibleCrash
@@ -295,8 +330,9 @@
 	// nil if the endpoint has not restarted since the start.
 	evidence      evidence
 	possibleCrash *crash
-	// isIsolated is set while a run of a suspect task is too young to be cleared. isolationWaitSince is
-	// when the task began to wait for an endpoint for an isolated run, 0 if it does not wait.
+	// isIsolated is set while the run of a suspect task is new, which keeps runs of other jobs off
+	// its endpoint. isolationWaitSince is when the task began to wait for an endpoint for an isolated
+	// run, 0 if it does not wait.
 	isIsolated         bool
 	isolationWaitSince time.Duration
 	// leaseExpired is set if one of the task's leases has expired; inCautiousTasks, if the task is
@@ -305,9 +341,10 @@
 	// stopping is set once the run is to be stopped; stopSentAt is when the stop was last sent.
 	stopping   bool
 	stopSentAt time.Duration
-	// avoid is the incarnation on which the last run failed.
-	avoid     Incarnation
-	notBefore time.Duration
+	// avoidIncarnation is the incarnation on which a run last failed, stalled or was slow. notBefore
+	// is the end of the backoff after a failure.
+	avoidIncarnation Incarnation
+	notBefore        time.Duration
 }
 
 func (t *task) name() string {
@@ -319,17 +356,22 @@
 	id, addr, zone, kind, rack string
 	// startedMs is when the incarnation started, in ms since 1970; 0 if unknown.
 	startedMs int64
-	// term counts the incarnations that this owner has seen.
-	term     int
+	// term counts the incarnations that this owner has seen; it is the low part of the fencing token.
+	term int
+	// capacity is as in the newest entry in service discovery.
 	capacity Resources
 	// capacityReportedAt is the endpoint's clock when it reported its capacity; 0 if unknown.
 	capacityReportedAt time.Duration
-	used               Resources
+	// used is what the placed tasks take of the capacity.
+	used Resources
 	// listed is set while service discovery lists the endpoint.
-	listed   bool
+	listed bool
+	// draining is set while its entry says that it is shutting down.
 	draining bool
-	vacating bool
-	// vacateUntil is when a request to vacate expires unless it is repeated.
+	// vacating is set while no tasks are to be placed on the endpoint, because it is draining or its
+	// instance is to be moved or maintained. vacateUntil is when that expires unless it is requested
+	// again.
+	vacating    bool
 	vacateUntil time.Duration
 	// vacatingSoonUntil is the time until which the endpoint is expected to be vacated soon.
 	vacatingSoonUntil time.Duration
@@ -349,15 +391,15 @@
 	// clock is the newest reading of the endpoint's clock, and clockAt when it was received.
 	clock   time.Duration
 	clockAt time.Duration
-	// granted is the latest lease end that this owner has requested.
-	granted time.Duration
+	// grantedUntil is the latest lease end that this owner has requested.
+	grantedUntil time.Duration
 	// earlierRunsUntil is the latest time until which runs may go on whose orders were sent to an
 	// earlier incarnation: the ends of their leases are times on a different clock.
 	earlierRunsUntil time.Duration
-	// appliedEnd is the number of the newest end that was applied, and acknowledged that of the newest
-	// end whose effect is durable.
-	appliedEnd   int64
-	acknowledged int64
+	// appliedEnd is the number of the newest end that was applied, and acknowledgedEnd that of the
+	// newest end whose effect is durable, which polls acknowledge.
+	appliedEnd      int64
+	acknowledgedEnd int64
 	// abandonedRuns are the runs, by task, that were abandoned because their lease expired.
 	abandonedRuns map[string]int
 	// unreportedRuns are those abandoned runs, by task, after which the endpoint has not reported,
@@ -365,16 +407,18 @@
 	unreportedRuns map[string]unreportedRun
 	// abandonedAt is when a run was last abandoned, or such runs were restored from the journal.
 	abandonedAt time.Duration
-	// withheld is the number of the first end that must not be acknowledged, 0 for none.
-	withheld int64
+	// withheldEnd is the number of the first end that must not be acknowledged, 0 for none.
+	withheldEnd int64
 
 	// isolatedFor is the job of the suspect task that has an isolated run here, nil for none.
 	isolatedFor *job
 
 	// consecutiveFailures counts failed and stalled runs since the last run that completed.
 	consecutiveFailures int
-	quarantine          time.Duration
-	speed               speed
+	// quarantinedUntil is the time until which no tasks are placed here, because runs have failed or
+	// starts were refused.
+	quarantinedUntil time.Duration
+	speed            speed
 
 	// reservedFor is a task that the endpoint's free capacity is reserved for, until reservedUntil at
 	// the latest.
--- a/internal/executor/crash_test.go
+++ b/internal/executor/crash_test.go
@@ -191,7 +191,7 @@
 	return w, o
 }
 
-// inZone calls f for each endpoint of a zone that still exists.
+// inZone calls visit for each endpoint of a zone that still exists.
 func (w *world) inZone(zone int, visit func(*simEndpoint)) {
 	for _, h := range w.endpoints {
 		if h.zone == fmt.Sprint("z", zone) && !h.dead {
--- a/internal/executor/dump.go
+++ b/internal/executor/dump.go
@@ -80,7 +80,7 @@
 	for _, e := range c.endpoints {
 		d.Endpoints = append(d.Endpoints, EndpointDump{ID: e.id, Addr: e.addr, StartedMs: e.startedMs, Free: e.free(), Tasks: len(e.tasks),
 			Draining: e.draining, Vacating: e.vacating, Silent: e.failedPolls,
-			QuarantineMs: max(0, e.quarantine-now).Milliseconds(), LookedAgoMs: (now - e.lastPollAnswer).Milliseconds(),
+			QuarantineMs: max(0, e.quarantinedUntil-now).Milliseconds(), LookedAgoMs: (now - e.lastPollAnswer).Milliseconds(),
 			LeaseEndsMs: (c.leaseExpiry(e) - now).Milliseconds()})
 	}
 	slices.SortFunc(d.Endpoints, func(a, b EndpointDump) int { return cmp.Compare(a.ID, b.ID) })
@@ -115,7 +115,7 @@
 		if len(out) == maxDumpEntries {
 			break
 		}
-		out = append(out, AccountDump{State: s, Waiting: waiting[s.Account], Refused: c.refusedOf[s.Account],
+		out = append(out, AccountDump{State: s, Waiting: waiting[s.Account], Refused: c.refusedByAccount[s.Account],
 			ToldAgoMs: (now - c.sharesReportedAt).Milliseconds()})
 	}
 	return out
--- a/internal/executor/explain.go
+++ b/internal/executor/explain.go
@@ -19,10 +19,10 @@
 
 // explainWaiting logs what a few long-waiting tasks wait for.
 func (c *Core) explainWaiting(now time.Duration) {
-	if now-c.explained < explainInterval {
+	if now-c.explainedAt < explainInterval {
 		return
 	}
-	c.explained = now
+	c.explainedAt = now
 	shown := 0
 	for _, j := range c.open {
 		if j.rec.State.Ended() || now-j.firstSeen < longWaitThreshold {
@@ -173,9 +173,9 @@
 		return obstacleUnresponsive
 	case e.unknownRuns > 0:
 		return obstacleUnknownRuns
-	case now < e.quarantine:
+	case now < e.quarantinedUntil:
 		return obstacleQuarantined
-	case e.withheld > 0:
+	case e.withheldEnd > 0:
 		return obstacleLateEnd
 	case !c.hasCurrentCapacity(now, e):
 		return obstacleOutdatedEntry
--- a/internal/executor/handover.go
+++ b/internal/executor/handover.go
@@ -43,7 +43,7 @@
 		return &MalformedRecordError{Key: r.Key, Cause: err}
 	}
 	if in.Epoch == c.epoch-1 {
-		c.handedOver = in.LeftMs
+		c.predecessorLeasesMs = in.LeftMs
 	}
 	return nil
 }
@@ -51,7 +51,7 @@
 // predecessorExpiry is when the leases on an endpoint that has not answered this owner have certainly
 // expired.
 func (c *Core) predecessorExpiry(e *endpoint) time.Duration {
-	if left, ok := c.handedOver[e.id]; ok {
+	if left, ok := c.predecessorLeasesMs[e.id]; ok {
 		return c.claimedAt + time.Duration(left)*time.Millisecond + expiryMargin
 	}
 	return c.claimedAt + c.limits.ProofAge + maxElapsed(c.limits.Lease)
--- a/internal/executor/incarnation.go
+++ b/internal/executor/incarnation.go
@@ -79,7 +79,7 @@
 // capacity. What belongs to the endpoint's instance is kept.
 func (c *Core) resetIncarnation(now time.Duration, e *endpoint, startedMs int64) {
 	c.event(Event{Kind: EventRestarted, Endpoint: e.id, StartedMs: startedMs, Run: len(e.tasks),
-		Reason: fmt.Sprintf("the previous incarnation's ends were acknowledged up to %d", e.acknowledged)})
+		Reason: fmt.Sprintf("the previous incarnation's ends were acknowledged up to %d", e.acknowledgedEnd)})
 	c.recordCrashes(attributeCrash(e, c.unreportedRuns(e)))
 	crashes := attributeCrash(e, e.orderedRuns())
 	c.unsavedAbandoned[e.id] = true
@@ -115,7 +115,7 @@
 // such a start is not certain to have reached the present incarnation.
 func (e *endpoint) safeAcknowledgement() int64 {
 	if e.startedMs == 0 {
-		return e.acknowledged // an endpoint that reports no start time has one incarnation per id
+		return e.acknowledgedEnd // an endpoint that reports no start time has one incarnation per id
 	}
 	if e.failedPolls > 0 {
 		return 0
@@ -125,7 +125,7 @@
 			return 0
 		}
 	}
-	return e.acknowledged
+	return e.acknowledgedEnd
 }
 
 // Answer is what an endpoint reports about itself in its answer to an order.
--- a/internal/executor/isolation.go
+++ b/internal/executor/isolation.go
@@ -116,8 +116,8 @@
 	}
 }
 
-// suspectsWaiting returns the suspects that could start now and need an isolated run.
-func (c *Core) suspectsWaiting(now time.Duration) []*task {
+// waitingSuspects returns the suspects that could start now and need an isolated run.
+func (c *Core) waitingSuspects(now time.Duration) []*task {
 	var out []*task
 	for _, t := range c.cautiousTasks {
 		if t.needsIsolatedRun(now) && t.step.waitsFor == 0 && c.mayStart(now, t) {
--- a/internal/executor/journal.go
+++ b/internal/executor/journal.go
@@ -94,7 +94,7 @@
 func (j *job) progress() progressRecord {
 	p := progressRecord{FirstOpen: j.firstOpen, RunConfirmed: j.runConfirmed}
 	for _, o := range j.current {
-		if o.left == 0 {
+		if o.unfinishedSteps == 0 {
 			p.Ended = append(p.Ended, o.number)
 			continue
 		}
@@ -195,10 +195,10 @@
 		delete(c.dirty, j)
 	}
 	c.dirtyOrder = c.dirtyOrder[:0]
-	for _, key := range c.removed {
+	for _, key := range c.removedKeys {
 		r.Records = append(r.Records, Record{Key: key})
 	}
-	c.removed = nil
+	c.removedKeys = nil
 	r.Records = append(r.Records, c.abandonedRunRecords()...)
 	if len(r.Records) > 0 {
 		r.Records = append(r.Records, c.lengthRecords()...)
@@ -240,7 +240,7 @@
 	}
 	for to, n := range r.acks {
 		if e := c.endpoints[to.ID]; e != nil && e.incarnation() == to {
-			e.acknowledged = max(e.acknowledged, n)
+			e.acknowledgedEnd = max(e.acknowledgedEnd, n)
 		}
 	}
 }
@@ -294,8 +294,8 @@
 		c.ended = append(c.ended, j)
 		return
 	}
-	j.offered = now - c.timeSinceSubmission(j)
-	j.firstOpen, j.next, j.runConfirmed = p.FirstOpen, p.FirstOpen, p.RunConfirmed
+	j.offeredAt = now - c.timeSinceSubmission(j)
+	j.firstOpen, j.nextOccurrence, j.runConfirmed = p.FirstOpen, p.FirstOpen, p.RunConfirmed
 	highest := p.FirstOpen - 1
 	for _, n := range p.Ended {
 		highest = max(highest, n)
@@ -308,7 +308,7 @@
 	if j.rec.Job.Occurrences == 0 {
 		highest = max(highest, 0)
 	}
-	for j.next <= highest {
+	for j.nextOccurrence <= highest {
 		c.expandNextOccurrence(j)
 	}
 	for _, n := range p.Ended {
@@ -328,7 +328,7 @@
 	}
 	c.setObjective(j)
 	c.open = append(c.open, j)
-	j.queued = true
+	j.inOpen = true
 }
 
 // maxRestoredWait bounds how long a restored job counts as having waited, as the wall clock may
@@ -368,10 +368,10 @@
 
 // recountTasks derives a step's counters from its tasks.
 func (c *Core) recountTasks(s *stepRun) {
-	s.left, s.waiting = 0, 0
+	s.unfinished, s.waiting = 0, 0
 	for _, t := range s.tasks {
 		if t.phase != taskDone {
-			s.left++
+			s.unfinished++
 		}
 		if t.phase == taskWaiting {
 			s.waiting++
@@ -379,16 +379,16 @@
 		s.gangDone = s.gangDone || s.spec.Gang && t.phase == taskDone
 	}
 	o := s.occ
-	o.left = 0
+	o.unfinishedSteps = 0
 	for _, other := range o.steps {
-		if other.left > 0 {
-			o.left++
+		if other.unfinished > 0 {
+			o.unfinishedSteps++
 		}
 	}
 	for _, other := range o.steps {
 		other.waitsFor = 0
 		for _, a := range uniqueInts(other.spec.After) {
-			if o.steps[a].left > 0 {
+			if o.steps[a].unfinished > 0 {
 				other.waitsFor++
 			}
 		}
--- a/internal/executor/late_ends.go
+++ b/internal/executor/late_ends.go
@@ -32,7 +32,7 @@
 			c.applyLateFailure(now, e, end, t)
 		}
 	}
-	if e.withheld != end.Number {
+	if e.withheldEnd != end.Number {
 		c.dropAbandoned(e, end.Task)
 	}
 }
@@ -64,8 +64,8 @@
 
 // withhold keeps an end, and all later ones of its endpoint, from being acknowledged.
 func (c *Core) withhold(e *endpoint, end ListedEnd) {
-	if e.withheld == 0 {
-		e.withheld = end.Number
+	if e.withheldEnd == 0 {
+		e.withheldEnd = end.Number
 		c.event(Event{Kind: EventWithheld, Task: end.Task, Run: end.Run, Endpoint: e.id, Reason: "its task has been started again"})
 	}
 }
@@ -73,19 +73,19 @@
 // gangHasStarted reports whether members of a gang are running: they would have to end with the one
 // whose end was late.
 func (c *Core) gangHasStarted(s *stepRun) bool {
-	return s.spec.Gang && s.waiting < s.left
+	return s.spec.Gang && s.waiting < s.unfinished
 }
 
 // lastAcknowledgeable is the number of the last end that may be acknowledged.
 func (e *endpoint) lastAcknowledgeable() int64 {
-	if e.withheld > 0 {
-		return min(e.appliedEnd, e.withheld-1)
+	if e.withheldEnd > 0 {
+		return min(e.appliedEnd, e.withheldEnd-1)
 	}
 	return e.appliedEnd
 }
 
 func (e *endpoint) pollInterval() time.Duration {
-	if e.withheld > 0 {
+	if e.withheldEnd > 0 {
 		return withheldPollGap
 	}
 	return pollGap
--- a/internal/executor/late_ends_test.go
+++ b/internal/executor/late_ends_test.go
@@ -9,8 +9,8 @@
 	"cyclamenwheel/internal/jobs"
 )
 
-// reportedLate starts one task on the first of some endpoints, which is then unresponsive until its leases
-// have expired. Its run ends meanwhile.
+// reportedLate starts one task on the first of some endpoints, which is then unresponsive until its
+// leases have expired. Its run ends meanwhile.
 func reportedLate(endpoints int) (w *world, o *owner, j jobs.Job, late *simEndpoint) {
 	w = newWorld(1, endpoints)
 	o = w.takeOver()
--- a/internal/executor/leases.go
+++ b/internal/executor/leases.go
@@ -10,14 +10,14 @@
 	}
 	// An endpoint that does not answer may still receive polls: renewing its leases would postpone
 	// for ever the moment at which its tasks can be started elsewhere.
-	if e.failedPolls > 0 && e.granted > 0 {
-		return e.granted
+	if e.failedPolls > 0 && e.grantedUntil > 0 {
+		return e.grantedUntil
 	}
 	// The endpoint's clock may be slow and its last reading old. If its clock were assumed to be
 	// ahead of what it is, the lease would outlast what a successor waits for.
 	passed := time.Duration(float64(now-e.clockAt) * (1 - clockDrift))
 	until := e.clock + passed + c.limits.Lease
-	e.granted = max(e.granted, until)
+	e.grantedUntil = max(e.grantedUntil, until)
 	return until
 }
 
@@ -28,7 +28,7 @@
 	if !e.hasReported && e.term == 0 {
 		return max(e.earlierRunsUntil, c.predecessorExpiry(e))
 	}
-	return max(e.earlierRunsUntil, e.clockAt+maxElapsed(e.granted-e.clock))
+	return max(e.earlierRunsUntil, e.clockAt+maxElapsed(e.grantedUntil-e.clock))
 }
 
 // maxElapsed is the longest time that may pass here while d passes on an endpoint's clock.
--- a/internal/executor/length_model.go
+++ b/internal/executor/length_model.go
@@ -182,7 +182,7 @@
 }
 
 func (c *Core) remainingStepMs(now time.Duration, s *stepRun) float64 {
-	if s.left == 0 {
+	if s.unfinished == 0 {
 		return 0
 	}
 	whole := c.taskMs(s)
@@ -201,6 +201,6 @@
 // setObjective sets the time from which a job is late, by the current prediction of its length.
 func (c *Core) setObjective(j *job) {
 	allowedMs := c.criticalPathMs(j) * j.rec.Terms.Stretch
-	j.objective = j.offered + time.Duration(allowedMs*float64(time.Millisecond)) + j.rec.Terms.Slack
+	j.objective = j.offeredAt + time.Duration(allowedMs*float64(time.Millisecond)) + j.rec.Terms.Slack
 	c.unsorted = true
 }
--- a/internal/executor/length_records_test.go
+++ b/internal/executor/length_records_test.go
@@ -93,7 +93,7 @@
 		// 500 with 1, then 2000 with 4, then 1500 with 8.
 		Expect(c.drainMs(0, 4000, 1)).To(BeNumerically("~", 1187.5, 1))
 		Expect(c.drainMs(0, 400, 1)).To(BeNumerically("~", 400, 1))
-		Expect(c.drainMs(600*time.Millisecond, 1000, 1)).To(BeNumerically("~", 250, 1), "the first loan has arrived by then")
-		Expect(c.drainMs(vacateFor+time.Second, 4000, 1)).To(BeNumerically("~", 4000, 1), "the loans have expired")
+		Expect(c.drainMs(600*time.Millisecond, 1000, 1)).To(BeNumerically("~", 250, 1), "the first addition has arrived by then")
+		Expect(c.drainMs(vacateFor+time.Second, 4000, 1)).To(BeNumerically("~", 4000, 1), "the announcement has expired")
 	})
 })
--- a/internal/executor/orders.go
+++ b/internal/executor/orders.go
@@ -154,7 +154,7 @@
 func (c *Core) withdrawStart(now time.Duration, t *task, e *endpoint, result OrderResult) {
 	c.event(Event{Kind: EventLost, Job: t.step.job.rec.Job.ID, Task: t.name(), Run: t.run, Endpoint: e.id, Reason: "start refused: " + result.String()})
 	if result != OrderNoTicket {
-		e.quarantine = max(e.quarantine, now+refusalPause)
+		e.quarantinedUntil = max(e.quarantinedUntil, now+refusalPause)
 	}
 	t.stopping = true
 	c.stopGangMembers(t.step)
@@ -178,13 +178,13 @@
 	case EndedDone:
 		e.consecutiveFailures = 0
 	case EndedFailed:
-		if t.failures > 0 && t.avoid != e.incarnation() {
+		if t.failures > 0 && t.avoidIncarnation != e.incarnation() {
 			return // the task last failed on another endpoint, so this one is not at fault
 		}
 		e.consecutiveFailures++
 		if e.consecutiveFailures >= quarantineAfter {
 			pause := min(quarantineBase<<min(e.consecutiveFailures-quarantineAfter, 4), quarantineMax)
-			e.quarantine = now + pause
+			e.quarantinedUntil = now + pause
 			c.event(Event{Kind: EventQuarantined, Endpoint: e.id, Reason: "runs fail", Run: e.consecutiveFailures, AgeMs: pause.Milliseconds()})
 		}
 	}
@@ -212,8 +212,8 @@
 	if t.confirmedAt > 0 && !t.stopping && c.isStalled(t) {
 		t.stopping = true
 		e.consecutiveFailures++
-		e.quarantine = now + quarantineBase
-		t.avoid = e.incarnation()
+		e.quarantinedUntil = now + quarantineBase
+		t.avoidIncarnation = e.incarnation()
 		c.event(Event{Kind: EventStop, Job: t.step.job.rec.Job.ID, Task: t.name(), Run: t.run, Endpoint: e.id, Reason: "no progress"})
 	}
 	if t.gangStartOverdue(now) {
--- a/internal/executor/place.go
+++ b/internal/executor/place.go
@@ -355,7 +355,7 @@
 	if s.DataRack != "" && s.DataRack != e.rack {
 		score -= remoteDataPenalty
 	}
-	if t.avoid == e.incarnation() {
+	if t.avoidIncarnation == e.incarnation() {
 		score -= failedEndpointPenalty
 	}
 	return score - failurePenalty*float64(e.consecutiveFailures)
--- a/internal/executor/polls.go
+++ b/internal/executor/polls.go
@@ -137,7 +137,7 @@
 	if c.pollIdle && now-e.clockAt > idlePollInterval {
 		return true
 	}
-	return len(e.tasks) > 0 || e.unknownRuns > 0 || e.lastAcknowledgeable() > e.acknowledged || e.failedPolls > 0
+	return len(e.tasks) > 0 || e.unknownRuns > 0 || e.lastAcknowledgeable() > e.acknowledgedEnd || e.failedPolls > 0
 }
 
 func (c *Core) pollWait(now time.Duration, e *endpoint) time.Duration {
@@ -261,7 +261,7 @@
 		// Leases that a predecessor granted last for one more lease duration at most: it can't
 		// renew them now that the fence is raised. If they counted as expired, the tasks would
 		// be started elsewhere before this owner's first renewal, beside runs that go on here.
-		e.granted = max(e.granted, e.clock+c.limits.Lease)
+		e.grantedUntil = max(e.grantedUntil, e.clock+c.limits.Lease)
 	}
 	e.nextPoll = now + e.pollInterval()
 	if !e.hasReported || e.failedPolls > 0 {
@@ -285,7 +285,7 @@
 	for _, end := range in.Ended {
 		c.applyEnd(now, e, end)
 	}
-	if upTo := e.lastAcknowledgeable(); upTo > e.acknowledged {
+	if upTo := e.lastAcknowledgeable(); upTo > e.acknowledgedEnd {
 		c.acks[e.incarnation()] = upTo
 	}
 	if len(in.Ended) < fullListing {
--- a/internal/executor/reserve.go
+++ b/internal/executor/reserve.go
@@ -26,7 +26,7 @@
 	reserved := c.dropReservations(now)
 	most := max(1, int(maxReservedShare*float64(len(endpoints))))
 	tried := 0
-	for _, t := range append(c.startableLongRunningTasks(now), c.suspectsWaiting(now)...) {
+	for _, t := range append(c.startableLongRunningTasks(now), c.waitingSuspects(now)...) {
 		if len(reserved) >= most || tried == maxReservationTriesPerRound {
 			return
 		}
--- a/internal/executor/restart_test.go
+++ b/internal/executor/restart_test.go
@@ -37,7 +37,7 @@
 
 // Guards against tasks that run again after they have ended on a restarted endpoint. An endpoint that
 // restarts under its id numbers the ends of its runs from 1 again. An owner that keeps the number of
-// the last end by id skips the new ends as seen, acknowledges them unread, finds the runs neither
+// the last end by id skips the new ends as applied, acknowledges them unread, finds the runs neither
 // running nor ended, and starts their tasks again; failed ends then don't count either.
 func TestEndsOfARestartedEndpointAreApplied(t *testing.T) {
 	g := NewWithT(t)
--- a/internal/executor/run_ends.go
+++ b/internal/executor/run_ends.go
@@ -24,8 +24,8 @@
 	c.markDirty(s.job)
 	if s.gangDone {
 		t.phase = taskDone
-		s.left--
-		if s.left == 0 {
+		s.unfinished--
+		if s.unfinished == 0 {
 			c.completeStep(s)
 		}
 	} else {
@@ -89,12 +89,12 @@
 func (c *Core) markDone(t *task) {
 	s, j := t.step, t.step.job
 	t.phase = taskDone
-	s.left--
+	s.unfinished--
 	c.markDirty(j)
 	if s.spec.Gang {
 		c.completeGang(s)
 	}
-	if s.left == 0 {
+	if s.unfinished == 0 {
 		c.completeStep(s)
 	}
 	c.retireIfStopped(j)
@@ -108,7 +108,7 @@
 		if t.phase == taskWaiting {
 			t.phase = taskDone
 			s.waiting--
-			s.left--
+			s.unfinished--
 		}
 	}
 }
@@ -117,7 +117,7 @@
 // job after its last occurrence.
 func (c *Core) completeStep(s *stepRun) {
 	o, j := s.occ, s.job
-	o.left--
+	o.unfinishedSteps--
 	if s.measuredRuns > 0 {
 		c.addLength(j.rec.Queue, s.measuredRunMs/float64(s.measuredRuns), s.measuredRuns, s.spec.EstimateMs)
 		c.setObjective(j)
@@ -127,7 +127,7 @@
 			other.waitsFor--
 		}
 	}
-	if o.left > 0 {
+	if o.unfinishedSteps > 0 {
 		return
 	}
 	c.closeOccurrence(j, o.number)
@@ -163,7 +163,7 @@
 func (c *Core) countFailure(now time.Duration, t *task, e *endpoint) {
 	count := t.failureCount()
 	*count++
-	t.avoid = e.incarnation()
+	t.avoidIncarnation = e.incarnation()
 	t.notBefore = now + min(failureBackoff<<min(*count-1, 8), maxFailureBackoff)
 	c.markDirty(t.step.job)
 }
--- a/internal/executor/simulated_endpoints_test.go
+++ b/internal/executor/simulated_endpoints_test.go
@@ -20,9 +20,9 @@
 	// ends are the ends of runs; starts holds for each run how many ends there were when it started.
 	ends   []*pastEnd
 	starts []int
-	// crashes counts the endpoints that the task crashed, and afterThird its starts since the
+	// crashes counts the endpoints that the task crashed, and startsAfterLimit its starts since the
 	// third of these crashes.
-	crashes, afterThird int
+	crashes, startsAfterLimit int
 	// lostRuns counts its runs that ended with an incarnation or a lease, and its starts that were sent
 	// to a crashed endpoint.
 	lostRuns int
@@ -114,7 +114,7 @@
 	stalls        bool
 	runLength     time.Duration
 	// endedAt is when each end occurred. An end is void if leases of other runs there expired, most
-	// recently at lapsed, after it and before its acknowledgement. If nothing ran any more, no lease
+	// recently at leaseExpiredAt, after it and before its acknowledgement. If nothing ran any more, no lease
 	// has expired, and the end counts whenever it is acknowledged.
 	endedAt        map[int64]time.Duration
 	leaseExpiredAt time.Duration
@@ -249,8 +249,8 @@
 	if past.crashes < crashLimit {
 		return
 	}
-	past.afterThird++
-	if past.afterThird == maxStartsAfterLimit {
+	past.startsAfterLimit++
+	if past.startsAfterLimit == maxStartsAfterLimit {
 		w.violations = append(w.violations, fmt.Sprintf("%v: %s is started %d times more after %d endpoints have crashed under it\n%s",
 			w.now, task, maxStartsAfterLimit, crashLimit, w.traceOf(task)))
 	}
--- a/internal/executor/speed.go
+++ b/internal/executor/speed.go
@@ -153,7 +153,7 @@
 		return
 	}
 	t.slowRestarts++
-	t.avoid = e.incarnation()
+	t.avoidIncarnation = e.incarnation()
 	c.requestStop(t, "endpoint slow")
 }
 
--- a/internal/executor/start_limit_test.go
+++ b/internal/executor/start_limit_test.go
@@ -36,17 +36,17 @@
 
 // deliverDue delivers the answers and timeouts due at now, and returns how many of each there
 // were.
-func (l *serialLink) deliverDue(now time.Duration, p *startLimiter) (answered, timedOut int) {
+func (l *serialLink) deliverDue(now time.Duration, limiter *startLimiter) (answered, timedOut int) {
 	for _, a := range l.takeDue(now) {
 		if a.inTime {
-			p.recordAnswer(now, a.slot)
+			limiter.recordAnswer(now, a.slot)
 			answered++
 		} else {
-			p.recordTimeout(now, a.slot)
+			limiter.recordTimeout(now, a.slot)
 			timedOut++
 		}
 	}
-	p.releaseOverdueSlots(now)
+	limiter.releaseOverdueSlots(now)
 	return answered, timedOut
 }
 
@@ -70,15 +70,15 @@
 func goodput(rate float64, limited bool) float64 {
 	const lasts, tick = 10 * time.Second, time.Millisecond
 	l := &serialLink{work: 5 * time.Millisecond, timeout: 700 * time.Millisecond}
-	p := newStartLimiter()
+	limiter := newStartLimiter()
 	waiting, answeredInTime := 0.0, 0
 	for now := time.Duration(0); now < lasts; now += tick {
-		answered, timedOut := l.deliverDue(now, &p)
+		answered, timedOut := l.deliverDue(now, &limiter)
 		answeredInTime += answered
 		waiting += float64(timedOut) + rate*tick.Seconds()
-		for waiting >= 1 && (!limited || p.free() > 0) {
+		for waiting >= 1 && (!limited || limiter.free() > 0) {
 			waiting--
-			l.send(now, p.acquireSlot(now))
+			l.send(now, limiter.acquireSlot(now))
 		}
 	}
 	return float64(answeredInTime) / lasts.Seconds()
@@ -91,9 +91,9 @@
 	g := NewWithT(t)
 	const carried = 200.0
 	for _, load := range []float64{0.5, 0.9, 1, 1.5, 2, 3, 5} {
-		paced, unpaced := goodput(load*carried, true), goodput(load*carried, false)
-		t.Logf("load %.1f: %.0f a second paced, %.0f unpaced", load, paced, unpaced)
-		g.Expect(paced).To(BeNumerically(">=", 0.9*min(load, 1)*carried), fmt.Sprint("load ", load))
+		limited, unlimited := goodput(load*carried, true), goodput(load*carried, false)
+		t.Logf("load %.1f: %.0f a second with the limit, %.0f without", load, limited, unlimited)
+		g.Expect(limited).To(BeNumerically(">=", 0.9*min(load, 1)*carried), fmt.Sprint("load ", load))
 	}
 	g.Expect(goodput(3*carried, false)).To(BeNumerically("<", 0.5*carried), "without a limit this load must overload the link")
 }
@@ -105,20 +105,20 @@
 	g := NewWithT(t)
 	const rate, unanswered, lasts = 1000.0, 240, 3 * time.Second
 	l := &serialLink{work: 200 * time.Microsecond, timeout: 700 * time.Millisecond}
-	p := newStartLimiter()
+	limiter := newStartLimiter()
 	waiting, failed, answeredInTime := 0.0, 0, 0
 	for now := time.Duration(0); now < lasts; now += time.Millisecond {
-		answered, _ := l.deliverDue(now, &p)
+		answered, _ := l.deliverDue(now, &limiter)
 		answeredInTime += answered
 		waiting += rate * time.Millisecond.Seconds()
-		for waiting >= 1 && p.free() > 0 {
+		for waiting >= 1 && limiter.free() > 0 {
 			waiting--
 			if now > time.Second && failed < unanswered {
 				failed++
-				l.sendUnanswered(now, p.acquireSlot(now))
+				l.sendUnanswered(now, limiter.acquireSlot(now))
 				continue
 			}
-			l.send(now, p.acquireSlot(now))
+			l.send(now, limiter.acquireSlot(now))
 		}
 	}
 	g.Expect(failed).To(Equal(unanswered))
@@ -130,54 +130,54 @@
 func TestTimeoutsLowerTheStartLimit(t *testing.T) {
 	g := NewWithT(t)
 	l := &serialLink{timeout: 700 * time.Millisecond}
-	p := newStartLimiter()
+	limiter := newStartLimiter()
 	for now := time.Duration(0); now < 5*time.Second; now += time.Millisecond {
-		l.deliverDue(now, &p)
-		for p.free() > 0 {
-			l.sendUnanswered(now, p.acquireSlot(now))
+		l.deliverDue(now, &limiter)
+		for limiter.free() > 0 {
+			l.sendUnanswered(now, limiter.acquireSlot(now))
 		}
 	}
-	g.Expect(int(p.limit)).To(Equal(minStartLimit))
-	g.Expect(p.slow).To(BeTrue(), "the lowered limit must be visible to operators")
+	g.Expect(int(limiter.limit)).To(Equal(minStartLimit))
+	g.Expect(limiter.slow).To(BeTrue(), "the lowered limit must be visible to operators")
 }
 
 // Guards against refusing jobs at the beginning of a demand peak though they could start at
 // once: an idle period must not count as a low start rate.
 func TestIdleTimeDoesNotLowerTheStartRate(t *testing.T) {
 	g := NewWithT(t)
-	p := newStartLimiter()
+	limiter := newStartLimiter()
 	l := &serialLink{work: 200 * time.Microsecond, timeout: 700 * time.Millisecond}
 	turn := func(from time.Duration) {
 		for now := from; now < from+100*time.Millisecond; now += time.Millisecond {
-			l.deliverDue(now, &p)
-			for p.free() > 0 {
-				l.send(now, p.acquireSlot(now))
+			l.deliverDue(now, &limiter)
+			for limiter.free() > 0 {
+				l.send(now, limiter.acquireSlot(now))
 			}
 		}
 	}
 	turn(0)
 	turn(20 * time.Second)
-	g.Expect(p.startQueueDelay(100)).To(BeNumerically("<", time.Second))
+	g.Expect(limiter.startQueueDelay(100)).To(BeNumerically("<", time.Second))
 }
 
 // Guards against a limit that stays at its initial value though the owner carries ten times as
 // many starts, which prolongs a demand peak.
 func TestStartLimitGrowsWithFastAnswers(t *testing.T) {
 	g := NewWithT(t)
-	p := newStartLimiter()
+	limiter := newStartLimiter()
 	now := time.Duration(0)
 	for range 200 {
 		now += 10 * time.Millisecond
 		var out []*slot
-		for p.free() > 0 {
-			out = append(out, p.acquireSlot(now))
+		for limiter.free() > 0 {
+			out = append(out, limiter.acquireSlot(now))
 		}
 		for _, s := range out {
-			p.recordAnswer(now+6*time.Millisecond, s)
+			limiter.recordAnswer(now+6*time.Millisecond, s)
 		}
 	}
-	g.Expect(p.limit).To(BeNumerically(">", 5*initialStartLimit))
-	g.Expect(p.startQueueDelay(100)).To(BeZero(), "nothing waits while the limit is not in the way")
+	g.Expect(limiter.limit).To(BeNumerically(">", 5*initialStartLimit))
+	g.Expect(limiter.startQueueDelay(100)).To(BeZero(), "nothing waits while the limit is not in the way")
 }
 
 // Guards against a late start that can't be explained from the log and the dump: its task was
--- a/internal/executor/submit.go
+++ b/internal/executor/submit.go
@@ -77,15 +77,15 @@
 	if refused {
 		c.event(Event{Kind: EventRefused, Job: in.ID, Reason: refusal.Reason, Account: accepting.Account})
 		if accepting.Account != "" {
-			c.refusedOf[accepting.Account]++
+			c.refusedByAccount[accepting.Account]++
 		}
 		return VerdictRefused, refusal
 	}
-	j.offered = firstOffered
+	j.offeredAt = firstOffered
 	j.rec.OfferedMs = c.wallMs - (now - firstOffered).Milliseconds()
 	c.jobs[in.ID] = j
 	c.open = append(c.open, j)
-	j.queued = true
+	j.inOpen = true
 	c.markDirty(j)
 	c.replies = append(c.replies, Reply{token})
 	c.event(Event{Kind: EventAccepted, Job: in.ID, Reason: accepting.Queue})
@@ -166,10 +166,10 @@
 
 // retireIfStopped moves an ended job without running tasks from open to ended.
 func (c *Core) retireIfStopped(j *job) {
-	if !j.rec.State.Ended() || j.placedTasks > 0 || !j.queued {
+	if !j.rec.State.Ended() || j.placedTasks > 0 || !j.inOpen {
 		return
 	}
-	j.queued = false
+	j.inOpen = false
 	j.current = nil
 	c.open = slices.DeleteFunc(c.open, func(o *job) bool { return o == j })
 	c.ended = append(c.ended, j)
@@ -185,17 +185,17 @@
 		}
 		c.ended = c.ended[1:]
 		delete(c.jobs, j.rec.Job.ID)
-		c.removed = append(c.removed, keyJob+j.rec.Job.ID)
+		c.removedKeys = append(c.removedKeys, keyJob+j.rec.Job.ID)
 	}
 }
 
 // expandNextOccurrence expands the job's next occurrence into steps and tasks.
 func (c *Core) expandNextOccurrence(j *job) {
-	o := &occurrence{number: j.next, left: len(j.rec.Job.Steps)}
-	j.next++
+	o := &occurrence{number: j.nextOccurrence, unfinishedSteps: len(j.rec.Job.Steps)}
+	j.nextOccurrence++
 	for i := range j.rec.Job.Steps {
 		spec := &j.rec.Job.Steps[i]
-		s := &stepRun{job: j, occ: o, index: i, spec: spec, left: spec.Count, waiting: spec.Count,
+		s := &stepRun{job: j, occ: o, index: i, spec: spec, unfinished: spec.Count, waiting: spec.Count,
 			waitsFor: len(uniqueInts(spec.After)), perEndpoint: map[*endpoint]int{}}
 		block := make([]task, spec.Count)
 		s.tasks = make([]*task, spec.Count)
@@ -220,7 +220,7 @@
 		if j.rec.State.Ended() {
 			continue
 		}
-		for j.next < j.rec.Job.Occurrences && c.wallMs >= j.rec.Job.StartAtMs+int64(j.next)*j.rec.Job.IntervalMs {
+		for j.nextOccurrence < j.rec.Job.Occurrences && c.wallMs >= j.rec.Job.StartAtMs+int64(j.nextOccurrence)*j.rec.Job.IntervalMs {
 			c.expandNextOccurrence(j)
 		}
 	}
@@ -233,10 +233,10 @@
 func (c *Core) closeOccurrence(j *job, number int) {
 	for _, o := range j.current {
 		if o.number == number {
-			o.left, o.steps = 0, nil
+			o.unfinishedSteps, o.steps = 0, nil
 		}
 	}
-	for len(j.current) > 0 && j.current[0].left == 0 {
+	for len(j.current) > 0 && j.current[0].unfinishedSteps == 0 {
 		j.firstOpen = j.current[0].number + 1
 		j.current = j.current[1:]
 	}
@@ -306,7 +306,7 @@
 	}
 	for i := range j.rec.Job.Steps {
 		st := &j.rec.Job.Steps[i]
-		c.offered += float64(st.Count) * float64(st.CPUMilli) / 1000 * c.expectedTaskMs(j.rec.Queue, st)
+		c.offeredCoreMs += float64(st.Count) * float64(st.CPUMilli) / 1000 * c.expectedTaskMs(j.rec.Queue, st)
 	}
 	return firstOffered
 }
@@ -395,7 +395,7 @@
 				w.ready += waiting
 				w.tasks += s.waiting
 			}
-			w.running += float64(s.left-s.waiting) * perTask / 2
+			w.running += float64(s.unfinished-s.waiting) * perTask / 2
 		}
 	}
 	return w
--- a/internal/executor/summary.go
+++ b/internal/executor/summary.go
@@ -63,7 +63,7 @@
 		s.LastingCPUMilli += e.longRunningCPU()
 	}
 	slices.SortFunc(s.Hosts, func(a, b HostLoad) int { return cmp.Compare(a.Endpoint, b.Endpoint) })
-	s.OfferedCoreMs = c.offered
+	s.OfferedCoreMs = c.offeredCoreMs
 	s.LeastHosts, s.Starved = c.minLongRunningEndpoints(), c.countUnplaceableSteps(now)
 	for _, j := range c.open {
 		if j.rec.State.Ended() || isLongRunning(&j.rec.Job) {
