--- a/internal/executor/core.go
+++ b/internal/executor/core.go
@@ -114,8 +114,8 @@
 	lengthsSavedMs int64
 	lengthsChanged bool
 
-	// offeredCoreMs is the total work of submitted jobs, accepted or not, in core-ms. refusedSince is when each refused job was
-	// first offered, so that a resubmitted job is not counted again.
+	// offeredCoreMs is the total work of submitted jobs, accepted or not, in core-ms. refusedSince
+	// is when each refused job was first offered, so that a resubmitted job is not counted again.
 	offeredCoreMs float64
 	refusedSince  map[string]time.Duration
 	// refusedByAccount counts refused jobs by client account.
--- a/internal/executor/crash_test.go
+++ b/internal/executor/crash_test.go
@@ -264,8 +264,8 @@
 	}
 }
 
-// Guards against a healthy long-running task that is failed in the end, because its endpoints crash for
-// other reasons some seconds after each start.
+// Guards against a healthy long-running task that is failed in the end, because its endpoints crash
+// for other reasons some seconds after each start.
 func TestALongRunningTaskSurvivesUnrelatedCrashes(t *testing.T) {
 	for _, newIDs := range []bool{false, true} {
 		g := NewWithT(t)
--- a/internal/executor/crashes.go
+++ b/internal/executor/crashes.go
@@ -8,7 +8,7 @@
 // Poison tasks: tasks that crash their endpoints. Load: a task crashes each endpoint that starts
 // it, with everything that runs there. Restarted without a limit, it takes one endpoint after
 // another out of its pool for some seconds, each with a dozen healthy runs. A crashed endpoint
-// lists no ends: all that is known is which runs its incarnation had, and most of them were healthy.
+// lists no ends: only the set of runs that its incarnation had is known, and most were healthy.
 //
 // So the end of an incarnation counts as evidence against the tasks whose runs it took. A suspect
 // task runs only where no run of another job is new (isolation.go): if that endpoint crashes as well,
@@ -19,8 +19,8 @@
 	// run not to count as new.
 	newRunPeriod = 250 * time.Millisecond
 	// stableRunAfter is how long it must have reported for its crash not to count against the run,
-	// and for earlier crashes to be forgotten. Otherwise a long-running task would be failed after some
-	// crashes with other causes.
+	// and for earlier crashes to be forgotten. Otherwise a long-running task would be failed after
+	// some crashes with other causes.
 	stableRunAfter = 2 * time.Second
 )
 
@@ -52,6 +52,7 @@
 	Suspect bool `cbor:"3,keyasint,omitempty"`
 }
 
+// add returns the sum of two crashes' evidence; o is the later one.
 func (e evidence) add(o evidence) evidence {
 	sum := evidence{Crashes: e.Crashes + o.Crashes, Isolated: e.Isolated, Addr: e.Addr}
 	sum.Suspect = e.Suspect || o.Suspect || sum.Crashes > 1
@@ -151,8 +152,8 @@
 }
 
 // presumeCrashed treats an endpoint as crashed that service discovery does not list and that has
-// not reported for crashReportTimeout since runs on it were abandoned. It may only be unreachable, so that no task
-// becomes a suspect by it.
+// not reported for crashReportTimeout since runs on it were abandoned. It may only be unreachable,
+// so that no task becomes a suspect by it.
 func (c *Core) presumeCrashed(now time.Duration, e *endpoint) {
 	if e.listed || len(e.unreportedRuns) == 0 || now-e.abandonedAt < crashReportTimeout {
 		return
@@ -172,7 +173,8 @@
 	return out
 }
 
-// recordCrash adds the evidence of a crash to its task, and fails the job if the task is a poison task.
+// recordCrash adds the evidence of a crash to its task, and fails the job if the task is a poison
+// task.
 func (c *Core) recordCrash(x crash) {
 	t, j := x.task, x.task.step.job
 	if x.evidence.Crashes == 0 || t.phase == taskDone || j.rec.State.Ended() {
@@ -190,7 +192,8 @@
 	}
 }
 
-// clearEvidence drops the evidence against a task with a stable run: it does not crash every endpoint.
+// clearEvidence drops the evidence against a task with a stable run: it does not crash every
+// endpoint.
 func (c *Core) clearEvidence(t *task) {
 	if !t.needsRecentReport() {
 		return
@@ -206,8 +209,8 @@
 	}
 }
 
-// unreportedLosses counts the endpoints that have not reported since a task's lease expired there; last
-// is when a lease last expired.
+// unreportedLosses counts the endpoints that have not reported since a task's lease expired there;
+// last is when a lease last expired.
 type unreportedLosses struct {
 	endpoints int
 	last      time.Duration
--- a/internal/executor/incarnation.go
+++ b/internal/executor/incarnation.go
@@ -55,8 +55,8 @@
 }
 
 // markRestoredUnconfirmed handles tasks that were placed on an earlier incarnation than the newest
-// one that the records name. Their orders, with leases by the earlier clock, may have reached the newest one,
-// and a predecessor may still send them until its proof of ownership expires.
+// one that the records name. Their orders, with leases by the earlier clock, may have reached the
+// newest one, and a predecessor may still send them until its proof of ownership expires.
 func (c *Core) markRestoredUnconfirmed(now time.Duration, e *endpoint) {
 	var earlierRuns []endedRun
 	for t := range e.tasks {
@@ -97,8 +97,8 @@
 	}
 }
 
-// markUnconfirmed resets a task of an endpoint that has restarted. If its order has been sent, the run
-// either is over or starts on the new incarnation: that one's first listing shows which.
+// markUnconfirmed resets a task of an endpoint that has restarted. If its order has been sent, the
+// run either is over or starts on the new incarnation: that one's first listing shows which.
 func (c *Core) markUnconfirmed(now time.Duration, e *endpoint, t *task) {
 	if t.orderedAt == 0 && !t.restored {
 		c.event(Event{Kind: EventLost, Job: t.step.job.rec.Job.ID, Task: t.name(), Run: t.run, Endpoint: e.id, Reason: "incarnation ended"})
--- a/internal/executor/incoming_capacity.go
+++ b/internal/executor/incoming_capacity.go
@@ -19,6 +19,7 @@
 	InMs int64 `cbor:"2,keyasint"`
 }
 
+// capacityArrival is announced capacity and the time at which it arrives.
 type capacityArrival struct {
 	cpuMilli float64
 	at       time.Duration
@@ -27,8 +28,8 @@
 // SetIncomingCapacity replaces the list of capacity that is about to be added to this pool.
 func (c *Core) SetIncomingCapacity(now time.Duration, announced []IncomingCapacity) {
 	c.incoming = c.incoming[:0]
-	for _, l := range announced {
-		c.incoming = append(c.incoming, capacityArrival{float64(l.CPUMilli), now + time.Duration(l.InMs)*time.Millisecond})
+	for _, a := range announced {
+		c.incoming = append(c.incoming, capacityArrival{float64(a.CPUMilli), now + time.Duration(a.InMs)*time.Millisecond})
 	}
 	slices.SortFunc(c.incoming, func(a, b capacityArrival) int { return cmp.Compare(a.at, b.at) })
 	c.incomingValidUntil = now + vacateFor
@@ -41,8 +42,8 @@
 	if now > c.incomingValidUntil {
 		return backlog / cpuMilli
 	}
-	for _, l := range c.incoming {
-		until := float64((l.at - now).Milliseconds())
+	for _, a := range c.incoming {
+		until := float64((a.at - now).Milliseconds())
 		drained := (until - elapsed) * cpuMilli
 		if drained >= backlog {
 			break
@@ -51,7 +52,7 @@
 			backlog -= drained
 			elapsed = until
 		}
-		cpuMilli += l.cpuMilli
+		cpuMilli += a.cpuMilli
 	}
 	return elapsed + backlog/cpuMilli
 }
--- a/internal/executor/isolation.go
+++ b/internal/executor/isolation.go
@@ -16,11 +16,11 @@
 	maxReportAge = 1500 * time.Millisecond
 	// idlePollInterval is how often idle endpoints are polled while a cautious task waits.
 	idlePollInterval = maxReportAge / 2
-	// isolationPollWait is how long a poll waits during an isolated run, or while an endpoint is reserved
-	// for a suspect.
+	// isolationPollWait is how long a poll waits during an isolated run, or while an endpoint is
+	// reserved for a suspect.
 	isolationPollWait = 200 * time.Millisecond
-	// isolationTimeout is how long a suspect waits for such an endpoint: a gang or a long-running task
-	// in a small pool may never find one.
+	// isolationTimeout is how long a suspect waits for such an endpoint: a gang or a long-running
+	// task in a small pool may never find one.
 	isolationTimeout = 3 * time.Second
 )
 
@@ -55,8 +55,8 @@
 	return t.evidence.Suspect && (t.isolationWaitSince == 0 || now-t.isolationWaitSince < isolationTimeout)
 }
 
-// isolationScore ranks endpoints for a suspect: it prefers those with few runs to lose, and another one
-// than that of its last crash.
+// isolationScore ranks endpoints for a suspect: it prefers those with few runs to lose, and another
+// one than that of its last crash.
 func (t *task) isolationScore(e *endpoint, free float64) float64 {
 	score := free
 	if e.hasLongRunning() {
--- a/internal/executor/polls.go
+++ b/internal/executor/polls.go
@@ -14,8 +14,8 @@
 	// maxPollWait is how long a poll waits for an end. It bounds how late a lease is renewed, and
 	// so how short a lease may be.
 	maxPollWait = 1000 * time.Millisecond
-	// startingPollWait is the wait while a long-running task starts up: only a listing shows that it is
-	// working, and until then no other task of its step is moved.
+	// startingPollWait is the wait while a long-running task starts up: only a listing shows that
+	// it is working, and until then no other task of its step is moved.
 	startingPollWait = 200 * time.Millisecond
 	// unconfirmedPollWait is the wait while the answer to a start is pending: it says more, and
 	// sooner, than a listing that does not have the run yet. The endpoint is polled faster only if
@@ -24,8 +24,8 @@
 	startAnswerTimeout  = 200 * time.Millisecond
 	// pollRetryDelay is the delay after a poll without an answer.
 	pollRetryDelay = 120 * time.Millisecond
-	// uncertainPollWait is how long a poll waits, or is delayed, while the result of a start or stop is
-	// unknown.
+	// uncertainPollWait is how long a poll waits, or is delayed, while the result of a start or
+	// stop is unknown.
 	uncertainPollWait = 80 * time.Millisecond
 	// maxClockAge is how old the reading of an idle endpoint's clock may be: each second of age takes
 	// 20 ms off the next lease.
@@ -78,8 +78,9 @@
 	}
 }
 
-// IncarnationEnded records that an operation has ended an incarnation with everything on it. If the endpoint's
-// present incarnation is unknown, its tasks may run on a later one: its first listing shows that.
+// IncarnationEnded records that an operation has ended an incarnation with everything on it. If the
+// endpoint's present incarnation is unknown, its tasks may run on a later one: its first listing
+// shows that.
 func (c *Core) IncarnationEnded(in Incarnation) {
 	c.endedIncarnations[in] = true
 	e := c.endpoints[in.ID]
--- a/internal/executor/restart_test.go
+++ b/internal/executor/restart_test.go
@@ -338,8 +338,8 @@
 	}
 }
 
-// Guards against faults in any mix of restarts under one id with lost and late orders, unresponsive and
-// failing endpoints, and owners that change, are cut off or slow.
+// Guards against faults in any mix of restarts under one id with lost and late orders, unresponsive
+// and failing endpoints, and owners that change, are cut off or slow.
 func TestRandomDaysWithRestarts(t *testing.T) {
 	for seed := uint64(1); seed <= uint64(seeds+additionalSeeds()); seed++ {
 		v := variant{inOrder: seed%2 == 0, slowJournal: seed%3 == 0, restarts: true}
--- a/internal/executor/simulated_endpoints_test.go
+++ b/internal/executor/simulated_endpoints_test.go
@@ -23,8 +23,8 @@
 	// crashes counts the endpoints that the task crashed, and startsAfterLimit its starts since the
 	// third of these crashes.
 	crashes, startsAfterLimit int
-	// lostRuns counts its runs that ended with an incarnation or a lease, and its starts that were sent
-	// to a crashed endpoint.
+	// lostRuns counts its runs that ended with an incarnation or a lease, and its starts that were
+	// sent to a crashed endpoint.
 	lostRuns int
 }
 
@@ -79,8 +79,8 @@
 
 type simEndpoint struct {
 	id, rack, zone string
-	// startedMs is when the incarnation started, by the time of day; its clock showed bootClock at that
-	// moment.
+	// startedMs is when the incarnation started, by the time of day; its clock showed bootClock at
+	// that moment.
 	startedMs           int64
 	bootedAt, bootClock time.Duration
 	// entry, if set, is what service discovery lists for it until entryUntil.
@@ -100,7 +100,8 @@
 	ended          []executor.ListedEnd
 	number         int64
 	silent         bool
-	// crashAt is when it will crash, 0 for never. A crashed endpoint is down from downAt until backAt.
+	// crashAt is when it will crash, 0 for never. A crashed endpoint is down from downAt until
+	// backAt.
 	crashAt, downAt, backAt time.Duration
 	down                    bool
 	// hiddenFrom is the lowest epoch whose owner can't reach it; 0 if all owners can.
@@ -114,8 +115,8 @@
 	stalls        bool
 	runLength     time.Duration
 	// endedAt is when each end occurred. An end is void if leases of other runs there expired, most
-	// recently at leaseExpiredAt, after it and before its acknowledgement. If nothing ran any more, no lease
-	// has expired, and the end counts whenever it is acknowledged.
+	// recently at leaseExpiredAt, after it and before its acknowledgement. If nothing ran any more,
+	// no lease has expired, and the end counts whenever it is acknowledged.
 	endedAt        map[int64]time.Duration
 	leaseExpiredAt time.Duration
 	// past is the entry of each end in its task's history.
--- a/internal/executor/speed.go
+++ b/internal/executor/speed.go
@@ -142,8 +142,8 @@
 	return min(maxUsualSpeed, values[len(values)/2])
 }
 
-// restartElsewhere stops a run on a slow endpoint if it would end sooner when restarted elsewhere. Its
-// checkpoint, if any, is kept.
+// restartElsewhere stops a run on a slow endpoint if it would end sooner when restarted elsewhere.
+// Its checkpoint, if any, is kept.
 func (c *Core) restartElsewhere(e *endpoint, t *task) {
 	if !e.speed.slow || t.slowRestarts >= maxSlowRestarts || t.confirmedAt == 0 || t.stopping || !indicatesSpeed(t) {
 		return
--- a/internal/executor/start_limit.go
+++ b/internal/executor/start_limit.go
@@ -50,10 +50,11 @@
 )
 
 const (
-	// decideAhead is how long before they are sent starts are decided, in addition to the
+	// decideAhead is how long starts may be decided before they are sent, in addition to the
 	// journal's delay.
 	decideAhead = 100 * time.Millisecond
-	// unlimitedFactor times the limit may be decided at once while the limit is not reached.
+	// unlimitedFactor times the limit is how many starts may be decided at once while the limit is
+	// not reached.
 	unlimitedFactor = 4
 	// storeDelaySmoothing is the inverse of a new value's weight in storeDelay.
 	storeDelaySmoothing = 8
--- a/internal/executor/submit.go
+++ b/internal/executor/submit.go
@@ -376,8 +376,8 @@
 
 // work is what a job still has to run, in milli-core-milliseconds.
 type work struct {
-	// ready could start at once; later waits for earlier steps; running is half of the work of
-	// the tasks that are running.
+	// ready is the work of tasks that could start at once, later that of tasks that wait for earlier
+	// steps, and running half of the work of placed tasks.
 	ready, later, running float64
 	// tasks is the number of tasks that could start at once.
 	tasks int
--- a/internal/executor/world_test.go
+++ b/internal/executor/world_test.go
@@ -44,8 +44,8 @@
 	crashAfter, downFor time.Duration
 	newIDs              bool
 	newIDCount          int
-	// heartbeatInterval is the interval at which endpoints write their service discovery entries, 0 for
-	// immediately. While storeDown is set, neither they nor owners can write.
+	// heartbeatInterval is the interval at which endpoints write their service discovery entries, 0
+	// for immediately. While storeDown is set, neither they nor owners can write.
 	heartbeatInterval time.Duration
 	storeDown         bool
 	// account is the account that submits the jobs. It may have limitMilli running in this pool.
