--- a/internal/executor/accounts_test.go
+++ b/internal/executor/accounts_test.go
@@ -23,7 +23,7 @@
 	It("is shown to its own account only, also after a change of owner", func() {
 		w := newWorld(1, 2)
 		o := w.takeOver()
-		j := jobOf(1, small(1))
+		j := jobOf(1, smallStep(1))
 		o.core.Submit(w.now, j, accepting("alpha"), 1)
 		w.run(100 * step)
 		for range 2 {
@@ -41,7 +41,7 @@
 	It("is not confirmed to another account that submits its ID", func() {
 		w := newWorld(1, 2)
 		o := w.takeOver()
-		j := jobOf(1, small(1))
+		j := jobOf(1, smallStep(1))
 		o.core.Submit(w.now, j, accepting("alpha"), 1)
 		verdict, refusal := o.core.Submit(w.now, j, accepting("beta"), 2)
 		Expect(verdict).To(Equal(executor.VerdictRefused))
@@ -54,7 +54,7 @@
 	It("is shown to every caller if it was submitted without an account", func() {
 		w := newWorld(1, 2)
 		o := w.takeOver()
-		j := jobOf(1, small(1))
+		j := jobOf(1, smallStep(1))
 		w.submit(o, j)
 		Expect(o.core.VisibleTo(j.ID, executor.Caller{Queue: "q", Account: "beta"})).To(BeTrue())
 	})
@@ -85,7 +85,7 @@
 	for seed := uint64(1); seed <= uint64(seeds/3+additionalSeeds()); seed++ {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			t.Parallel()
-			randomScenario(NewWithT(t), seed, variant{inOrder: seed%2 == 0, slowJournal: seed%3 == 0, restarts: seed%5 == 0, crashing: seed%4 == 0, limited: true})
+			randomScenario(NewWithT(t), seed, variant{handOver: seed%2 == 0, slowJournal: seed%3 == 0, restarts: seed%5 == 0, crashing: seed%4 == 0, limited: true})
 		})
 	}
 }
@@ -106,7 +106,7 @@
 		w.run(10 * step)
 		setAccountLimit(w, o, "alpha", 2500, 1)
 		w.lengthOf = func(jobs.TaskName) time.Duration { return 700 * time.Millisecond }
-		wide := small(6)
+		wide := smallStep(6)
 		wide.CPUMilli = 1000
 		j := jobOf(1, wide)
 		o.core.Submit(w.now, j, accepting("alpha"), 1)
@@ -126,7 +126,7 @@
 		w := newWorld(1, 4)
 		o := w.takeOver()
 		w.run(10 * step)
-		j := jobOf(1, small(2))
+		j := jobOf(1, smallStep(2))
 		o.core.Submit(w.now, j, accepting("alpha"), 1)
 		w.run(100 * step)
 		Expect(w.runningTasks()).To(BeZero())
@@ -148,11 +148,11 @@
 			}
 			return 50 * time.Millisecond
 		}
-		wide := small(200)
+		wide := smallStep(200)
 		wide.CPUMilli = 1000
 		o.core.Submit(w.now, jobOf(1, wide), accepting("alpha"), 1)
 		w.run(5 * step)
-		other := jobOf(2, small(2))
+		other := jobOf(2, smallStep(2))
 		w.submit(o, other)
 		w.run(50 * step)
 		Expect(w.state(o, other)).To(Equal("completed"))
@@ -167,16 +167,16 @@
 		setAccountLimit(w, o, "alpha", 1500, 1)
 		limit := accounts.Limit{CPUMilli: 1500}
 		o.core.ApplyShares(w.now, []quota.Grant{{Account: "alpha", Share: quota.Whole / 2, Limit: limit, Ceiling: limit, Rev: 2}}) // less than a task
-		wide := jobOf(1, small(20))
+		wide := jobOf(1, smallStep(20))
 		o.core.Submit(w.now, wide, accepting("alpha"), 1)
 		w.run(2 * time.Second)
-		verdict, refusal := o.core.Submit(w.now, jobOf(2, small(20)), accepting("alpha"), 2)
+		verdict, refusal := o.core.Submit(w.now, jobOf(2, smallStep(20)), accepting("alpha"), 2)
 		Expect(verdict).To(Equal(executor.VerdictRefused))
 		Expect(refusal.Reason).To(Equal(executor.RefusedAccountBacklog))
 		o.core.Cancel(w.now, wide.ID, 3)
 		w.run(2 * time.Second)
 		for n := range 3 {
-			verdict, _ = o.core.Submit(w.now, jobOf(10+n, small(20)), accepting("alpha"), 4)
+			verdict, _ = o.core.Submit(w.now, jobOf(10+n, smallStep(20)), accepting("alpha"), 4)
 			Expect(verdict).To(Equal(executor.VerdictAccepted))
 		}
 	})
@@ -188,14 +188,14 @@
 		o := w.takeOver()
 		w.run(10 * step)
 		setAccountLimit(w, o, "alpha", 3000, 1)
-		together := small(4)
+		together := smallStep(4)
 		together.Gang, together.CPUMilli = true, 1000
 		verdict, refusal := o.core.Submit(w.now, jobOf(1, together), accepting("alpha"), 1)
 		Expect(verdict).To(Equal(executor.VerdictRefused), "it can never start")
 		Expect(refusal).To(Equal(executor.Refusal{Reason: executor.RefusedAccount}), "a retry would not help")
 		setAccountLimit(w, o, "alpha", 5000, 2)
 		w.lengthOf = func(jobs.TaskName) time.Duration { return 400 * time.Millisecond }
-		o.core.Submit(w.now, jobOf(2, small(2)), accepting("alpha"), 2)
+		o.core.Submit(w.now, jobOf(2, smallStep(2)), accepting("alpha"), 2)
 		w.run(5 * step)
 		Expect(w.runningTasks()).To(Equal(2))
 		j := jobOf(3, together)
@@ -215,7 +215,7 @@
 		w.run(10 * step)
 		setAccountLimit(w, o, "alpha", 5000, 1)
 		w.lengthOf = func(jobs.TaskName) time.Duration { return time.Minute }
-		o.core.Submit(w.now, jobOf(1, small(3)), accepting("alpha"), 1)
+		o.core.Submit(w.now, jobOf(1, smallStep(3)), accepting("alpha"), 1)
 		w.run(20 * step)
 		used := o.core.AccountReports(nil)[0].Used
 		Expect(used.CPUMilli).To(BeNumerically(">", 0))
--- a/internal/executor/bench_test.go
+++ b/internal/executor/bench_test.go
@@ -18,7 +18,7 @@
 	o := w.takeOver()
 	w.run(300 * time.Millisecond)
 	for i := range endpoints/2 + waiting {
-		o.core.Submit(w.now, jobOf(i+1, small(8), small(8, 0)), executor.Accepting{Queue: "q", Terms: terms()}, 1)
+		o.core.Submit(w.now, jobOf(i+1, smallStep(8), smallStep(8, 0)), executor.Accepting{Queue: "q", Terms: terms()}, 1)
 	}
 	w.run(200 * time.Millisecond)
 	return w, o
@@ -49,7 +49,7 @@
 	b.ResetTimer()
 	tasks := 0
 	for n := 1; tasks < b.N; n++ {
-		o.core.Submit(w.now, jobs.Job{ID: fmt.Sprintf("%016x", n), Steps: []jobs.Step{small(16)}}, executor.Accepting{Queue: "q", Terms: terms()}, 1)
+		o.core.Submit(w.now, jobs.Job{ID: fmt.Sprintf("%016x", n), Steps: []jobs.Step{smallStep(16)}}, executor.Accepting{Queue: "q", Terms: terms()}, 1)
 		tasks += 16
 		w.run(2 * step)
 	}
--- a/internal/executor/capacity_test.go
+++ b/internal/executor/capacity_test.go
@@ -29,7 +29,7 @@
 // submitBacklog submits healthy jobs.
 func (w *world) submitBacklog(o *owner, from, count int) (all []jobs.Job) {
 	for n := range count {
-		j := jobOf(from+n, small(4), small(2, 0))
+		j := jobOf(from+n, smallStep(4), smallStep(2, 0))
 		w.submit(o, j)
 		all = append(all, j)
 	}
@@ -113,7 +113,7 @@
 	for seed := uint64(1); seed <= uint64(seeds+additionalSeeds()); seed++ {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			t.Parallel()
-			randomScenario(NewWithT(t), seed, variant{inOrder: seed%2 == 0, slowJournal: seed%3 == 0, restarts: seed%5 == 0, crashing: seed%4 == 0, resizing: true})
+			randomScenario(NewWithT(t), seed, variant{handOver: seed%2 == 0, slowJournal: seed%3 == 0, restarts: seed%5 == 0, crashing: seed%4 == 0, resizing: true})
 		})
 	}
 }
--- a/internal/executor/crash_test.go
+++ b/internal/executor/crash_test.go
@@ -33,32 +33,32 @@
 }
 
 func crashScenarios() []crashScenario {
-	gang, longRunning, speculative, apart := small(3), small(2), small(2), small(3)
+	gang, longRunning, speculative, apart := smallStep(3), smallStep(2), smallStep(2), smallStep(3)
 	gang.Gang, longRunning.LongRunning, speculative.Speculative, apart.MaxPerEndpoint = true, true, true, 1
-	timed := jobOf(crashingJob, small(2))
+	timed := jobOf(crashingJob, smallStep(2))
 	timed.Occurrences, timed.StartAtMs, timed.IntervalMs = 3, 1_001_500, 700
 	none := func(*world) {}
 	forHours := func(w *world) { w.lengthOf = forAnHour }
 	return []crashScenario{
-		{name: "a short task", job: jobOf(crashingJob, small(2)), configure: none},
-		{name: "a step before others", job: jobOf(crashingJob, small(2), small(2, 0)), configure: none},
+		{name: "a short task", job: jobOf(crashingJob, smallStep(2)), configure: none},
+		{name: "a step before others", job: jobOf(crashingJob, smallStep(2), smallStep(2, 0)), configure: none},
 		{name: "a gang", job: jobOf(crashingJob, gang), configure: forHours},
 		{name: "a long-running task", job: jobOf(crashingJob, longRunning), configure: forHours},
 		{name: "a scheduled task", job: timed, configure: none},
 		{name: "a speculative task", job: jobOf(crashingJob, speculative), configure: none},
 		{name: "tasks on separate endpoints", job: jobOf(crashingJob, apart), configure: none},
-		{name: "new ids", job: jobOf(crashingJob, small(2)), configure: func(w *world) { w.newIDs = true }},
+		{name: "new ids", job: jobOf(crashingJob, smallStep(2)), configure: func(w *world) { w.newIDs = true }},
 		{name: "new ids, a long-running task", job: jobOf(crashingJob, longRunning), configure: func(w *world) { w.newIDs, w.lengthOf = true, forAnHour }},
-		{name: "leases expire first", job: jobOf(crashingJob, small(2)), configure: func(w *world) { w.downFor = 6 * time.Second }, duration: 90 * time.Second},
-		{name: "leases expire first, new ids", job: jobOf(crashingJob, small(2)),
+		{name: "leases expire first", job: jobOf(crashingJob, smallStep(2)), configure: func(w *world) { w.downFor = 6 * time.Second }, duration: 90 * time.Second},
+		{name: "leases expire first, new ids", job: jobOf(crashingJob, smallStep(2)),
 			configure: func(w *world) { w.downFor, w.newIDs = 6*time.Second, true }, duration: 90 * time.Second},
-		{name: "a crash well after the start", job: jobOf(crashingJob, small(2)),
+		{name: "a crash well after the start", job: jobOf(crashingJob, smallStep(2)),
 			configure: func(w *world) { w.crashAfter, w.lengthOf = 400*time.Millisecond, longFirst }},
-		{name: "starts without answers", job: jobOf(crashingJob, small(2)), configure: func(w *world) { w.loseAnswers = 0.7 }},
-		{name: "owners that change", job: jobOf(crashingJob, small(2)), configure: none, ownerInterval: 1300 * time.Millisecond},
-		{name: "owners that change, new ids", job: jobOf(crashingJob, small(2)), configure: func(w *world) { w.newIDs = true }, ownerInterval: 1300 * time.Millisecond},
+		{name: "starts without answers", job: jobOf(crashingJob, smallStep(2)), configure: func(w *world) { w.loseAnswers = 0.7 }},
+		{name: "owners that change", job: jobOf(crashingJob, smallStep(2)), configure: none, ownerInterval: 1300 * time.Millisecond},
+		{name: "owners that change, new ids", job: jobOf(crashingJob, smallStep(2)), configure: func(w *world) { w.newIDs = true }, ownerInterval: 1300 * time.Millisecond},
 		{name: "owners that change, a long-running task", job: jobOf(crashingJob, longRunning), configure: forHours, ownerInterval: 1700 * time.Millisecond},
-		{name: "owners that change, leases expire first", job: jobOf(crashingJob, small(2)),
+		{name: "owners that change, leases expire first", job: jobOf(crashingJob, smallStep(2)),
 			configure: func(w *world) { w.downFor = 6 * time.Second }, ownerInterval: 4100 * time.Millisecond, duration: 90 * time.Second},
 	}
 }
@@ -93,7 +93,7 @@
 			w.submit(o, d.job)
 		}
 		if w.now+15*time.Second < end && n%3 == 0 {
-			j := jobOf(100+n, small(3), small(1, 0))
+			j := jobOf(100+n, smallStep(3), smallStep(1, 0))
 			w.submit(o, j)
 			healthy = append(healthy, j)
 		}
@@ -145,7 +145,7 @@
 			w.run(500 * time.Millisecond)
 			var all []jobs.Job
 			for n := 1; n <= 60; n++ {
-				j := jobOf(n, small(3), small(2, 0))
+				j := jobOf(n, smallStep(3), smallStep(2, 0))
 				w.submit(o, j)
 				all = append(all, j)
 				w.run(150 * time.Millisecond)
@@ -191,23 +191,24 @@
 	return w, o
 }
 
-// inZone calls visit for each endpoint of a zone that still exists.
-func (w *world) inZone(zone int, visit func(*simEndpoint)) {
+// forZone calls visit for each endpoint of a zone that still exists.
+func (w *world) forZone(zone int, visit func(*simEndpoint)) {
 	for _, h := range w.endpoints {
-		if h.zone == fmt.Sprint("z", zone) && !h.dead {
+		if h.zone == fmt.Sprint("z", zone) && !h.terminated {
 			visit(h)
 		}
 	}
 }
 
-// unluckyCrashes is how many endpoints must have ended with a task's runs for a healthy job to be
-// failed: from then on chance can't be told from cause.
-const unluckyCrashes = 5
+// lossesThatMayFailJob is how many endpoints must have ended with a task's runs for a healthy job to
+// be allowed to fail: from then on, unrelated crashes look the same as crashes that the task causes.
+const lossesThatMayFailJob = 5
 
-// unlucky reports whether that many have ended with runs of one of a job's tasks.
-func (w *world) unlucky(j jobs.Job) bool {
+// lostTooManyRuns reports whether lossesThatMayFailJob endpoints or more have ended with runs of one
+// of a job's tasks.
+func (w *world) lostTooManyRuns(j jobs.Job) bool {
 	for name, past := range w.runs {
-		if strings.HasPrefix(name, j.ID) && past.lostRuns >= unluckyCrashes {
+		if strings.HasPrefix(name, j.ID) && past.lostRuns >= lossesThatMayFailJob {
 			return true
 		}
 	}
@@ -218,9 +219,9 @@
 // power, one zone after the other, several times.
 func TestHealthyJobsInZoneOutagesDoNotFail(t *testing.T) {
 	for name, outage := range map[string]struct{ begin, end func(*world, *simEndpoint) }{
-		"cut":              {func(_ *world, h *simEndpoint) { h.silent = true }, func(_ *world, h *simEndpoint) { h.silent = false }},
+		"cut":              {func(_ *world, h *simEndpoint) { h.unresponsive = true }, func(_ *world, h *simEndpoint) { h.unresponsive = false }},
 		"power":            {func(w *world, h *simEndpoint) { w.crash(h); h.backAt = time.Hour }, func(w *world, h *simEndpoint) { w.restartCrashed(h) }},
-		"cut and restarts": {func(_ *world, h *simEndpoint) { h.silent = true }, func(w *world, h *simEndpoint) { h.silent = false; w.restart(h) }},
+		"cut and restarts": {func(_ *world, h *simEndpoint) { h.unresponsive = true }, func(w *world, h *simEndpoint) { h.unresponsive = false; w.restart(h) }},
 	} {
 		for _, every := range []time.Duration{1500 * time.Millisecond, 4 * time.Second, 12 * time.Second} {
 			for _, newIDs := range []bool{false, true} {
@@ -229,7 +230,7 @@
 					g := NewWithT(t)
 					w, o := threeZones(7)
 					w.newIDs = newIDs
-					longRunning := small(3)
+					longRunning := smallStep(3)
 					longRunning.LongRunning, longRunning.MaxPerEndpoint = true, 1
 					var all []jobs.Job
 					for n := range 3 {
@@ -238,20 +239,20 @@
 						all = append(all, j)
 					}
 					for round := range 9 {
-						w.inZone(round%3, func(h *simEndpoint) { outage.begin(w, h) })
+						w.forZone(round%3, func(h *simEndpoint) { outage.begin(w, h) })
 						for n := range 6 {
-							j := jobOf(100+10*round+n, small(2), small(2, 0))
+							j := jobOf(100+10*round+n, smallStep(2), smallStep(2, 0))
 							w.submit(o, j)
 							all = append(all, j)
 							w.run(every / 6)
 						}
-						w.inZone(round%3, func(h *simEndpoint) { outage.end(w, h) })
+						w.forZone(round%3, func(h *simEndpoint) { outage.end(w, h) })
 					}
 					w.run(40 * time.Second)
 					g.Expect(w.violations).To(BeEmpty())
 					for _, j := range all {
 						switch {
-						case w.unlucky(j):
+						case w.lostTooManyRuns(j):
 						case jobNumber(j.ID) < 10:
 							g.Expect(w.state(o, j)).To(Equal("running"), j.ID)
 						default:
@@ -271,7 +272,7 @@
 		g := NewWithT(t)
 		w, o := threeZones(3)
 		w.newIDs = newIDs
-		longRunning := small(1)
+		longRunning := smallStep(1)
 		longRunning.LongRunning = true
 		j := jobOf(1, longRunning)
 		w.submit(o, j)
@@ -298,12 +299,12 @@
 	w.crashesEndpoint = isCrashingTask
 	o := w.takeOver()
 	w.run(300 * time.Millisecond)
-	other := small(1)
+	other := smallStep(1)
 	other.LongRunning = true
 	w.lengthOf = forAnHour
 	w.submit(o, jobOf(2, other))
 	w.run(300 * time.Millisecond)
-	w.submit(o, jobOf(crashingJob, small(1)))
+	w.submit(o, jobOf(crashingJob, smallStep(1)))
 	w.run(2 * step)
 	g.Expect(w.endpoints["i-00"].down).To(BeTrue())
 	key := "p" + jobOf(crashingJob).ID
@@ -326,7 +327,7 @@
 	w.crashesEndpoint, w.limits.KeepEnded, w.downFor, w.newIDs = isCrashingTask, time.Hour, 10*time.Second, true
 	o := w.takeOver()
 	w.run(300 * time.Millisecond)
-	j := jobOf(crashingJob, small(1))
+	j := jobOf(crashingJob, smallStep(1))
 	w.submit(o, j)
 	for range 600 {
 		w.run(100 * time.Millisecond)
@@ -347,7 +348,7 @@
 	for seed := uint64(1); seed <= uint64(seeds+additionalSeeds()); seed++ {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			t.Parallel()
-			randomScenario(NewWithT(t), seed, variant{inOrder: seed%2 == 0, slowJournal: seed%3 == 0, restarts: seed%5 == 0, crashing: true})
+			randomScenario(NewWithT(t), seed, variant{handOver: seed%2 == 0, slowJournal: seed%3 == 0, restarts: seed%5 == 0, crashing: true})
 		})
 	}
 }
@@ -365,7 +366,7 @@
 		w.newIDs, w.downFor = newIDs, 6*time.Second
 		o := w.takeOver()
 		w.run(300 * time.Millisecond)
-		gang := small(4)
+		gang := smallStep(4)
 		gang.Gang, gang.MaxPerEndpoint, gang.EstimateMs = true, 1, 20_000
 		w.lengthOf = func(jobs.TaskName) time.Duration { return time.Hour }
 		w.crash(w.endpoints["i-02"])
--- a/internal/executor/executor_test.go
+++ b/internal/executor/executor_test.go
@@ -10,7 +10,7 @@
 	"cyclamenwheel/internal/jobs"
 )
 
-func small(count int, after ...int) jobs.Step {
+func smallStep(count int, after ...int) jobs.Step {
 	return jobs.Step{Count: count, CPUMilli: 1000, MemoryMB: 10, EstimateMs: 300, After: after}
 }
 
@@ -19,7 +19,7 @@
 		w := newWorld(1, 3)
 		o := w.takeOver()
 		w.run(100 * time.Millisecond)
-		j := jobOf(1, small(6), small(4, 0))
+		j := jobOf(1, smallStep(6), smallStep(4, 0))
 		Expect(w.submit(o, j)).To(Equal(executor.VerdictAccepted))
 		w.run(300 * time.Millisecond)
 		Expect(w.state(o, j)).To(Equal("running"))
@@ -34,7 +34,7 @@
 		o := w.takeOver()
 		steps := make([]jobs.Step, failingStep+1)
 		for i := range steps {
-			steps[i] = small(1)
+			steps[i] = smallStep(1)
 		}
 		j := jobOf(1, steps...)
 		w.submit(o, j)
@@ -47,7 +47,7 @@
 	It("are stopped when cancelled", func() {
 		w := newWorld(1, 3)
 		o := w.takeOver()
-		long := small(3)
+		long := smallStep(3)
 		long.LongRunning = true
 		j := jobOf(1, long)
 		w.endpoints["i-00"].runLength, w.endpoints["i-01"].runLength, w.endpoints["i-02"].runLength = time.Hour, time.Hour, time.Hour
@@ -70,7 +70,7 @@
 	It("begins a job that its predecessor had only accepted", func() {
 		w := newWorld(1, 0)
 		o := w.takeOver()
-		j := jobOf(1, small(2))
+		j := jobOf(1, smallStep(2))
 		w.submit(o, j)
 		w.run(50 * time.Millisecond)
 		o.stopped = true
@@ -86,7 +86,7 @@
 		w := newWorld(1, 3)
 		o := w.takeOver()
 		w.run(100 * time.Millisecond)
-		j := jobOf(1, small(8))
+		j := jobOf(1, smallStep(8))
 		w.submit(o, j)
 		w.run(100 * time.Millisecond)
 		o.stopped = true
@@ -106,7 +106,7 @@
 		for _, h := range w.endpoints {
 			h.runLength = 2 * time.Second
 		}
-		j := jobOf(1, small(6))
+		j := jobOf(1, smallStep(6))
 		w.submit(o, j)
 		w.run(300 * time.Millisecond)
 		o.stopped = true
@@ -129,15 +129,15 @@
 		for _, h := range w.endpoints {
 			h.runLength, h.skew = time.Hour, 0.98
 		}
-		j := jobOf(1, small(2))
+		j := jobOf(1, smallStep(2))
 		w.submit(o, j)
 		w.run(200 * time.Millisecond)
-		silent := w.endpoints["i-00"]
-		silent.silent = true
+		unresponsive := w.endpoints["i-00"]
+		unresponsive.unresponsive = true
 		o.stopped = true
 		w.takeOver()
 		w.run(12 * time.Second)
-		Expect(silent.running).To(BeEmpty())
+		Expect(unresponsive.running).To(BeEmpty())
 		Expect(w.violations).To(BeEmpty())
 	})
 
@@ -151,13 +151,13 @@
 		for _, h := range w.endpoints {
 			h.runLength, h.skew = time.Hour, 0.98
 		}
-		long := small(1)
+		long := smallStep(1)
 		long.LongRunning = true
 		w.submit(o, jobOf(1, long))
 		w.run(200 * time.Millisecond)
-		silent := w.endpoints["i-00"]
-		Expect(silent.running).To(HaveLen(1))
-		silent.silent = true
+		unresponsive := w.endpoints["i-00"]
+		Expect(unresponsive.running).To(HaveLen(1))
+		unresponsive.unresponsive = true
 		for range 8 {
 			w.run(1500 * time.Millisecond)
 			w.handOver(o)
@@ -174,7 +174,7 @@
 		w := newWorld(1, 4)
 		o := w.takeOver()
 		w.run(100 * time.Millisecond)
-		serve := small(3)
+		serve := smallStep(3)
 		serve.LongRunning, serve.MayMiss, serve.MaxPerEndpoint = true, 1, 1
 		for _, h := range w.endpoints {
 			h.runLength, h.percent = time.Hour, 100
@@ -209,7 +209,7 @@
 		h.skew = 0.98
 		o := w.takeOver()
 		w.run(15 * time.Second)
-		w.submit(o, jobOf(1, small(1)))
+		w.submit(o, jobOf(1, smallStep(1)))
 		w.run(30 * time.Millisecond)
 		Expect(h.running).To(HaveLen(1))
 		Expect(h.lease - h.clock(w.now)).To(BeNumerically("<=", w.limits.Lease))
@@ -224,9 +224,9 @@
 		o := w.takeOver()
 		w.run(200 * time.Millisecond)
 		for _, h := range w.endpoints {
-			h.silent = true
+			h.unresponsive = true
 		}
-		j := jobOf(1, small(2))
+		j := jobOf(1, smallStep(2))
 		w.submit(o, j)
 		w.run(200 * time.Millisecond)
 		Expect(o.core.Pending("q")).To(Equal(1))
@@ -236,7 +236,7 @@
 		w.run(200 * time.Millisecond)
 		Expect(o.core.Pending("q")).To(Equal(1))
 		for _, h := range w.endpoints {
-			h.silent = false
+			h.unresponsive = false
 		}
 		w.run(time.Second)
 		Expect(o.core.Pending("q")).To(Equal(0))
@@ -250,10 +250,10 @@
 		w := newWorld(1, 1)
 		o := w.takeOver()
 		w.run(100 * time.Millisecond)
-		j := jobOf(1, small(1))
+		j := jobOf(1, smallStep(1))
 		w.submit(o, j)
 		w.run(50 * time.Millisecond)
-		w.endpoints["i-00"].silent = true
+		w.endpoints["i-00"].unresponsive = true
 		for name := range w.endpoints["i-00"].running {
 			w.history(name).running--
 		}
--- a/internal/executor/job_kinds_test.go
+++ b/internal/executor/job_kinds_test.go
@@ -13,7 +13,7 @@
 
 var _ = Describe("a gang", func() {
 	gang := func(count int) jobs.Step {
-		s := small(count)
+		s := smallStep(count)
 		s.Gang = true
 		return s
 	}
@@ -42,7 +42,7 @@
 		o := w.takeOver()
 		w.run(200 * time.Millisecond)
 		w.submit(o, jobOf(1, gang(9)))
-		j := jobOf(2, small(2))
+		j := jobOf(2, smallStep(2))
 		w.submit(o, j)
 		w.run(2 * time.Second)
 		Expect(w.runs).NotTo(HaveKey(jobOf(1).ID + ".0.0.0"))
@@ -87,7 +87,7 @@
 		w := newWorld(1, 2)
 		o := w.takeOver()
 		w.run(200 * time.Millisecond)
-		j := jobOf(1, small(2))
+		j := jobOf(1, smallStep(2))
 		j.Occurrences, j.StartAtMs, j.IntervalMs = 3, w.wall()+1000, 1000
 		Expect(w.submit(o, j)).To(Equal(executor.VerdictAccepted))
 		w.run(900 * time.Millisecond)
@@ -115,7 +115,7 @@
 		for _, h := range w.endpoints {
 			h.runLength = 3 * time.Second
 		}
-		j := jobOf(1, small(1))
+		j := jobOf(1, smallStep(1))
 		j.Occurrences, j.StartAtMs, j.IntervalMs = 2, w.wall()+100, 500
 		w.submit(o, j)
 		w.run(400 * time.Millisecond)
@@ -140,7 +140,7 @@
 		w := newWorld(1, 2)
 		o := w.takeOver()
 		w.run(100 * time.Millisecond)
-		j := jobOf(1, small(2), small(2, 0, 0))
+		j := jobOf(1, smallStep(2), smallStep(2, 0, 0))
 		w.submit(o, j)
 		w.run(100 * time.Millisecond)
 		o.stopped = true
@@ -158,7 +158,7 @@
 		w.run(200 * time.Millisecond)
 		under := terms()
 		under.Advice = &routing.Advice{DecideMs: 10, PeriodMs: 1, ValidMs: 600}
-		j := jobOf(1, small(9))
+		j := jobOf(1, smallStep(9))
 		o.core.Submit(w.now, j, executor.Accepting{Queue: "q", Terms: under}, 1)
 		asked := 0
 		for range 60 {
--- a/internal/executor/late_ends_test.go
+++ b/internal/executor/late_ends_test.go
@@ -15,14 +15,14 @@
 	w = newWorld(1, endpoints)
 	o = w.takeOver()
 	w.run(100 * time.Millisecond)
-	j = jobOf(1, small(1))
+	j = jobOf(1, smallStep(1))
 	w.submit(o, j)
 	w.run(50 * time.Millisecond)
 	late = w.endpoints["i-00"]
 	Expect(late.running).To(HaveLen(1))
-	late.silent = true
+	late.unresponsive = true
 	w.run(w.limits.Lease + time.Second)
-	late.silent = false
+	late.unresponsive = false
 	return w, o, j, late
 }
 
@@ -53,7 +53,7 @@
 		w, o, _, late := reportedLate(2)
 		w.run(time.Second)
 		for n := range 8 {
-			w.submit(o, jobOf(10+n, small(1)))
+			w.submit(o, jobOf(10+n, smallStep(1)))
 		}
 		w.run(400 * time.Millisecond)
 		Expect(late.ended).To(HaveLen(1))
--- a/internal/executor/long_running_test.go
+++ b/internal/executor/long_running_test.go
@@ -27,7 +27,7 @@
 		longRunning := jobOf(1, jobs.Step{Count: 1, CPUMilli: 3000, MemoryMB: 10, LongRunning: true})
 		stream := func(from, jobs int) {
 			for k := range jobs {
-				w.submit(o, jobOf(from+k, small(1)))
+				w.submit(o, jobOf(from+k, smallStep(1)))
 				w.run(70 * time.Millisecond)
 			}
 		}
@@ -56,7 +56,7 @@
 		}
 		o := w.takeOver()
 		w.run(100 * time.Millisecond)
-		longRunning := small(2)
+		longRunning := smallStep(2)
 		longRunning.LongRunning, longRunning.MaxPerEndpoint = true, 1
 		w.submit(o, jobOf(1, longRunning))
 		w.run(300 * time.Millisecond)
--- a/internal/executor/orders.go
+++ b/internal/executor/orders.go
@@ -129,7 +129,7 @@
 	switch result {
 	case OrderDone:
 		t.orderAnswered = true
-		c.confirm(now, t)
+		c.recordConfirmation(now, t)
 		e.nextPoll = min(e.nextPoll, now+pollGap)
 	case OrderUnanswered:
 		e.nextPoll = min(e.nextPoll, now+uncertainPollWait)
--- a/internal/executor/polls.go
+++ b/internal/executor/polls.go
@@ -273,7 +273,7 @@
 	running := make(map[*task]bool, len(in.Running))
 	unknownRuns := 0
 	for _, r := range in.Running {
-		t := c.find(e, r.Task, r.Run)
+		t := c.placedTask(e, r.Task, r.Run)
 		if t == nil {
 			unknownRuns++
 			c.stopUnknownRun(e, r)
@@ -298,8 +298,8 @@
 // that is missing from the listing proves nothing.
 const fullListing = 500
 
-// find returns the task that is placed on e under this run.
-func (c *Core) find(e *endpoint, name string, run int) *task {
+// placedTask returns the task that is placed on e under this run.
+func (c *Core) placedTask(e *endpoint, name string, run int) *task {
 	t := c.taskByName(name)
 	if t == nil || t.endpoint != e || t.run != run {
 		return nil
@@ -329,7 +329,7 @@
 }
 
 func (c *Core) applyRunning(now, clock time.Duration, t *task, r ListedRun) {
-	c.confirm(now, t)
+	c.recordConfirmation(now, t)
 	t.onCurrentIncarnation = true
 	t.possibleCrash = nil
 	if t.confirmedFor() >= newRunPeriod {
@@ -347,8 +347,8 @@
 	}
 }
 
-// confirm records that an endpoint has a task's run.
-func (c *Core) confirm(now time.Duration, t *task) {
+// recordConfirmation records that an endpoint has a task's run.
+func (c *Core) recordConfirmation(now time.Duration, t *task) {
 	if t.confirmedAt == 0 {
 		t.confirmedAt = now
 	}
--- a/internal/executor/property_test.go
+++ b/internal/executor/property_test.go
@@ -37,24 +37,24 @@
 var _ = Describe("random faults", func() {
 	for seed := uint64(1); seed <= uint64(seeds+additionalSeeds()); seed++ {
 		It(fmt.Sprintf("violate no contract with seed %d", seed), func() { randomScenario(NewWithT(GinkgoT()), seed, variant{}) })
-		It(fmt.Sprintf("violate no contract where owners hand over, with seed %d", seed), func() { randomScenario(NewWithT(GinkgoT()), seed, variant{inOrder: true}) })
+		It(fmt.Sprintf("violate no contract where owners hand over, with seed %d", seed), func() { randomScenario(NewWithT(GinkgoT()), seed, variant{handOver: true}) })
 		It(fmt.Sprintf("violate no contract with a slow journal, with seed %d", seed), func() {
-			randomScenario(NewWithT(GinkgoT()), seed, variant{inOrder: seed%2 == 0, slowJournal: true})
+			randomScenario(NewWithT(GinkgoT()), seed, variant{handOver: seed%2 == 0, slowJournal: true})
 		})
 	}
 })
 
 // variant selects the faults and the owners' behaviour in a random scenario.
 type variant struct {
-	// inOrder: owners that end hand their pool over.
-	inOrder bool
+	// handOver: owners that end hand their pool over.
+	handOver bool
 	// slowJournal: several batches are in flight at a time and are answered late.
 	slowJournal bool
 	// restarts: endpoints also restart under their ids.
 	restarts bool
-	// unseen: service discovery lists former incarnations for up to maxStaleEntry, and leases
+	// staleEntries: service discovery lists former incarnations for up to maxStaleEntry, and leases
 	// that were computed with their clocks may end in the future of the new ones.
-	unseen bool
+	staleEntries bool
 	// crashing: every seventh job has a task that crashes its endpoints.
 	crashing bool
 	// resizing: the capacity of endpoints changes, and the store is unavailable at times.
@@ -69,7 +69,7 @@
 func randomScenario(g Gomega, seed uint64, v variant) {
 	rng := rand.New(rand.NewPCG(seed, 99))
 	w := newWorld(seed, 4)
-	w.inOrder, w.slowJournal = v.inOrder, v.slowJournal
+	w.ownersHandOver, w.slowJournal = v.handOver, v.slowJournal
 	if v.crashing {
 		w.crashesEndpoint = func(n jobs.TaskName) bool { return jobNumber(n.Job)%7 == 0 && n.Index == 0 }
 		w.downFor = time.Duration(200+rng.IntN(6000)) * time.Millisecond
@@ -87,15 +87,15 @@
 		w.account, w.limitMilli = "alpha", 1000*(2+rng.IntN(5))
 	}
 	o := w.takeOver()
-	var handedIn []jobs.Job
+	var submitted []jobs.Job
 	for round := range 40 {
 		if v.resizing {
 			w.resizeRandomly(rng)
 		}
 		if rng.IntN(2) == 0 {
-			j := jobOf(round+1, small(1+rng.IntN(5)), small(1+rng.IntN(3), 0))
+			j := jobOf(round+1, smallStep(1+rng.IntN(5)), smallStep(1+rng.IntN(3), 0))
 			w.submit(o, j)
-			handedIn = append(handedIn, j)
+			submitted = append(submitted, j)
 		}
 		w.run(time.Duration(50+rng.IntN(400)) * time.Millisecond)
 		o = w.injectFault(rng, o, round)
@@ -107,10 +107,10 @@
 	o = w.takeOver()
 	w.run(25 * time.Second)
 	if v.crashing || v.limited {
-		w.runUntilEnded(o, handedIn, time.Minute)
+		w.runUntilEnded(o, submitted, time.Minute)
 	}
 	g.Expect(w.violations).To(BeEmpty())
-	for _, j := range handedIn {
+	for _, j := range submitted {
 		g.Expect(w.state(o, j)).To(Or(Equal("completed"), Equal("failed"), Equal("unknown")), j.ID)
 	}
 }
@@ -127,9 +127,9 @@
 // runUntilEnded advances the time until all jobs have ended or the limit is reached: a task that
 // crashes its endpoints may wait for reports of several of them, and an account with a limit
 // runs little at a time.
-func (w *world) runUntilEnded(o *owner, handedIn []jobs.Job, limit time.Duration) {
+func (w *world) runUntilEnded(o *owner, submitted []jobs.Job, limit time.Duration) {
 	for end := w.now + limit; w.now < end; w.run(time.Second) {
-		if !slices.ContainsFunc(handedIn, func(j jobs.Job) bool { return w.state(o, j) == "running" || w.state(o, j) == "queued" }) {
+		if !slices.ContainsFunc(submitted, func(j jobs.Job) bool { return w.state(o, j) == "running" || w.state(o, j) == "queued" }) {
 			return
 		}
 	}
@@ -138,8 +138,8 @@
 // restartOne restarts an endpoint under its id.
 func (w *world) restartOne(rng *rand.Rand, v variant) {
 	h := w.endpoints[fmt.Sprintf("i-%02d", rng.IntN(4))]
-	if v.unseen {
-		w.restartUnseen(h, time.Duration(rng.Int64N(int64(maxStaleEntry))))
+	if v.staleEntries {
+		w.restartWithStaleEntry(h, time.Duration(rng.Int64N(int64(maxStaleEntry))))
 		return
 	}
 	w.restart(h)
@@ -150,7 +150,7 @@
 	endpoint := w.endpoints[fmt.Sprintf("i-%02d", rng.IntN(4))]
 	switch rng.IntN(14) {
 	case 0:
-		if w.inOrder {
+		if w.ownersHandOver {
 			w.handOver(o)
 		}
 		o.stopped = true
@@ -158,12 +158,12 @@
 	case 1:
 		return w.takeOver() // the earlier owner goes on until it notices that it was fenced
 	case 2:
-		o.cut = true
+		o.partitioned = true
 		return w.takeOver()
 	case 3, 4:
-		endpoint.silent = true
+		endpoint.unresponsive = true
 	case 5, 6:
-		endpoint.silent = false
+		endpoint.unresponsive = false
 	case 7:
 		w.kill(endpoint)
 		w.addEndpoint(fmt.Sprintf("n-%02d", round))
@@ -177,7 +177,7 @@
 		endpoint.rejectsStarts = !endpoint.rejectsStarts
 	case 12:
 		endpoint.hiddenFrom = o.epoch + 1
-		o.cut = true
+		o.partitioned = true
 		return w.takeOver()
 	}
 	return o
@@ -188,7 +188,7 @@
 	w.storeDown = false
 	w.loseOrders, w.loseAnswers = 0, 0
 	for _, h := range w.endpoints {
-		h.silent, h.failsAll, h.stalls = false, false, false
+		h.unresponsive, h.failsAll, h.stalls = false, false, false
 		h.draining, h.rejectsStarts, h.hiddenFrom = false, false, 0
 	}
 	for _, o := range w.owners {
--- a/internal/executor/restart_test.go
+++ b/internal/executor/restart_test.go
@@ -12,22 +12,23 @@
 	"cyclamenwheel/internal/routing"
 )
 
-// restartUnseen restarts an endpoint while service discovery still lists the previous incarnation.
-// Leases by the previous clock have not expired by the new one.
-func (w *world) restartUnseen(h *simEndpoint, shownFor time.Duration) {
+// restartWithStaleEntry restarts an endpoint while service discovery still lists the previous
+// incarnation. Leases by the previous clock have not expired by the new one.
+func (w *world) restartWithStaleEntry(h *simEndpoint, shownFor time.Duration) {
 	former := h.describe()
 	h.entry, h.entryUntil = &former, w.now+shownFor
 	w.restart(h)
 	h.bootClock = 0
 }
 
-// withEnds returns a world in which an endpoint has ended several tasks, all of them acknowledged.
-func withEnds(g Gomega, endpoints int) (w *world, o *owner, h *simEndpoint) {
+// withAcknowledgedEnds returns a world in which an endpoint has ended several tasks, all of them
+// acknowledged.
+func withAcknowledgedEnds(g Gomega, endpoints int) (w *world, o *owner, h *simEndpoint) {
 	w = newWorld(1, endpoints)
 	o = w.takeOver()
 	w.run(100 * time.Millisecond)
 	h = w.endpoints["i-00"]
-	warm := jobOf(1, small(8))
+	warm := jobOf(1, smallStep(8))
 	w.submit(o, warm)
 	w.run(2 * time.Second)
 	g.Expect(w.state(o, warm)).To(Equal("completed"))
@@ -41,9 +42,9 @@
 // running nor ended, and starts their tasks again; failed ends then don't count either.
 func TestEndsOfARestartedEndpointAreApplied(t *testing.T) {
 	g := NewWithT(t)
-	w, o, h := withEnds(g, 1)
+	w, o, h := withAcknowledgedEnds(g, 1)
 	w.restart(h)
-	j := jobOf(2, small(4))
+	j := jobOf(2, smallStep(4))
 	w.submit(o, j)
 	w.run(2 * time.Second)
 	g.Expect(w.violations).To(BeEmpty())
@@ -53,10 +54,10 @@
 // Guards against more runs than a queue allows when runs fail on a restarted endpoint.
 func TestFailuresOnARestartedEndpointCount(t *testing.T) {
 	g := NewWithT(t)
-	w, o, h := withEnds(g, 1)
+	w, o, h := withAcknowledgedEnds(g, 1)
 	w.restart(h)
 	h.failsAll = true
-	j := jobOf(2, small(2))
+	j := jobOf(2, smallStep(2))
 	w.submit(o, j)
 	w.run(20 * time.Second)
 	g.Expect(w.violations).To(BeEmpty())
@@ -68,15 +69,15 @@
 func TestAPollForAnEarlierIncarnationAcknowledgesNothing(t *testing.T) {
 	for seed := range uint64(20) {
 		g := NewWithT(t)
-		w, o, h := withEnds(g, 1)
+		w, o, h := withAcknowledgedEnds(g, 1)
 		w.seed = seed
 		w.lengthOf = func(jobs.TaskName) time.Duration { return step }
 		const submitted = 60
 		for n := range submitted {
 			if n%20 == 10 {
-				w.restartUnseen(h, 200*time.Millisecond)
+				w.restartWithStaleEntry(h, 200*time.Millisecond)
 			}
-			w.submit(o, jobOf(10+n, small(1)))
+			w.submit(o, jobOf(10+n, smallStep(1)))
 			w.run(2 * step)
 		}
 		w.run(10 * time.Second)
@@ -91,9 +92,9 @@
 // next one after its task has been started elsewhere.
 func TestAnOrderForAnEarlierIncarnationHasNoEffect(t *testing.T) {
 	g := NewWithT(t)
-	w, o, _ := withEnds(g, 2)
+	w, o, _ := withAcknowledgedEnds(g, 2)
 	w.lateOrders, w.loseOrders = 1, 1
-	j := jobOf(2, small(1))
+	j := jobOf(2, smallStep(1))
 	w.submit(o, j)
 	w.run(20 * time.Millisecond)
 	w.loseOrders = 0
@@ -115,8 +116,8 @@
 // is known to have ended.
 func TestAnEndpointThatRestartsUnderItsIDIsUsed(t *testing.T) {
 	g := NewWithT(t)
-	w, o, h := withEnds(g, 1)
-	j := jobOf(2, small(2))
+	w, o, h := withAcknowledgedEnds(g, 1)
+	j := jobOf(2, smallStep(2))
 	w.submit(o, j)
 	w.run(50 * time.Millisecond)
 	w.kill(h)
@@ -132,14 +133,14 @@
 // service discovery still lists the previous one.
 func TestARestartedEndpointIsNotFilledByItsFormerCapacity(t *testing.T) {
 	g := NewWithT(t)
-	w, o, h := withEnds(g, 1)
+	w, o, h := withAcknowledgedEnds(g, 1)
 	h.runLength = 5 * time.Second
-	w.submit(o, jobOf(3, small(1)))
+	w.submit(o, jobOf(3, smallStep(1)))
 	w.run(200 * time.Millisecond)
-	w.restartUnseen(h, 1500*time.Millisecond)
+	w.restartWithStaleEntry(h, 1500*time.Millisecond)
 	h.capacity.CPUMilli, h.runLength = 1000, 300*time.Millisecond
 	w.run(300 * time.Millisecond)
-	j := jobOf(2, small(4))
+	j := jobOf(2, smallStep(4))
 	w.submit(o, j)
 	w.run(5 * time.Second)
 	g.Expect(w.violations).To(BeEmpty())
@@ -150,12 +151,12 @@
 // ended while the tasks run on the next one under the same id.
 func TestTheEndOfAnEarlierIncarnationKeepsRunsOfTheNext(t *testing.T) {
 	g := NewWithT(t)
-	w, o, h := withEnds(g, 2)
+	w, o, h := withAcknowledgedEnds(g, 2)
 	former := executor.Incarnation{ID: h.id, StartedMs: h.startedMs}
 	w.restart(h)
 	w.endpoints["i-01"].draining = true
 	h.runLength = 3 * time.Second
-	j := jobOf(2, small(2))
+	j := jobOf(2, smallStep(2))
 	w.submit(o, j)
 	w.run(300 * time.Millisecond)
 	g.Expect(h.running).To(HaveLen(2))
@@ -168,13 +169,14 @@
 	g.Expect(w.state(o, j)).To(Equal("completed"))
 }
 
-// startReachesNextIncarnation restarts an endpoint unseen and lets the start of a long task that was
-// sent to its earlier incarnation reach the next one; the owner stops before that is reported to it.
+// startReachesNextIncarnation restarts an endpoint whose old entry stays in service discovery, and
+// lets the start of a long task that was sent to its earlier incarnation reach the next one; the
+// owner stops before that is reported to it.
 func (w *world) startReachesNextIncarnation(g Gomega, o *owner, h *simEndpoint) jobs.Job {
 	w.endpoints["i-01"].draining = true
 	w.lengthOf = func(jobs.TaskName) time.Duration { return 9 * time.Second }
-	w.restartUnseen(h, 2*step)
-	j := jobOf(2, small(1))
+	w.restartWithStaleEntry(h, 2*step)
+	j := jobOf(2, smallStep(1))
 	w.submit(o, j)
 	w.run(step)
 	g.Expect(h.running).To(HaveLen(1))
@@ -187,14 +189,14 @@
 // assumes that the lease is as short as its own.
 func TestANewOwnerRestoresWhichIncarnationAStartWasFor(t *testing.T) {
 	g := NewWithT(t)
-	w, o, h := withEnds(g, 2)
+	w, o, h := withAcknowledgedEnds(g, 2)
 	j := w.startReachesNextIncarnation(g, o, h)
 	w.endpoints["i-01"].draining = false
 	o = w.takeOver()
 	w.run(300 * time.Millisecond)
-	h.silent = true
+	h.unresponsive = true
 	w.run(12 * time.Second)
-	h.silent = false
+	h.unresponsive = false
 	w.run(12 * time.Second)
 	g.Expect(w.violations).To(BeEmpty())
 	g.Expect(w.state(o, j)).To(Equal("completed"))
@@ -204,23 +206,23 @@
 // next incarnation and hides that the task's own start was for the previous one.
 func TestARecordOfTheNextIncarnationDoesNotHideAnEarlierStart(t *testing.T) {
 	g := NewWithT(t)
-	w, o, h := withEnds(g, 2)
+	w, o, h := withAcknowledgedEnds(g, 2)
 	w.endpoints["i-01"].draining = true
 	h.bootClock = time.Hour
-	w.submit(o, jobOf(4, small(1)))
+	w.submit(o, jobOf(4, smallStep(1)))
 	w.run(time.Second) // its clock is reported
 	j := w.startReachesNextIncarnation(g, o, h)
 	o = w.takeOver()
 	w.run(300 * time.Millisecond)
-	w.submit(o, jobOf(3, small(1)))
+	w.submit(o, jobOf(3, smallStep(1)))
 	w.run(100 * time.Millisecond)
 	g.Expect(h.running).To(HaveLen(2))
 	o.stopped = true
 	w.endpoints["i-01"].draining = false
-	h.silent = true
+	h.unresponsive = true
 	o = w.takeOver()
 	w.run(12 * time.Second)
-	h.silent = false
+	h.unresponsive = false
 	w.run(12 * time.Second)
 	g.Expect(w.violations).To(BeEmpty())
 	g.Expect(w.state(o, j)).To(Equal("completed"))
@@ -230,16 +232,16 @@
 // of day went back before the restart.
 func TestANewIncarnationMayHaveAnEarlierStartTime(t *testing.T) {
 	g := NewWithT(t)
-	w, o, h := withEnds(g, 1)
+	w, o, h := withAcknowledgedEnds(g, 1)
 	h.runLength = 2 * time.Second
-	w.submit(o, jobOf(3, small(1)))
+	w.submit(o, jobOf(3, smallStep(1)))
 	w.run(100 * time.Millisecond)
 	former := h.startedMs
 	w.restart(h)
 	h.startedMs = former - 5000
 	h.runLength = 300 * time.Millisecond
 	w.run(time.Second)
-	j := jobOf(2, small(2))
+	j := jobOf(2, smallStep(2))
 	w.submit(o, j)
 	w.run(5 * time.Second)
 	g.Expect(w.violations).To(BeEmpty())
@@ -250,10 +252,10 @@
 // incarnation under its id.
 func TestAdviceOnAnEarlierIncarnationIsDropped(t *testing.T) {
 	g := NewWithT(t)
-	w, o, h := withEnds(g, 1)
+	w, o, h := withAcknowledgedEnds(g, 1)
 	under := terms()
 	under.Advice = &routing.Advice{DecideMs: 10, PeriodMs: 1, ValidMs: 60_000}
-	j := jobOf(2, small(2))
+	j := jobOf(2, smallStep(2))
 	o.core.Submit(w.now, j, executor.Accepting{Queue: "q", Terms: under}, 1)
 	unfit := h.startedMs
 	for range 80 {
@@ -284,12 +286,12 @@
 		}
 		o := w.takeOver()
 		w.run(100 * time.Millisecond)
-		j := jobOf(1, small(1))
+		j := jobOf(1, smallStep(1))
 		w.submit(o, j)
 		w.run(50 * time.Millisecond)
 		late, other := w.endpoints["i-00"], w.endpoints["i-01"]
 		g.Expect(late.running).To(HaveLen(1))
-		late.silent = true
+		late.unresponsive = true
 		if again {
 			// Two more runs fail before it reports, and a third is in flight.
 			w.run(w.limits.Lease)
@@ -302,7 +304,7 @@
 		} else {
 			w.run(w.limits.Lease + 300*time.Millisecond)
 		}
-		late.silent = false
+		late.unresponsive = false
 		w.run(20 * time.Second)
 		g.Expect(w.violations).To(BeEmpty())
 		g.Expect(w.state(o, j)).To(Or(Equal("failed"), Equal("completed")))
@@ -317,22 +319,22 @@
 		w := newWorld(1, 2)
 		o := w.takeOver()
 		w.run(100 * time.Millisecond)
-		j := jobOf(1, small(1))
+		j := jobOf(1, smallStep(1))
 		w.submit(o, j)
 		w.run(50 * time.Millisecond)
 		late := w.endpoints["i-00"]
 		g.Expect(late.running).To(HaveLen(1))
-		late.silent = true
+		late.unresponsive = true
 		w.run(w.limits.Lease + time.Second)
 		g.Expect(w.state(o, j)).To(Equal("completed"))
 		if reported {
-			late.silent = false
+			late.unresponsive = false
 			w.run(500 * time.Millisecond)
 			g.Expect(late.ended).To(HaveLen(1), "withheld by the first owner")
 		}
 		o.stopped = true
 		w.takeOver()
-		late.silent = false
+		late.unresponsive = false
 		w.run(25 * time.Second) // an idle endpoint is polled again by then
 		g.Expect(w.violations).To(BeEmpty())
 	}
@@ -342,13 +344,13 @@
 // and failing endpoints, and owners that change, are cut off or slow.
 func TestRandomDaysWithRestarts(t *testing.T) {
 	for seed := uint64(1); seed <= uint64(seeds+additionalSeeds()); seed++ {
-		v := variant{inOrder: seed%2 == 0, slowJournal: seed%3 == 0, restarts: true}
+		v := variant{handOver: seed%2 == 0, slowJournal: seed%3 == 0, restarts: true}
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			t.Parallel()
 			randomScenario(NewWithT(t), seed, v)
 		})
 		late := v
-		late.unseen = true
+		late.staleEntries = true
 		t.Run(fmt.Sprint("unseen, seed ", seed), func(t *testing.T) {
 			t.Parallel()
 			randomScenario(NewWithT(t), seed, late)
--- a/internal/executor/run_ends.go
+++ b/internal/executor/run_ends.go
@@ -55,7 +55,7 @@
 		return
 	}
 	e.appliedEnd = end.Number
-	t := c.find(e, end.Task, end.Run)
+	t := c.placedTask(e, end.Task, end.Run)
 	if t == nil {
 		c.applyLateEnd(now, e, end)
 		return
--- a/internal/executor/simulated_endpoints_test.go
+++ b/internal/executor/simulated_endpoints_test.go
@@ -99,7 +99,7 @@
 	highest        map[string]int
 	ended          []executor.ListedEnd
 	number         int64
-	silent         bool
+	unresponsive   bool
 	// crashAt is when it will crash, 0 for never. A crashed endpoint is down from downAt until
 	// backAt.
 	crashAt, downAt, backAt time.Duration
@@ -108,7 +108,7 @@
 	hiddenFrom int64
 	// rejectsStarts is set while it rejects about half of the starts.
 	rejectsStarts bool
-	dead          bool
+	terminated    bool
 	skew          float64
 	draining      bool
 	failsAll      bool
@@ -152,7 +152,7 @@
 // writeEntries makes endpoints write their entries, if they write only at intervals.
 func (w *world) writeEntries() {
 	for _, h := range w.endpoints {
-		if w.heartbeatInterval > 0 && !w.storeDown && !h.dead && !h.down && w.now >= h.entryWrittenAt+w.heartbeatInterval {
+		if w.heartbeatInterval > 0 && !w.storeDown && !h.terminated && !h.down && w.now >= h.entryWrittenAt+w.heartbeatInterval {
 			h.entryWritten, h.entryWrittenAt = h.describe(), w.now
 			h.entryWritten.Clock = h.clock(w.now)
 		}
@@ -170,7 +170,7 @@
 
 // reachableBy reports whether calls of an epoch's owner reach the endpoint.
 func (h *simEndpoint) reachableBy(epoch int64) bool {
-	return !h.silent && !h.down && (h.hiddenFrom == 0 || epoch < h.hiddenFrom)
+	return !h.unresponsive && !h.down && (h.hiddenFrom == 0 || epoch < h.hiddenFrom)
 }
 
 func (h *simEndpoint) clock(now time.Duration) time.Duration {
@@ -192,7 +192,7 @@
 	clear(h.past)
 	h.ended, h.number, h.leaseExpiredAt = nil, 0, 0
 	h.fence, h.lease = 0, 0
-	h.dead, h.draining = false, false
+	h.terminated, h.draining = false, false
 	h.down, h.crashAt = false, 0
 	h.startedMs = max(h.startedMs+1, w.wall())
 	h.entryWritten, h.entryWrittenAt = executor.EndpointInfo{}, 0
@@ -231,7 +231,7 @@
 		w.restart(h)
 		return
 	}
-	h.down, h.dead = false, true
+	h.down, h.terminated = false, true
 	w.newIDCount++
 	next := w.addEndpoint(fmt.Sprintf("b-%03d", w.newIDCount))
 	next.rack, next.zone, next.runLength, next.percent, next.capacity = h.rack, h.zone, h.runLength, h.percent, h.capacity
@@ -263,7 +263,7 @@
 }
 
 func (w *world) carryOut(h *simEndpoint, order executor.Order, epoch int64, lease time.Duration, late bool) executor.OrderResult {
-	if h.dead {
+	if h.terminated {
 		return executor.OrderOtherIncarnation
 	}
 	if order.Fence < h.fence {
@@ -371,7 +371,7 @@
 	due := w.late
 	w.late = nil
 	for _, l := range due {
-		if h := w.endpoints[l.order.Endpoint]; l.at <= w.now && h != nil && !h.silent && !h.down && h.startedMs == l.startedMs {
+		if h := w.endpoints[l.order.Endpoint]; l.at <= w.now && h != nil && !h.unresponsive && !h.down && h.startedMs == l.startedMs {
 			result := w.carryOut(h, l.order, l.epoch, l.lease, true)
 			w.note(fmt.Sprintf("late order %d", l.order.Kind), l.order.Task, h.id, l.order.Run, l.epoch, result)
 		} else if l.at > w.now {
@@ -420,7 +420,7 @@
 
 // kill ends an incarnation and everything on it, for good.
 func (w *world) kill(h *simEndpoint) {
-	h.dead = true
+	h.terminated = true
 	w.note("endpoint killed", "", h.id, 0, 0, 0)
 	for name := range h.running {
 		w.history(name).running--
--- a/internal/executor/speed_test.go
+++ b/internal/executor/speed_test.go
@@ -23,7 +23,7 @@
 		}
 	}
 	for n := range count {
-		j := jobOf(from+n, small(4))
+		j := jobOf(from+n, smallStep(4))
 		w.submit(o, j)
 		at[j.ID] = w.now
 		submitted = append(submitted, j)
@@ -95,7 +95,7 @@
 			h.runLength = 2 * time.Second
 		}
 		for n := range 5 {
-			w.submit(o, jobOf(400+n, small(4)))
+			w.submit(o, jobOf(400+n, smallStep(4)))
 		}
 		w.run(1500 * time.Millisecond)
 		running := 0
@@ -118,14 +118,14 @@
 		o := w.takeOver()
 		w.run(100 * time.Millisecond)
 		for n := range 3 {
-			w.submit(o, jobOf(1+n, small(4)))
+			w.submit(o, jobOf(1+n, smallStep(4)))
 		}
 		w.run(250 * time.Millisecond) // of 300
 		o.stopped = true
 		next := w.takeOver()
 		w.run(400 * time.Millisecond)
 		Expect(next.core.MeanRunLength("q")).To(BeZero())
-		w.submit(next, jobOf(10, small(10)))
+		w.submit(next, jobOf(10, smallStep(10)))
 		w.run(time.Second)
 		Expect(next.core.MeanRunLength("q")).To(BeNumerically(">", 280*time.Millisecond))
 	})
--- a/internal/executor/uneven_lengths_test.go
+++ b/internal/executor/uneven_lengths_test.go
@@ -51,7 +51,7 @@
 		lengths[i] = time.Duration(ms) * time.Millisecond
 		estimates[i] = int(ms * math.Exp(estimateSpread*t.rng.NormFloat64()))
 	}
-	j := jobOf(n, small(4), small(4, 0))
+	j := jobOf(n, smallStep(4), smallStep(4, 0))
 	j.Steps[0].EstimateMs, j.Steps[1].EstimateMs = estimates[0], estimates[1]
 	t.lengths[j.ID] = lengths
 	due := time.Duration(peakTerms.Stretch*float64(lengths[0]+lengths[1])) + peakTerms.Slack
--- a/internal/executor/world_test.go
+++ b/internal/executor/world_test.go
@@ -51,8 +51,8 @@
 	// account is the account that submits the jobs. It may have limitMilli running in this pool.
 	account    string
 	limitMilli int
-	// inOrder makes the owners of random scenarios hand their pool over when they end.
-	inOrder bool
+	// ownersHandOver makes the owners of random scenarios hand their pool over when they end.
+	ownersHandOver bool
 }
 
 type journal struct {
@@ -108,8 +108,8 @@
 	core    *executor.Core
 	epoch   int64
 	stopped bool
-	// cut means that the owner can't reach the journal.
-	cut bool
+	// partitioned means that the owner can't reach the journal.
+	partitioned bool
 	// busy means that the owner receives answers but does nothing else.
 	busy bool
 	// lastProof is when the journal last confirmed the owner's epoch.
@@ -196,7 +196,7 @@
 // handOver makes an owner hand the pool over.
 func (w *world) handOver(o *owner) {
 	last := o.core.HandOver(w.now)
-	if !o.stopped && !o.cut && o.epoch == w.journal.epoch && len(o.batches) == 0 {
+	if !o.stopped && !o.partitioned && o.epoch == w.journal.epoch && len(o.batches) == 0 {
 		w.journal.newest[last.Key] = last.Value
 	}
 	o.stopped = true
@@ -212,7 +212,7 @@
 		case h.entry != nil && w.now < h.entryUntil:
 			out = append(out, *h.entry)
 		case h.down && w.now-h.downAt > entryTTL:
-		case h.dead:
+		case h.terminated:
 		case w.heartbeatInterval > 0:
 			if h.entryWritten.ID != "" {
 				out = append(out, h.entryWritten)
@@ -270,7 +270,7 @@
 
 // flush appends a batch, or stops an owner whose epoch is no longer the newest.
 func (w *world) flush(o *owner) {
-	if o.cut || w.storeDown {
+	if o.partitioned || w.storeDown {
 		return
 	}
 	if o.epoch < w.journal.epoch {
@@ -378,7 +378,7 @@
 	case h == nil || !h.reachableBy(o.epoch):
 		o.core.PollDone(w.now, p, executor.PollUnanswered, executor.Listed{})
 		return
-	case h.dead:
+	case h.terminated:
 		o.core.PollDone(w.now, p, executor.PollGone, executor.Listed{})
 		return
 	case p.Fence < h.fence:
