--- a/internal/executor/incarnation.go
+++ b/internal/executor/incarnation.go
@@ -32,9 +32,9 @@
 }
 
 // observeIncarnation applies the start time of the incarnation that sent an answer or an entry in
-// service discovery.
-// A request under the endpoint's present fencing token was sent after the known incarnation had
-// started, so a different start time is a later incarnation, whatever the time of day says.
+// service discovery. A request under the endpoint's present fencing token was sent after the known
+// incarnation had started, so a different start time is a later incarnation, whatever the time of
+// day says.
 func (c *Core) observeIncarnation(now time.Duration, e *endpoint, startedMs int64) {
 	switch {
 	case startedMs == 0 || startedMs == e.startedMs:
