--- /dev/null
+++ b/internal/executor/abandoned.go
@@ -0,0 +1,136 @@
+package executor
+
+import (
+	"maps"
+	"slices"
+	"time"
+
+	"github.com/fxamacker/cbor/v2"
+)
+
+// Abandoned runs, recorded for later owners. Load: an endpoint does not report until its leases have
+// expired, its tasks end elsewhere, and their jobs are over when the pool changes owner. The next
+// owner sees the endpoint list a successful end, finds no task for it, and would acknowledge an end
+// that its predecessor withheld or would have withheld.
+
+// keyAbandonedRuns, followed by an endpoint's id, is the key of the record of its abandoned runs.
+const keyAbandonedRuns = "g"
+
+// abandonedRunsRecord lists the runs that were abandoned on an incarnation.
+type abandonedRunsRecord struct {
+	StartedMs int64          `cbor:"1,keyasint,omitempty"`
+	Runs      map[string]int `cbor:"2,keyasint"`
+	// UnreportedMs has those after which the endpoint has not reported, with how long it had
+	// reported since it confirmed them; below 0 if it had not.
+	UnreportedMs map[string]int64 `cbor:"3,keyasint,omitempty"`
+}
+
+// abandonedRunsTTL is how long an endpoint that service discovery does not list is kept for its
+// abandoned runs: its entry may have expired while it still runs.
+const abandonedRunsTTL = time.Minute
+
+// abandon records that a run is abandoned while its endpoint may still report.
+func (c *Core) abandon(now time.Duration, e *endpoint, t *task) {
+	if t.orderedAt == 0 && !t.restored {
+		return // its order was never sent
+	}
+	if e.abandonedRuns == nil {
+		e.abandonedRuns = map[string]int{}
+	}
+	e.abandonedRuns[t.name()] = t.run
+	if e.unreportedRuns == nil {
+		e.unreportedRuns = map[string]unreportedRun{}
+	}
+	e.unreportedRuns[t.name()] = unreportedRun{t.confirmedAt > 0, t.confirmedFor()}
+	t.leaseExpired = true
+	c.markCautious(t)
+	e.abandonedAt = now
+	c.unsavedAbandoned[e.id] = true
+}
+
+// unreportedRun is an abandoned run on an endpoint that has not reported since.
+type unreportedRun struct {
+	// confirmed reports whether the endpoint had confirmed it; confirmedFor is how long it reported
+	// after that.
+	confirmed    bool
+	confirmedFor time.Duration
+}
+
+func (r unreportedRun) milliseconds() int64 {
+	if !r.confirmed {
+		return -1
+	}
+	return r.confirmedFor.Milliseconds()
+}
+
+// clearUnreported drops what was kept in case an incarnation had crashed with its runs.
+func (c *Core) clearUnreported(e *endpoint) {
+	if len(e.unreportedRuns) > 0 {
+		e.unreportedRuns = nil
+		c.unsavedAbandoned[e.id] = true
+	}
+}
+
+// dropAbandoned removes an abandoned run whose end is known.
+func (c *Core) dropAbandoned(e *endpoint, task string) {
+	if _, known := e.abandonedRuns[task]; known {
+		delete(e.abandonedRuns, task)
+		c.unsavedAbandoned[e.id] = true
+	}
+}
+
+func (e *endpoint) hasRecentAbandonedRuns(now time.Duration) bool {
+	return len(e.abandonedRuns) > 0 && now-e.abandonedAt < abandonedRunsTTL
+}
+
+// abandonedRunRecords returns the changed records of endpoints with abandoned runs, and deletions of
+// those that are no longer needed.
+func (c *Core) abandonedRunRecords() []Record {
+	var out []Record
+	for _, id := range slices.Sorted(maps.Keys(c.unsavedAbandoned)) {
+		delete(c.unsavedAbandoned, id)
+		e := c.endpoints[id]
+		switch {
+		case e != nil && len(e.abandonedRuns) > 0:
+			c.savedAbandoned[id] = true
+			out = append(out, Record{Key: keyAbandonedRuns + id, Value: Encode(e.abandonedRunsRecord())})
+		case c.savedAbandoned[id]:
+			delete(c.savedAbandoned, id)
+			out = append(out, Record{Key: keyAbandonedRuns + id})
+		}
+	}
+	return out
+}
+
+func (e *endpoint) abandonedRunsRecord() abandonedRunsRecord {
+	r := abandonedRunsRecord{StartedMs: e.startedMs, Runs: e.abandonedRuns}
+	for task, run := range e.unreportedRuns {
+		if r.UnreportedMs == nil {
+			r.UnreportedMs = map[string]int64{}
+		}
+		r.UnreportedMs[task] = run.milliseconds()
+	}
+	return r
+}
+
+func (c *Core) restoreAbandonedRuns(r Record, now time.Duration) error {
+	var in abandonedRunsRecord
+	if err := cbor.Unmarshal(r.Value, &in); err != nil {
+		return &MalformedRecordError{Key: r.Key, Cause: err}
+	}
+	e := c.endpoint(r.Key[len(keyAbandonedRuns):])
+	c.savedAbandoned[e.id] = true
+	c.restoreIncarnationStart(e, in.StartedMs)
+	if e.startedMs != in.StartedMs {
+		c.unsavedAbandoned[e.id] = true
+		return nil
+	}
+	e.abandonedRuns, e.abandonedAt = in.Runs, now
+	for task, ms := range in.UnreportedMs {
+		if e.unreportedRuns == nil {
+			e.unreportedRuns = map[string]unreportedRun{}
+		}
+		e.unreportedRuns[task] = unreportedRun{ms >= 0, time.Duration(max(0, ms)) * time.Millisecond}
+	}
+	return nil
+}
--- a/internal/executor/crashes.go
+++ b/internal/executor/crashes.go
@@ -8,10 +8,10 @@
 // Poison tasks: tasks that crash their endpoints. Load: a task crashes each endpoint that starts
 // it, with everything that runs there. Restarted without a limit, it takes one endpoint after
 // another out of its pool for some seconds, each with a dozen healthy runs. A crashed endpoint
-// lists no ends: all that is known is which runs its incarnation had, and most of them were healthy.
+// lists no ends: only the set of runs that its incarnation had is known, and most were healthy.
 //
 // So the end of an incarnation counts as evidence against the tasks whose runs it took. A suspect
-// task runs only where no run of another job is new (trial.go): if that endpoint crashes as well,
+// task runs only where no run of another job is new (isolation.go): if that endpoint crashes as well,
 // no other run can have caused it.
 
 const (
@@ -19,8 +19,8 @@
 	// run not to count as new.
 	newRunPeriod = 250 * time.Millisecond
 	// stableRunAfter is how long it must have reported for its crash not to count against the run,
-	// and for earlier crashes to be forgotten. Otherwise a long-running task would be failed after some
-	// crashes with other causes.
+	// and for earlier crashes to be forgotten. Otherwise a long-running task would be failed after
+	// some crashes with other causes.
 	stableRunAfter = 2 * time.Second
 )
 
@@ -42,33 +42,34 @@
 type evidence struct {
 	// Crashes counts the incarnations that ended with its runs on them.
 	Crashes int `cbor:"1,keyasint"`
-	// Alone counts those of them in which its run was new and no run of another job was. Several
+	// Isolated counts those of them in which its run was new and no run of another job was. Several
 	// crashes in a row at one address count once: an endpoint may crash by itself whenever it is
 	// back.
-	Alone int `cbor:"2,keyasint,omitempty"`
-	// Addr is the address of the last crash counted in Alone.
+	Isolated int `cbor:"2,keyasint,omitempty"`
+	// Addr is the address of the last crash counted in Isolated.
 	Addr string `cbor:"4,keyasint,omitempty"`
 	// Suspect is set if its run was new in one of the crashes, or if there were several crashes.
 	Suspect bool `cbor:"3,keyasint,omitempty"`
 }
 
-func (e evidence) plus(o evidence) evidence {
-	sum := evidence{Crashes: e.Crashes + o.Crashes, Alone: e.Alone, Addr: e.Addr}
+// add returns the sum of two crashes' evidence; o is the later one.
+func (e evidence) add(o evidence) evidence {
+	sum := evidence{Crashes: e.Crashes + o.Crashes, Isolated: e.Isolated, Addr: e.Addr}
 	sum.Suspect = e.Suspect || o.Suspect || sum.Crashes > 1
-	if o.Alone > 0 && o.Addr != e.Addr {
-		sum.Alone, sum.Addr = e.Alone+o.Alone, o.Addr
+	if o.Isolated > 0 && o.Addr != e.Addr {
+		sum.Isolated, sum.Addr = e.Isolated+o.Isolated, o.Addr
 	}
 	return sum
 }
 
 // String describes the evidence for logs and error messages.
 func (e evidence) String() string {
-	return fmt.Sprintf("%d endpoints have crashed under it, %d of them while no other run was new", e.Crashes, e.Alone)
+	return fmt.Sprintf("%d endpoints have crashed under it, %d of them while no other run was new", e.Crashes, e.Isolated)
 }
 
 // isPoison reports whether the evidence suffices to fail the task.
 func (e evidence) isPoison() bool {
-	return e.Crashes >= maxCrashes || e.Crashes >= poisonCrashes && e.Alone >= poisonIsolatedCrashes
+	return e.Crashes >= maxCrashes || e.Crashes >= poisonCrashes && e.Isolated >= poisonIsolatedCrashes
 }
 
 // endedRun is a run that its endpoint had when the incarnation ended.
@@ -93,26 +94,26 @@
 // confirmedFor is how long the task's endpoint has reported since it first confirmed the run; 0 if
 // it has not confirmed it.
 func (t *task) confirmedFor() time.Duration {
-	if t.confirmed == 0 {
+	if t.confirmedAt == 0 {
 		return 0
 	}
-	return max(0, t.host.clockAt-t.confirmed)
+	return max(0, t.endpoint.clockAt-t.confirmedAt)
 }
 
 // attributeCrash returns the evidence that the end of an incarnation gives on its runs. An endpoint
 // that was unresponsive before a start was sent to it did not crash because of that start: an
 // unconfirmed run does not make its task a suspect.
 func attributeCrash(e *endpoint, runs []endedRun) []crash {
-	begun, all := map[*job]int{}, 0
+	newRunsByJob, newRuns := map[*job]int{}, 0
 	for _, r := range runs {
 		if r.confirmedFor < newRunPeriod {
-			begun[r.task.step.job]++
-			all++
+			newRunsByJob[r.task.step.job]++
+			newRuns++
 		}
 	}
 	out := make([]crash, len(runs))
 	for i, r := range runs {
-		out[i] = crash{endedRun: r, incarnation: e.incarnation(), otherNewRuns: all - begun[r.task.step.job]}
+		out[i] = crash{endedRun: r, incarnation: e.incarnation(), otherNewRuns: newRuns - newRunsByJob[r.task.step.job]}
 		if r.confirmedFor >= stableRunAfter {
 			continue
 		}
@@ -120,7 +121,7 @@
 		if r.confirmed && r.confirmedFor < newRunPeriod {
 			out[i].evidence.Suspect = true
 			if out[i].otherNewRuns == 0 {
-				out[i].evidence.Alone, out[i].evidence.Addr = 1, e.addr
+				out[i].evidence.Isolated, out[i].evidence.Addr = 1, e.addr
 			}
 		}
 	}
@@ -131,8 +132,8 @@
 func (e *endpoint) orderedRuns() []endedRun {
 	var out []endedRun
 	for t := range e.tasks {
-		if t.ordered > 0 || t.restored {
-			out = append(out, endedRun{t, t.run, t.confirmed > 0, t.confirmedFor()})
+		if t.orderedAt > 0 || t.restored {
+			out = append(out, endedRun{t, t.run, t.confirmedAt > 0, t.confirmedFor()})
 		}
 	}
 	return out
@@ -142,19 +143,19 @@
 // their tasks are still open.
 func (c *Core) unreportedRuns(e *endpoint) []endedRun {
 	var out []endedRun
-	for name, r := range e.unheard {
+	for name, r := range e.unreportedRuns {
 		if t := c.taskByName(name); t != nil {
-			out = append(out, endedRun{t, e.givenUp[name], r.confirmed, r.confirmedFor})
+			out = append(out, endedRun{t, e.abandonedRuns[name], r.confirmed, r.confirmedFor})
 		}
 	}
 	return out
 }
 
-// presumeGone treats an endpoint as gone that service discovery does not list and that has not
-// reported for long since runs on it were abandoned. It may only be unreachable, so that no task
-// becomes a suspect by it.
-func (c *Core) presumeGone(now time.Duration, e *endpoint) {
-	if e.listed || len(e.unheard) == 0 || now-e.gaveUpAt < crashReportTimeout {
+// presumeCrashed treats an endpoint as crashed that service discovery does not list and that has
+// not reported for crashReportTimeout since runs on it were abandoned. It may only be unreachable,
+// so that no task becomes a suspect by it.
+func (c *Core) presumeCrashed(now time.Duration, e *endpoint) {
+	if e.listed || len(e.unreportedRuns) == 0 || now-e.abandonedAt < crashReportTimeout {
 		return
 	}
 	presumed := c.presumedCrashes(e)
@@ -167,36 +168,38 @@
 func (c *Core) presumedCrashes(e *endpoint) []crash {
 	out := attributeCrash(e, c.unreportedRuns(e))
 	for i := range out {
-		out[i].evidence.Alone, out[i].evidence.Suspect = 0, false
+		out[i].evidence.Isolated, out[i].evidence.Suspect = 0, false
 	}
 	return out
 }
 
-// recordCrash adds the evidence of a crash to its task, and fails the job if the task is a poison task.
+// recordCrash adds the evidence of a crash to its task, and fails the job if the task is a poison
+// task.
 func (c *Core) recordCrash(x crash) {
 	t, j := x.task, x.task.step.job
 	if x.evidence.Crashes == 0 || t.phase == taskDone || j.rec.State.Ended() {
 		return
 	}
-	t.evidence = t.evidence.plus(x.evidence)
-	c.beWary(t)
-	c.touch(j)
+	t.evidence = t.evidence.add(x.evidence)
+	c.markCautious(t)
+	c.markDirty(j)
 	c.event(Event{Kind: EventCrashed, Job: j.rec.Job.ID, Task: t.name(), Run: x.number, Endpoint: x.incarnation.ID, StartedMs: x.incarnation.StartedMs,
 		AgeMs:  x.confirmedFor.Milliseconds(),
 		Reason: fmt.Sprintf("%s; the last one had %d new runs of other jobs", t.evidence, x.otherNewRuns)})
 	if t.evidence.isPoison() {
 		c.event(Event{Kind: EventGivenUp, Job: j.rec.Job.ID, Task: t.name(), Run: x.number, Reason: t.evidence.String()})
-		c.end(j, JobFailed, "task "+t.name()+" is given up: "+t.evidence.String())
+		c.endJob(j, JobFailed, "task "+t.name()+" is given up: "+t.evidence.String())
 	}
 }
 
-// clearEvidence drops the evidence against a task with a stable run: it does not crash every endpoint.
+// clearEvidence drops the evidence against a task with a stable run: it does not crash every
+// endpoint.
 func (c *Core) clearEvidence(t *task) {
-	if !t.cautious() {
+	if !t.needsRecentReport() {
 		return
 	}
-	t.evidence, t.lapsed = evidence{}, false
-	c.touch(t.step.job)
+	t.evidence, t.leaseExpired = evidence{}, false
+	c.markDirty(t.step.job)
 }
 
 // recordCrashes adds the evidence of an ended incarnation to its tasks.
@@ -206,20 +209,20 @@
 	}
 }
 
-// unheardLosses counts the endpoints that have not reported since a task's lease expired there; last
-// is when a lease last expired.
-type unheardLosses struct {
+// unreportedLosses counts the endpoints that have not reported since a task's lease expired there;
+// last is when a lease last expired.
+type unreportedLosses struct {
 	endpoints int
 	last      time.Duration
 }
 
-// countUnreportedLosses computes Core.unheard.
+// countUnreportedLosses computes Core.unreportedLosses.
 func (c *Core) countUnreportedLosses() {
-	clear(c.unheard)
+	clear(c.unreportedLosses)
 	for _, e := range c.endpoints {
-		for task := range e.unheard {
-			n := c.unheard[task]
-			c.unheard[task] = unheardLosses{n.endpoints + 1, max(n.last, e.gaveUpAt)}
+		for task := range e.unreportedRuns {
+			n := c.unreportedLosses[task]
+			c.unreportedLosses[task] = unreportedLosses{n.endpoints + 1, max(n.last, e.abandonedAt)}
 		}
 	}
 }
@@ -228,19 +231,20 @@
 // it may have crashed are unresponsive. Each shows whether it crashed once it reports, or
 // is back as another incarnation. One that is gone for good never does, hence the timeout.
 func (c *Core) awaitsCrashReports(now time.Duration, t *task) bool {
-	if t.run < poisonCrashes || len(c.unheard) == 0 {
+	if t.run < poisonCrashes || len(c.unreportedLosses) == 0 {
 		return false
 	}
-	lost := c.unheard[t.name()]
+	lost := c.unreportedLosses[t.name()]
 	return lost.endpoints > 0 && now-lost.last < crashReportTimeout && t.evidence.Crashes+lost.endpoints >= poisonCrashes
 }
 
-// isDue reports whether a task is waiting and neither its backoff nor pending crash reports keep it from being placed now.
+// isDue reports whether a task is waiting and neither its backoff nor pending crash reports keep it
+// from being placed now.
 func (c *Core) isDue(now time.Duration, t *task) bool {
 	return t.phase == taskWaiting && now >= t.notBefore && !c.awaitsCrashReports(now, t)
 }
 
 // mayStart reports whether a task is due and its account may start it.
 func (c *Core) mayStart(now time.Duration, t *task) bool {
-	return c.isDue(now, t) && c.allowed(t.step, 1)
+	return c.isDue(now, t) && c.fitsAccountLimit(t.step, 1)
 }
--- a/internal/executor/explain.go
+++ b/internal/executor/explain.go
@@ -9,38 +9,38 @@
 )
 
 const (
-	// waitsLong is how long a task may wait, though its turn has come, before
-	// the log says why; waitsEvery spaces those lines.
-	waitsLong  = 2 * time.Second
-	waitsEvery = 2 * time.Second
-	// waitsShown bounds the tasks that one round explains.
-	waitsShown = 3
+	// longWaitThreshold is how long a ready task may wait before the log explains why;
+	// explainInterval is the least time between these explanations.
+	longWaitThreshold = 2 * time.Second
+	explainInterval   = 2 * time.Second
+	// maxExplainedTasks bounds the tasks that one round explains.
+	maxExplainedTasks = 3
 )
 
-// explainWaiting says of a few tasks that wait for long what they wait for.
+// explainWaiting logs what a few long-waiting tasks wait for.
 func (c *Core) explainWaiting(now time.Duration) {
-	if now-c.explained < waitsEvery {
+	if now-c.explainedAt < explainInterval {
 		return
 	}
-	c.explained = now
+	c.explainedAt = now
 	shown := 0
 	for _, j := range c.open {
-		if j.rec.State.Ended() || now-j.since < waitsLong {
+		if j.rec.State.Ended() || now-j.firstSeen < longWaitThreshold {
 			continue
 		}
-		for _, t := range j.waitingTasks() {
-			if shown == waitsShown {
+		for _, t := range j.firstWaitingTasks() {
+			if shown == maxExplainedTasks {
 				return
 			}
 			shown++
 			c.event(Event{Kind: EventWaits, Job: j.rec.Job.ID, Task: t.name(), Run: t.run,
-				Reason: c.whyWaiting(now, t, c.obstaclesOf(now, t)), AgeMs: (now - j.since).Milliseconds()})
+				Reason: c.describeObstacles(now, t, c.countObstacles(now, t)), AgeMs: (now - j.firstSeen).Milliseconds()})
 		}
 	}
 }
 
-// waitingTasks returns one task of each step whose turn has come.
-func (j *job) waitingTasks() []*task {
+// firstWaitingTasks returns one waiting task of each step that is ready to start.
+func (j *job) firstWaitingTasks() []*task {
 	var out []*task
 	for s := range j.readySteps() {
 		if first := slices.IndexFunc(s.tasks, func(t *task) bool { return t.phase == taskWaiting }); first >= 0 {
@@ -50,8 +50,8 @@
 	return out
 }
 
-// obstaclesOf counts the pool's endpoints by what keeps a task from them.
-func (c *Core) obstaclesOf(now time.Duration, t *task) map[string]int {
+// countObstacles counts the pool's endpoints by what prevents a task from starting on them.
+func (c *Core) countObstacles(now time.Duration, t *task) map[string]int {
 	counts := map[string]int{}
 	for _, e := range c.endpoints {
 		counts[c.obstacle(now, t, e)]++
@@ -59,10 +59,10 @@
 	return counts
 }
 
-// whyWaiting tells people what keeps a task waiting.
-func (c *Core) whyWaiting(now time.Duration, t *task, counts map[string]int) string {
+// describeObstacles returns a readable summary of what a task waits for.
+func (c *Core) describeObstacles(now time.Duration, t *task, counts map[string]int) string {
 	var parts []string
-	if !c.allowed(t.step, 1) {
+	if !c.fitsAccountLimit(t.step, 1) {
 		parts = append(parts, obstacleAccount)
 	}
 	for _, name := range obstacles {
@@ -71,91 +71,95 @@
 		}
 	}
 	if now < t.notBefore {
-		parts = append(parts, "backs off")
+		parts = append(parts, "in backoff")
 	}
 	return strings.Join(parts, ", ")
 }
 
-// Obstacles, in the order in which they are told.
+// Obstacles, in the order in which they are listed.
 const (
-	// obstacleAccount is no endpoint's: the task waits for others of its client account.
-	obstacleAccount   = "its account's limit"
-	obstacleNone      = "open"
-	obstacleRoom      = "full"
-	obstacleLabel     = "unlike"
-	obstacleSpread    = "with too many of its step"
-	obstacleSharing   = "with tasks it must not share with"
-	obstacleTicket    = "without a ticket"
-	obstacleUnlisted  = "not listed"
-	obstacleDraining  = "draining"
-	obstacleVacating  = "vacating"
-	obstacleUnknown   = "not heard from yet"
-	obstacleSilent    = "silent"
-	obstacleStrangers = "with unknown runs"
-	obstacleQuiet     = "quarantined"
-	obstacleKept      = "kept for a lasting task"
-	obstacleSlow      = "slow"
-	obstacleWithheld  = "with an end that came too late"
-	obstacleEntry     = "with an entry too old to go by"
-	obstacleTrial     = "where a task that may crash it has just begun"
-	obstacleStale     = "not heard of late"
-	obstacleBegun     = "where others have just begun"
+	// obstacleAccount does not concern an endpoint: the task waits for others of its client
+	// account.
+	obstacleAccount = "its account's limit"
+	obstacleNone    = "open"
+	obstacleFull    = "full"
+	// obstacleRequirement: neither the endpoint's kind nor its rack is the required one.
+	obstacleRequirement  = "unlike"
+	obstacleSpread       = "at the step's limit of tasks per endpoint"
+	obstacleSharing      = "with tasks that it must not share an endpoint with"
+	obstacleTicket       = "without a ticket"
+	obstacleUnlisted     = "not listed"
+	obstacleDraining     = "draining"
+	obstacleVacating     = "vacating"
+	obstacleNotReported  = "not yet reported to this owner"
+	obstacleUnresponsive = "silent"
+	obstacleUnknownRuns  = "with runs unknown to this owner"
+	obstacleQuarantined  = "quarantined"
+	obstacleReserved     = "reserved for another task"
+	obstacleSlow         = "slow"
+	// obstacleLateEnd: the endpoint lists the end of an abandoned run that must not be
+	// acknowledged, as its task has started again elsewhere.
+	obstacleLateEnd        = "with the end of an abandoned run"
+	obstacleOutdatedEntry  = "with an outdated service discovery entry"
+	obstacleIsolated       = "where a suspect task of another job has just started"
+	obstacleOutdatedReport = "not heard of late"
+	obstacleNewRuns        = "where others have just begun"
 )
 
-var obstacles = []string{obstacleAccount, obstacleNone, obstacleRoom, obstacleLabel, obstacleSpread, obstacleSharing, obstacleTicket, obstacleUnlisted,
-	obstacleDraining, obstacleVacating, obstacleUnknown, obstacleSilent, obstacleStrangers, obstacleQuiet, obstacleKept, obstacleSlow, obstacleWithheld,
-	obstacleEntry, obstacleTrial, obstacleStale, obstacleBegun}
+var obstacles = []string{obstacleAccount, obstacleNone, obstacleFull, obstacleRequirement, obstacleSpread, obstacleSharing, obstacleTicket, obstacleUnlisted,
+	obstacleDraining, obstacleVacating, obstacleNotReported, obstacleUnresponsive, obstacleUnknownRuns, obstacleQuarantined, obstacleReserved, obstacleSlow, obstacleLateEnd,
+	obstacleOutdatedEntry, obstacleIsolated, obstacleOutdatedReport, obstacleNewRuns}
 
-// unblocks is what ends an obstacle, where something does.
-var unblocks = map[string]string{
-	obstacleAccount:   "the end of a task of the same account, or a higher limit",
-	obstacleRoom:      "a task that ends on a full endpoint, or an instance that comes to the pool",
-	obstacleSpread:    "one more endpoint, for a step whose tasks must be apart",
-	obstacleSharing:   "an endpoint without tasks that serve or fill, whichever the other is",
-	obstacleTicket:    "an answer of the advice service",
-	obstacleUnlisted:  "an entry in service discovery that can be read",
-	obstacleVacating:  "the end of the operation on the endpoint's instance",
-	obstacleUnknown:   "the endpoint's first answer to this owner",
-	obstacleSilent:    "the endpoint's answer, or the end of its lease",
-	obstacleStrangers: "the end of runs that this owner does not know",
-	obstacleQuiet:     "the end of the quarantine",
-	obstacleKept:      "the lasting task that the endpoint is kept for",
-	obstacleWithheld:  "a move or the maintenance of the endpoint's instance",
-	obstacleEntry:     "the endpoint's next entry in service discovery",
-	obstacleTrial:     "the endpoint's next answers, or its end",
-	obstacleStale:     "the endpoint's answer",
-	obstacleBegun:     "an endpoint kept for the task alone: others may be blamed for its crashes",
-	obstacleSlow:      "progress of the one task that tries the slow endpoint",
+// unblockedBy maps an obstacle to the event that removes it, where there is one.
+var unblockedBy = map[string]string{
+	obstacleAccount:        "the end of a task of the same account, or a higher limit",
+	obstacleFull:           "a task that ends on a full endpoint, or an instance that comes to the pool",
+	obstacleSpread:         "another endpoint, as the step limits its tasks per endpoint",
+	obstacleSharing:        "an endpoint without tasks of the kind (serving or filling) that it can't share with",
+	obstacleTicket:         "a ticket from the advice service",
+	obstacleUnlisted:       "a readable entry in service discovery",
+	obstacleVacating:       "the end of the operation on the endpoint's instance",
+	obstacleNotReported:    "the endpoint's first report to this owner",
+	obstacleUnresponsive:   "the endpoint's next report, or the expiry of its lease",
+	obstacleUnknownRuns:    "the end of the runs unknown to this owner",
+	obstacleQuarantined:    "the end of the quarantine",
+	obstacleReserved:       "the start of the task that the endpoint is reserved for, or the end of the reservation",
+	obstacleLateEnd:        "a move or the maintenance of the endpoint's instance",
+	obstacleOutdatedEntry:  "the endpoint's next entry in service discovery",
+	obstacleIsolated:       "the endpoint's next reports, or its crash",
+	obstacleOutdatedReport: "the endpoint's next report",
+	obstacleNewRuns:        "an endpoint reserved for the suspect task alone, so that a crash is attributed to it",
+	obstacleSlow:           "progress of the one task that probes the slow endpoint",
 }
 
-// obstacle returns what keeps a task from an endpoint.
+// obstacle returns what prevents a task from starting on an endpoint.
 func (c *Core) obstacle(now time.Duration, t *task, e *endpoint) string {
-	if closed := c.closedBy(now, e); closed != obstacleNone {
-		return closed
+	if common := c.endpointObstacle(now, e); common != obstacleNone {
+		return common
 	}
-	if e.keptFor != nil && e.keptFor != t {
-		return obstacleKept
+	if e.reservedFor != nil && e.reservedFor != t {
+		return obstacleReserved
 	}
-	if e.trial != nil && e.trial != t.step.job {
-		return obstacleTrial
+	if e.isolatedFor != nil && e.isolatedFor != t.step.job {
+		return obstacleIsolated
 	}
-	if t.cautious() && now-e.clockAt > heardOfLate {
-		return obstacleStale
+	if t.needsRecentReport() && now-e.clockAt > maxReportAge {
+		return obstacleOutdatedReport
 	}
-	if t.alone(now) && e.hasJustBegun(t.step.job) {
-		return obstacleBegun
+	if t.needsIsolatedRun(now) && e.hasNewRuns(t.step.job) {
+		return obstacleNewRuns
 	}
-	if e.speed.slow && e.probed() && !t.step.spec.LongRunning {
+	if e.speed.slow && e.hasProbeTask() && !t.step.spec.LongRunning {
 		return obstacleSlow
 	}
 	if !e.free().Holds(needs(t.step.spec)) {
-		return obstacleRoom
+		return obstacleFull
 	}
-	return c.mismatch(now, t, e)
+	return c.taskObstacle(now, t, e)
 }
 
-// closedBy returns what keeps every task from an endpoint.
-func (c *Core) closedBy(now time.Duration, e *endpoint) string {
+// endpointObstacle returns what prevents every task from starting on an endpoint.
+func (c *Core) endpointObstacle(now time.Duration, e *endpoint) string {
 	switch {
 	case !e.listed:
 		return obstacleUnlisted
@@ -163,40 +167,40 @@
 		return obstacleDraining
 	case e.vacating:
 		return obstacleVacating
-	case !e.lookedEver:
-		return obstacleUnknown
-	case e.failedLook > 0:
-		return obstacleSilent
-	case e.strangers > 0:
-		return obstacleStrangers
-	case now < e.quarantine:
-		return obstacleQuiet
-	case e.withheld > 0:
-		return obstacleWithheld
-	case !c.roomKnown(now, e):
-		return obstacleEntry
+	case !e.hasReported:
+		return obstacleNotReported
+	case e.failedPolls > 0:
+		return obstacleUnresponsive
+	case e.unknownRuns > 0:
+		return obstacleUnknownRuns
+	case now < e.quarantinedUntil:
+		return obstacleQuarantined
+	case e.withheldEnd > 0:
+		return obstacleLateEnd
+	case !c.hasCurrentCapacity(now, e):
+		return obstacleOutdatedEntry
 	}
 	return obstacleNone
 }
 
-// mismatch returns what keeps a task from an endpoint, however empty that is of
-// tasks that end by themselves.
-func (c *Core) mismatch(now time.Duration, t *task, e *endpoint) string {
+// taskObstacle returns what prevents a task from starting on an endpoint however much capacity its
+// short tasks leave.
+func (c *Core) taskObstacle(now time.Duration, t *task, e *endpoint) string {
 	s := t.step.spec
 	switch {
 	case s.Requires != "" && s.Requires != e.kind && s.Requires != e.rack:
-		return obstacleLabel
-	case s.MaxPerEndpoint > 0 && t.step.perHost[e] >= s.MaxPerEndpoint:
+		return obstacleRequirement
+	case s.MaxPerEndpoint > 0 && t.step.perEndpoint[e] >= s.MaxPerEndpoint:
 		return obstacleSpread
-	case sharesBadly(s, e):
+	case mixesFillerAndServing(s, e):
 		return obstacleSharing
-	case !t.step.advised(now, e):
+	case !t.step.hasRequiredTicket(now, e):
 		return obstacleTicket
 	}
 	return obstacleNone
 }
 
-// percentOf writes a share for the log.
-func percentOf(share float64) string {
+// formatRelativeSpeed formats a speed, relative to the usual one, for the log.
+func formatRelativeSpeed(share float64) string {
 	return strconv.Itoa(int(100*share)) + "% of the usual speed"
 }
--- a/internal/executor/journal.go
+++ b/internal/executor/journal.go
@@ -9,9 +9,9 @@
 	"cyclamenwheel/internal/routing"
 )
 
-// Keys of the records of a pool. A job has one record that is written when it
-// is accepted, cancelled and ended, and one of its tasks' progress that is
-// written with each change and removed when the job has ended.
+// Key prefixes of a pool's records. A job has one record that is written when it is accepted,
+// cancelled and ended, and a progress record that is written with each change of its tasks and
+// removed when the job has ended.
 const (
 	keyJob      = "j"
 	keyProgress = "p"
@@ -23,40 +23,40 @@
 	Value []byte
 }
 
-// jobRecord is what is kept of a job. Once it has ended, Job holds its ID only.
+// jobRecord is the stored part of a job. Once the job has ended, Job holds its ID only.
 type jobRecord struct {
 	Job        jobs.Job      `cbor:"1,keyasint"`
 	Queue      string        `cbor:"2,keyasint"`
 	Terms      routing.Terms `cbor:"3,keyasint"`
 	AcceptedMs int64         `cbor:"4,keyasint"`
-	// OfferedMs is when the caller first handed it in, by the owner's time of day.
+	// OfferedMs is when the caller first submitted the job, by the owner's wall clock.
 	OfferedMs int64    `cbor:"7,keyasint,omitempty"`
 	State     JobState `cbor:"5,keyasint,omitempty"`
 	EndedMs   int64    `cbor:"6,keyasint,omitempty"`
-	// Reason says why it has failed, for operators.
+	// Reason is why the job has failed, for operators.
 	Reason string `cbor:"8,keyasint,omitempty"`
 	// Account is the client account that the job belongs to, "" for none.
 	Account string `cbor:"9,keyasint,omitempty"`
 }
 
-// progressRecord is what is kept of a job's tasks that have begun.
+// progressRecord is the stored part of those tasks of a job that have been started.
 type progressRecord struct {
 	// FirstOpen is the lowest occurrence that has not ended.
 	FirstOpen int            `cbor:"1,keyasint,omitempty"`
 	Tasks     []taskRecord   `cbor:"2,keyasint,omitempty"`
 	Gangs     map[string]int `cbor:"3,keyasint,omitempty"`
-	// Begun reports that some task was known to run.
-	Begun bool `cbor:"5,keyasint,omitempty"`
-	// Ended are occurrences above FirstOpen that have ended.
+	// RunConfirmed reports that an endpoint has confirmed a run of some task.
+	RunConfirmed bool `cbor:"5,keyasint,omitempty"`
+	// Ended lists the occurrences above FirstOpen that have ended.
 	Ended []int `cbor:"4,keyasint,omitempty"`
-	// Started are the starts of the incarnations that Tasks are placed on, by endpoint, in
-	// ms since 1970; absent where not told.
+	// Started is when the incarnations that Tasks are placed on were started, by endpoint, in
+	// ms since 1970; absent where not reported.
 	Started map[string]int64 `cbor:"6,keyasint,omitempty"`
-	// Crashes is what speaks for tasks crashing their endpoints, by taskKey.
+	// Crashes is the evidence that tasks crash their endpoints, by taskKey.
 	Crashes map[string]evidence `cbor:"7,keyasint,omitempty"`
 }
 
-// taskRecord is an array on the wire, as there are many.
+// taskRecord is encoded as an array to keep it short: a journal holds many of them.
 type taskRecord struct {
 	_          struct{} `cbor:",toarray"`
 	Occurrence int
@@ -69,8 +69,8 @@
 	Checkpoint string
 }
 
-// MalformedRecordError says that a record of the journal can't be read. Going
-// on without it could run a task twice, so the pool is not taken over.
+// MalformedRecordError reports a journal record that can't be decoded. Continuing without the
+// record could run a task twice, so the takeover of the pool fails.
 type MalformedRecordError struct {
 	Key   string
 	Cause error
@@ -78,11 +78,11 @@
 
 func (e *MalformedRecordError) Error() string { return "record " + e.Key + ": " + e.Cause.Error() }
 
-// Unwrap returns the decoder's failure.
+// Unwrap returns the decoder's error.
 func (e *MalformedRecordError) Unwrap() error { return e.Cause }
 
-// Encode returns the value of a record. It panics only on types that can't be
-// encoded, which tests find.
+// Encode returns the encoded value of a record. It panics only on types that can't be encoded,
+// which tests detect.
 func Encode(v any) []byte {
 	data, err := cbor.Marshal(v)
 	if err != nil {
@@ -92,9 +92,9 @@
 }
 
 func (j *job) progress() progressRecord {
-	p := progressRecord{FirstOpen: j.firstOpen, Begun: j.begun}
+	p := progressRecord{FirstOpen: j.firstOpen, RunConfirmed: j.runConfirmed}
 	for _, o := range j.current {
-		if o.left == 0 {
+		if o.unfinishedSteps == 0 {
 			p.Ended = append(p.Ended, o.number)
 			continue
 		}
@@ -111,19 +111,19 @@
 				}
 				r := taskRecord{Occurrence: o.number, Step: s.index, Index: t.index, Phase: t.phase,
 					Run: t.run, Failures: t.failures, Checkpoint: t.checkpoint}
-				if t.host != nil {
-					r.Endpoint = t.host.id
-					p.noteStart(t.host)
+				if t.endpoint != nil {
+					r.Endpoint = t.endpoint.id
+					p.recordStartTime(t.endpoint)
 				}
 				p.Tasks = append(p.Tasks, r)
-				p.noteEvidence(t)
+				p.recordEvidence(t)
 			}
 		}
 	}
 	return p
 }
 
-func (p *progressRecord) noteStart(e *endpoint) {
+func (p *progressRecord) recordStartTime(e *endpoint) {
 	if e.startedMs == 0 {
 		return
 	}
@@ -133,47 +133,48 @@
 	p.Started[e.id] = e.startedMs
 }
 
-// noteEvidence counts what is in doubt as well: the next owner could not tell.
-func (p *progressRecord) noteEvidence(t *task) {
-	known := t.evidence
-	if t.doubted != nil {
-		known = known.plus(t.doubted.evidence)
-	}
-	if known.Crashes == 0 {
+// recordEvidence includes evidence that is not yet certain, as the next owner could not resolve
+// it.
+func (p *progressRecord) recordEvidence(t *task) {
+	total := t.evidence
+	if t.possibleCrash != nil {
+		total = total.add(t.possibleCrash.evidence)
+	}
+	if total.Crashes == 0 {
 		return
 	}
 	if p.Crashes == nil {
 		p.Crashes = map[string]evidence{}
 	}
-	p.Crashes[taskKey(t.step.occ.number, t.step.index, t.index)] = known
+	p.Crashes[taskKey(t.step.occ.number, t.step.index, t.index)] = total
 }
 
-// taskKey names a task within its job's record.
+// taskKey identifies a task within its job's record.
 func taskKey(occurrence, step, index int) string {
 	return jobs.TaskName{Occurrence: occurrence, Step: step, Index: index}.String()
 }
 
 func gangKey(occurrence, step int) string { return taskKey(occurrence, step, 0) }
 
-func (c *Core) touch(j *job) {
+func (c *Core) markDirty(j *job) {
 	if !c.dirty[j] {
 		c.dirty[j] = true
-		c.order = append(c.order, j)
+		c.dirtyOrder = append(c.dirtyOrder, j)
 	}
 }
 
-// Ready is a batch of records, and what may happen once they are durable.
+// Ready is a batch of records and the actions that may follow once they are durable.
 type Ready struct {
-	Records []Record
-	Replies []Reply
-	starts  []Order
-	acks    map[Incarnation]int64
-	shown   []shownState
-	// taken is when it was made.
-	taken time.Duration
+	Records      []Record
+	Replies      []Reply
+	starts       []Order
+	acks         map[Incarnation]int64
+	stateChanges []jobStateChange
+	// createdAt is when the batch was created.
+	createdAt time.Duration
 }
 
-type shownState struct {
+type jobStateChange struct {
 	job   *job
 	state JobState
 }
@@ -185,61 +186,61 @@
 
 // Ready returns the changes since the last call.
 func (c *Core) Ready(now time.Duration) Ready {
-	r := Ready{starts: c.starts, Replies: c.replies, acks: c.acks, taken: now}
-	c.undurable += len(c.starts)
-	c.starts, c.replies, c.acks = nil, nil, map[Incarnation]int64{}
-	for _, j := range c.order {
+	r := Ready{starts: c.decidedStarts, Replies: c.replies, acks: c.acks, createdAt: now}
+	c.startsNotDurable += len(c.decidedStarts)
+	c.decidedStarts, c.replies, c.acks = nil, nil, map[Incarnation]int64{}
+	for _, j := range c.dirtyOrder {
 		r.Records = append(r.Records, j.records()...)
-		r.shown = append(r.shown, shownState{j, j.rec.State})
+		r.stateChanges = append(r.stateChanges, jobStateChange{j, j.rec.State})
 		delete(c.dirty, j)
 	}
-	c.order = c.order[:0]
-	for _, key := range c.removed {
+	c.dirtyOrder = c.dirtyOrder[:0]
+	for _, key := range c.removedKeys {
 		r.Records = append(r.Records, Record{Key: key})
 	}
-	c.removed = nil
-	r.Records = append(r.Records, c.givenUpRecords()...)
+	c.removedKeys = nil
+	r.Records = append(r.Records, c.abandonedRunRecords()...)
 	if len(r.Records) > 0 {
-		r.Records = append(r.Records, c.learntRecords()...)
+		r.Records = append(r.Records, c.lengthRecords()...)
 	}
 	return r
 }
 
-// records returns what has to be written of a changed job. The job itself is
-// written only when it is new or has ended.
+// records returns the records to write for a changed job. The job itself is written only when
+// it is new or has ended.
 func (j *job) records() []Record {
 	var out []Record
 	id := j.rec.Job.ID
 	if !j.accepted || j.rec.State != j.durable && j.rec.State.Ended() {
 		rec := j.rec
-		if rec.State.Ended() && j.placed == 0 {
+		if rec.State.Ended() && j.placedTasks == 0 {
 			rec.Job = jobs.Job{ID: id}
 		}
 		out = append(out, Record{Key: keyJob + id, Value: Encode(rec)})
 	}
-	if j.rec.State.Ended() && j.placed == 0 {
+	if j.rec.State.Ended() && j.placedTasks == 0 {
 		return append(out, Record{Key: keyProgress + id})
 	}
-	if j.started || j.placed > 0 {
+	if j.startDecided || j.placedTasks > 0 {
 		out = append(out, Record{Key: keyProgress + id, Value: Encode(j.progress())})
 	}
 	return out
 }
 
-// Advance takes in that the records of r are durable.
+// Advance marks the records of r as durable and lets the actions that waited for them proceed.
 func (c *Core) Advance(now time.Duration, r Ready) {
-	c.leaving = append(c.leaving, r.starts...)
-	c.undurable -= len(r.starts)
+	c.startQueue = append(c.startQueue, r.starts...)
+	c.startsNotDurable -= len(r.starts)
 	if len(r.Records) > 0 {
-		c.storeTook += (now - r.taken - c.storeTook) / storeTookShare
+		c.storeDelay += (now - r.createdAt - c.storeDelay) / storeDelaySmoothing
 	}
-	for _, s := range r.shown {
+	for _, s := range r.stateChanges {
 		s.job.accepted = true
 		s.job.durable = max(s.job.durable, s.state)
 	}
 	for to, n := range r.acks {
 		if e := c.endpoints[to.ID]; e != nil && e.incarnation() == to {
-			e.acknowledged = max(e.acknowledged, n)
+			e.acknowledgedEnd = max(e.acknowledgedEnd, n)
 		}
 	}
 }
@@ -253,7 +254,7 @@
 		}
 		switch r.Key[:1] {
 		case keyJob:
-			j := &job{since: now, accepted: true}
+			j := &job{firstSeen: now, accepted: true}
 			if err := cbor.Unmarshal(r.Value, &j.rec); err != nil {
 				return &MalformedRecordError{Key: r.Key, Cause: err}
 			}
@@ -265,10 +266,10 @@
 				return &MalformedRecordError{Key: r.Key, Cause: err}
 			}
 			progress[r.Key[1:]] = p
-		case keyLearnt:
-			c.restoreLearnt(r)
-		case keyGivenUp:
-			if err := c.restoreGivenUp(r, now); err != nil {
+		case keyLengths:
+			c.restoreLengths(r)
+		case keyAbandonedRuns:
+			if err := c.restoreAbandonedRuns(r, now); err != nil {
 				return err
 			}
 		case keyHandover:
@@ -281,7 +282,7 @@
 		c.restoreJob(j, progress[id], now)
 	}
 	for _, e := range c.endpoints {
-		c.doubtRestored(now, e)
+		c.markRestoredUnconfirmed(now, e)
 	}
 	c.sortOpen()
 	c.event(Event{Kind: EventRestored, Reason: "takeover", Run: len(c.jobs)})
@@ -293,8 +294,8 @@
 		c.ended = append(c.ended, j)
 		return
 	}
-	j.offered = now - c.waited(j)
-	j.firstOpen, j.next, j.begun = p.FirstOpen, p.FirstOpen, p.Begun
+	j.offeredAt = now - c.timeSinceSubmission(j)
+	j.firstOpen, j.nextOccurrence, j.runConfirmed = p.FirstOpen, p.FirstOpen, p.RunConfirmed
 	highest := p.FirstOpen - 1
 	for _, n := range p.Ended {
 		highest = max(highest, n)
@@ -302,13 +303,13 @@
 	for _, t := range p.Tasks {
 		highest = max(highest, t.Occurrence)
 	}
-	// A job that does not recur has begun by being accepted, whether or not any
-	// of its tasks has left a trace.
+	// A job that does not recur begins when it is accepted, whether or not any of its tasks
+	// has left a record.
 	if j.rec.Job.Occurrences == 0 {
 		highest = max(highest, 0)
 	}
-	for j.next <= highest {
-		c.begin(j)
+	for j.nextOccurrence <= highest {
+		c.expandNextOccurrence(j)
 	}
 	for _, n := range p.Ended {
 		c.closeOccurrence(j, n)
@@ -317,32 +318,32 @@
 		c.restoreTask(j, r, p)
 	}
 	for id, startedMs := range p.Started {
-		c.restoreStart(c.endpoint(id), startedMs)
+		c.restoreIncarnationStart(c.endpoint(id), startedMs)
 	}
 	for _, o := range j.current {
 		for _, s := range o.steps {
 			s.failures = p.Gangs[gangKey(o.number, s.index)]
-			c.recount(s)
+			c.recountTasks(s)
 		}
 	}
 	c.setObjective(j)
 	c.open = append(c.open, j)
-	j.queued = true
+	j.inOpen = true
 }
 
-// longestWait bounds how long a restored job is taken to have waited: the time of day
-// may have jumped meanwhile.
-const longestWait = 30 * time.Second
+// maxRestoredWait bounds how long a restored job counts as having waited, as the wall clock may
+// have jumped in between.
+const maxRestoredWait = 30 * time.Second
 
-// waited is how long ago a restored job was handed in. Counted from the change of
-// owner instead, each job looks in time again: those that no longer are come before
-// those that could be, and after the loss of all processes all of them are late.
-func (c *Core) waited(j *job) time.Duration {
+// timeSinceSubmission returns how long ago a restored job was submitted. Counted from the takeover
+// instead, every job would seem on time again: jobs that are already late would precede jobs that
+// can still be on time, and after the loss of all processes every job would be late.
+func (c *Core) timeSinceSubmission(j *job) time.Duration {
 	ago := time.Duration(c.wallMs-j.rec.OfferedMs) * time.Millisecond
 	if j.rec.OfferedMs == 0 || j.rec.Job.Occurrences > 0 {
 		return 0
 	}
-	return min(max(0, ago), longestWait)
+	return min(max(0, ago), maxRestoredWait)
 }
 
 func (c *Core) restoreTask(j *job, r taskRecord, p progressRecord) {
@@ -350,10 +351,10 @@
 	if t == nil {
 		return
 	}
-	j.started = true
+	j.startDecided = true
 	t.run, t.failures, t.checkpoint = r.Run, r.Failures, r.Checkpoint
-	t.evidence, t.meantFor = p.Crashes[taskKey(r.Occurrence, r.Step, r.Index)], p.Started[r.Endpoint]
-	c.beWary(t)
+	t.evidence, t.targetStartedMs = p.Crashes[taskKey(r.Occurrence, r.Step, r.Index)], p.Started[r.Endpoint]
+	c.markCautious(t)
 	switch r.Phase {
 	case taskDone:
 		t.phase = taskDone
@@ -365,12 +366,12 @@
 	}
 }
 
-// recount derives a step's counters from its tasks.
-func (c *Core) recount(s *stepRun) {
-	s.left, s.waiting = 0, 0
+// recountTasks derives a step's counters from its tasks.
+func (c *Core) recountTasks(s *stepRun) {
+	s.unfinished, s.waiting = 0, 0
 	for _, t := range s.tasks {
 		if t.phase != taskDone {
-			s.left++
+			s.unfinished++
 		}
 		if t.phase == taskWaiting {
 			s.waiting++
@@ -378,16 +379,16 @@
 		s.gangDone = s.gangDone || s.spec.Gang && t.phase == taskDone
 	}
 	o := s.occ
-	o.left = 0
+	o.unfinishedSteps = 0
 	for _, other := range o.steps {
-		if other.left > 0 {
-			o.left++
+		if other.unfinished > 0 {
+			o.unfinishedSteps++
 		}
 	}
 	for _, other := range o.steps {
 		other.waitsFor = 0
 		for _, a := range uniqueInts(other.spec.After) {
-			if o.steps[a].left > 0 {
+			if o.steps[a].unfinished > 0 {
 				other.waitsFor++
 			}
 		}
--- a/internal/executor/late.go
+++ b/internal/executor/late_ends.go
@@ -16,11 +16,11 @@
 // answers each of them at once.
 const withheldPollGap = 400 * time.Millisecond
 
-// takeLateEnd applies the end of a run that is not a current one. An end that arrives before its
+// applyLateEnd applies the end of a run that is not a current one. An end that arrives before its
 // task was placed again counts like one in time.
-func (c *Core) takeLateEnd(now time.Duration, e *endpoint, end ListedEnd) {
+func (c *Core) applyLateEnd(now time.Duration, e *endpoint, end ListedEnd) {
 	t := c.taskByName(end.Task)
-	abandoned := e.givenUp[end.Task] == end.Run
+	abandoned := e.abandonedRuns[end.Task] == end.Run
 	if t != nil && t.step.spec.LongRunning {
 		return
 	}
@@ -32,7 +32,7 @@
 			c.applyLateFailure(now, e, end, t)
 		}
 	}
-	if e.withheld != end.Number {
+	if e.withheldEnd != end.Number {
 		c.dropAbandoned(e, end.Task)
 	}
 }
@@ -64,8 +64,8 @@
 
 // withhold keeps an end, and all later ones of its endpoint, from being acknowledged.
 func (c *Core) withhold(e *endpoint, end ListedEnd) {
-	if e.withheld == 0 {
-		e.withheld = end.Number
+	if e.withheldEnd == 0 {
+		e.withheldEnd = end.Number
 		c.event(Event{Kind: EventWithheld, Task: end.Task, Run: end.Run, Endpoint: e.id, Reason: "its task has been started again"})
 	}
 }
@@ -73,20 +73,20 @@
 // gangHasStarted reports whether members of a gang are running: they would have to end with the one
 // whose end was late.
 func (c *Core) gangHasStarted(s *stepRun) bool {
-	return s.spec.Gang && s.waiting < s.left
+	return s.spec.Gang && s.waiting < s.unfinished
 }
 
 // lastAcknowledgeable is the number of the last end that may be acknowledged.
 func (e *endpoint) lastAcknowledgeable() int64 {
-	if e.withheld > 0 {
-		return min(e.seen, e.withheld-1)
+	if e.withheldEnd > 0 {
+		return min(e.appliedEnd, e.withheldEnd-1)
 	}
-	return e.seen
+	return e.appliedEnd
 }
 
 func (e *endpoint) pollInterval() time.Duration {
-	if e.withheld > 0 {
+	if e.withheldEnd > 0 {
 		return withheldPollGap
 	}
-	return lookGap
+	return pollGap
 }
--- a/internal/executor/orders.go
+++ b/internal/executor/orders.go
@@ -12,16 +12,16 @@
 	OrderUnanswered
 	// OrderFenced: the endpoint has seen a newer epoch.
 	OrderFenced
-	// OrderOld: the run has ended or was stopped on the endpoint.
-	OrderOld
-	// OrderLate: the lease had expired when the order arrived.
-	OrderLate
-	// OrderNoRoom: the endpoint, which checks its capacity, is full.
-	OrderNoRoom
+	// OrderStaleRun: the run has ended or was stopped on the endpoint.
+	OrderStaleRun
+	// OrderLeaseExpired: the lease had expired when the order arrived.
+	OrderLeaseExpired
+	// OrderNoCapacity: the endpoint, which checks its capacity, is full.
+	OrderNoCapacity
 	// OrderNoTicket: the endpoint requires a valid ticket.
 	OrderNoTicket
-	// OrderGone: another incarnation answers at the address.
-	OrderGone
+	// OrderOtherIncarnation: another incarnation answers at the address.
+	OrderOtherIncarnation
 	// OrderUnhealthy: the endpoint accepts no orders at present.
 	OrderUnhealthy
 	// OrderInvalid: the endpoint can't decode the order.
@@ -57,26 +57,26 @@
 // outcome with OrderDone. ok is false if none is ready or the limit on starts in flight is
 // reached.
 func (c *Core) NextStart(now time.Duration) (o Order, lease time.Duration, ok bool) {
-	c.pace.pass(now)
-	for len(c.leaving) > 0 && c.pace.free() > 0 {
-		o, c.leaving = c.leaving[0], c.leaving[1:]
-		if !o.isCurrent() || o.Fence != c.fence(o.task.host) || o.task.stopping {
+	c.startLimiter.releaseOverdueSlots(now)
+	for len(c.startQueue) > 0 && c.startLimiter.free() > 0 {
+		o, c.startQueue = c.startQueue[0], c.startQueue[1:]
+		if !o.isCurrent() || o.Fence != c.fence(o.task.endpoint) || o.task.stopping {
 			continue
 		}
-		if !c.mayLeave(now, o.task.host) {
-			c.takeBack(o.task)
+		if !c.maySendStart(now, o.task.endpoint) {
+			c.cancelStart(o.task)
 			continue
 		}
-		o.task.ordered, o.task.answered, o.task.resending = now, false, false
-		o.sent, o.slot = now, c.pace.sent(now)
-		return o, c.grant(o.task.host, now), true
+		o.task.orderedAt, o.task.orderAnswered, o.task.resending = now, false, false
+		o.sent, o.slot = now, c.startLimiter.acquireSlot(now)
+		return o, c.grantLease(o.task.endpoint, now), true
 	}
 	return Order{}, 0, false
 }
 
 // isCurrent reports whether the order belongs to the newest run of its task.
 func (o *Order) isCurrent() bool {
-	return o.task != nil && o.task.host != nil && o.task.host.id == o.Endpoint && o.task.run == o.Run
+	return o.task != nil && o.task.endpoint != nil && o.task.endpoint.id == o.Endpoint && o.task.run == o.Run
 }
 
 // OrderDone applies the outcome of an order.
@@ -84,41 +84,41 @@
 	switch {
 	case o.slot == nil:
 	case result == OrderUnanswered:
-		c.pace.unanswered(now, o.slot)
+		c.startLimiter.recordTimeout(now, o.slot)
 	default:
-		c.pace.answered(now, o.slot)
+		c.startLimiter.recordAnswer(now, o.slot)
 	}
-	c.explainPace(now)
+	c.logStartLimit(now)
 	e := c.endpoints[o.Endpoint]
 	if e == nil || o.Fence != c.fence(e) {
 		return // sent to an earlier incarnation
 	}
-	if c.meet(now, e, a.StartedMs); o.Fence != c.fence(e) {
+	if c.observeIncarnation(now, e, a.StartedMs); o.Fence != c.fence(e) {
 		return // another incarnation has answered
 	}
 	fromCurrent := a.isFrom(now, o.sent, e)
 	if fromCurrent {
-		e.noteClock(now, a.Clock)
+		e.recordClock(now, a.Clock)
 	}
 	switch result {
 	case OrderFenced:
 		c.fenced = true
 		c.event(Event{Kind: EventFenced, Endpoint: o.Endpoint})
 		return
-	case OrderGone:
-		c.crashed(e)
+	case OrderOtherIncarnation:
+		c.incarnationCrashed(e)
 		return
 	}
 	t := o.task
-	if t == nil || t.host != e || t.run != o.Run {
+	if t == nil || t.endpoint != e || t.run != o.Run {
 		return
 	}
 	switch o.Kind {
 	case OrderStart:
-		t.proven = t.proven || fromCurrent && result == OrderDone
+		t.onCurrentIncarnation = t.onCurrentIncarnation || fromCurrent && result == OrderDone
 		c.applyStartResult(now, t, e, result)
 		if !fromCurrent && a.Clock > 0 {
-			c.unsure(now, e)
+			c.suspectRestart(now, e)
 		}
 	case OrderStop:
 		c.applyStopResult(now, t, e, result)
@@ -128,22 +128,22 @@
 func (c *Core) applyStartResult(now time.Duration, t *task, e *endpoint, result OrderResult) {
 	switch result {
 	case OrderDone:
-		t.answered = true
-		c.confirm(now, t)
-		e.nextLook = min(e.nextLook, now+lookGap)
+		t.orderAnswered = true
+		c.recordConfirmation(now, t)
+		e.nextPoll = min(e.nextPoll, now+pollGap)
 	case OrderUnanswered:
-		e.nextLook = min(e.nextLook, now+unsureWait)
-	case OrderOld:
+		e.nextPoll = min(e.nextPoll, now+uncertainPollWait)
+	case OrderStaleRun:
 		// The end of the run, or its stop, is listed or was listed earlier.
-		t.answered = true
-		t.confirmed = max(t.confirmed, now)
-		e.nextLook = now
-	case OrderLate:
-		t.answered = true
+		t.orderAnswered = true
+		t.confirmedAt = max(t.confirmedAt, now)
+		e.nextPoll = now
+	case OrderLeaseExpired:
+		t.orderAnswered = true
 	case OrderNoTicket:
 		delete(t.step.advice.tickets, e.incarnation())
 		c.withdrawStart(now, t, e, result)
-	case OrderNoRoom, OrderUnhealthy, OrderInvalid:
+	case OrderNoCapacity, OrderUnhealthy, OrderInvalid:
 		c.withdrawStart(now, t, e, result)
 	}
 }
@@ -154,21 +154,21 @@
 func (c *Core) withdrawStart(now time.Duration, t *task, e *endpoint, result OrderResult) {
 	c.event(Event{Kind: EventLost, Job: t.step.job.rec.Job.ID, Task: t.name(), Run: t.run, Endpoint: e.id, Reason: "start refused: " + result.String()})
 	if result != OrderNoTicket {
-		e.quarantine = max(e.quarantine, now+refusalPause)
+		e.quarantinedUntil = max(e.quarantinedUntil, now+refusalPause)
 	}
 	t.stopping = true
-	c.breakGang(t.step)
+	c.stopGangMembers(t.step)
 }
 
 func (c *Core) applyStopResult(now time.Duration, t *task, e *endpoint, result OrderResult) {
 	if result != OrderDone {
 		return
 	}
-	e.nextLook = min(e.nextLook, now+lookGap)
-	if t.confirmed == 0 {
+	e.nextPoll = min(e.nextPoll, now+pollGap)
+	if t.confirmedAt == 0 {
 		// The run was stopped before it started, or runs without having been listed. The
 		// next listing requested after this answer shows which.
-		t.confirmed = now
+		t.confirmedAt = now
 	}
 }
 
@@ -178,14 +178,14 @@
 	case EndedDone:
 		e.consecutiveFailures = 0
 	case EndedFailed:
-		if t.failures > 0 && t.avoid != e.incarnation() {
+		if t.failures > 0 && t.avoidIncarnation != e.incarnation() {
 			return // the task last failed on another endpoint, so this one is not at fault
 		}
 		e.consecutiveFailures++
 		if e.consecutiveFailures >= quarantineAfter {
 			pause := min(quarantineBase<<min(e.consecutiveFailures-quarantineAfter, 4), quarantineMax)
-			e.quarantine = now + pause
-			c.event(Event{Kind: EventQuiet, Endpoint: e.id, Reason: "runs fail", Run: e.consecutiveFailures, AgeMs: pause.Milliseconds()})
+			e.quarantinedUntil = now + pause
+			c.event(Event{Kind: EventQuarantined, Endpoint: e.id, Reason: "runs fail", Run: e.consecutiveFailures, AgeMs: pause.Milliseconds()})
 		}
 	}
 }
@@ -193,7 +193,7 @@
 // Tick issues the stops that are due, repeats those whose run is still listed, and stops runs
 // that have stalled.
 func (c *Core) Tick(now time.Duration) {
-	c.judgeSpeeds()
+	c.updateSlowEndpoints()
 	for _, e := range c.endpoints {
 		if e.vacating && now > e.vacateUntil && !e.draining {
 			e.vacating = false
@@ -201,7 +201,7 @@
 		if e.draining {
 			c.stopLongRunningOnDrain(e)
 		}
-		c.presumeGone(now, e)
+		c.presumeCrashed(now, e)
 		for t := range e.tasks {
 			c.tickTask(now, e, t)
 		}
@@ -209,21 +209,21 @@
 }
 
 func (c *Core) tickTask(now time.Duration, e *endpoint, t *task) {
-	if t.confirmed > 0 && !t.stopping && c.isStalled(t) {
+	if t.confirmedAt > 0 && !t.stopping && c.isStalled(t) {
 		t.stopping = true
 		e.consecutiveFailures++
-		e.quarantine = now + quarantineBase
-		t.avoid = e.incarnation()
+		e.quarantinedUntil = now + quarantineBase
+		t.avoidIncarnation = e.incarnation()
 		c.event(Event{Kind: EventStop, Job: t.step.job.rec.Job.ID, Task: t.name(), Run: t.run, Endpoint: e.id, Reason: "no progress"})
 	}
 	if t.gangStartOverdue(now) {
-		c.breakGang(t.step)
+		c.stopGangMembers(t.step)
 	}
-	c.rescue(e, t)
-	if !t.stopping || e.addr == "" || t.stopSent > 0 && now-t.stopSent < stopRepeat {
+	c.restartElsewhere(e, t)
+	if !t.stopping || e.addr == "" || t.stopSentAt > 0 && now-t.stopSentAt < stopRepeat {
 		return
 	}
-	t.stopSent = now
+	t.stopSentAt = now
 	c.stops = append(c.stops, Order{Kind: OrderStop, Endpoint: e.id, Addr: e.addr, Fence: c.fence(e), Task: t.name(), Run: t.run, task: t})
 }
 
@@ -235,7 +235,7 @@
 
 // gangStartOverdue reports whether a gang member is still not confirmed after gangStartTimeout.
 func (t *task) gangStartOverdue(now time.Duration) bool {
-	return t.step.spec.Gang && t.ordered > 0 && t.confirmed == 0 && now-t.ordered > gangStartTimeout
+	return t.step.spec.Gang && t.orderedAt > 0 && t.confirmedAt == 0 && now-t.orderedAt > gangStartTimeout
 }
 
 // Stalled runs. Load: tasks on some endpoints make no progress while their leases are renewed. A
@@ -248,11 +248,11 @@
 
 // isStalled reports whether a run has made no progress for too long.
 func (c *Core) isStalled(t *task) bool {
-	if t.step.spec.LongRunning && t.percent >= atWork {
+	if t.step.spec.LongRunning && t.percent >= fullyStarted {
 		return false
 	}
 	expected := time.Duration(c.taskMs(t.step)) * time.Millisecond
 	limit := max(minStallTimeout, stallFactor*expected/10)
 	// Progress is unknown while the endpoint does not answer.
-	return t.host.failedLook == 0 && t.host.looked-max(t.movedAt, t.confirmed) > limit
+	return t.endpoint.failedPolls == 0 && t.endpoint.lastPollAnswer-max(t.progressAt, t.confirmedAt) > limit
 }
--- a/internal/executor/looks.go
+++ b/internal/executor/polls.go
@@ -10,12 +10,12 @@
 // of 16 to 64 cores ends some ten tasks a second. A poll that waits for an end is answered at each
 // of them; the gap lets ends accumulate, at a cost of half the gap to each step.
 const (
-	lookGap = 60 * time.Millisecond
+	pollGap = 60 * time.Millisecond
 	// maxPollWait is how long a poll waits for an end. It bounds how late a lease is renewed, and
 	// so how short a lease may be.
 	maxPollWait = 1000 * time.Millisecond
-	// startingPollWait is the wait while a long-running task starts up: only a listing shows that it is
-	// working, and until then no other task of its step is moved.
+	// startingPollWait is the wait while a long-running task starts up: only a listing shows that
+	// it is working, and until then no other task of its step is moved.
 	startingPollWait = 200 * time.Millisecond
 	// unconfirmedPollWait is the wait while the answer to a start is pending: it says more, and
 	// sooner, than a listing that does not have the run yet. The endpoint is polled faster only if
@@ -24,9 +24,9 @@
 	startAnswerTimeout  = 200 * time.Millisecond
 	// pollRetryDelay is the delay after a poll without an answer.
 	pollRetryDelay = 120 * time.Millisecond
-	// unsureWait is how long a poll waits, or is delayed, while the result of a start or stop is
-	// unknown.
-	unsureWait = 80 * time.Millisecond
+	// uncertainPollWait is how long a poll waits, or is delayed, while the result of a start or
+	// stop is unknown.
+	uncertainPollWait = 80 * time.Millisecond
 	// maxClockAge is how old the reading of an idle endpoint's clock may be: each second of age takes
 	// 20 ms off the next lease.
 	maxClockAge = 20 * time.Second
@@ -56,32 +56,33 @@
 	shown := make(map[string]bool, len(list))
 	for _, info := range list {
 		shown[info.ID] = true
-		if c.gone[Incarnation{info.ID, info.StartedMs}] {
+		if c.endedIncarnations[Incarnation{info.ID, info.StartedMs}] {
 			continue
 		}
 		e := c.endpoint(info.ID)
 		if info.StartedMs != 0 && info.StartedMs < e.startedMs {
 			continue // entry of an earlier incarnation
 		}
-		c.meet(now, e, info.StartedMs)
+		c.observeIncarnation(now, e, info.StartedMs)
 		e.listed, e.draining = true, info.Draining
 		e.addr, e.zone, e.kind, e.rack = info.Addr, info.Zone, info.Kind, info.Rack
-		e.capacity, e.toldAt = info.Capacity, info.Clock
+		e.capacity, e.capacityReportedAt = info.Capacity, info.Clock
 		if e.draining {
 			c.vacate(now, e)
 		}
 	}
 	for id, e := range c.endpoints {
-		if !shown[id] && len(e.tasks) == 0 && !(e.vacating && now < e.vacateUntil) && !e.remembered(now) {
+		if !shown[id] && len(e.tasks) == 0 && !(e.vacating && now < e.vacateUntil) && !e.hasRecentAbandonedRuns(now) {
 			c.forgetEndpoint(e)
 		}
 	}
 }
 
-// Gone records that an operation has ended an incarnation with everything on it. If the endpoint's
-// present incarnation is unknown, its tasks may run on a later one: its first listing shows that.
-func (c *Core) Gone(in Incarnation) {
-	c.gone[in] = true
+// IncarnationEnded records that an operation has ended an incarnation with everything on it. If the
+// endpoint's present incarnation is unknown, its tasks may run on a later one: its first listing
+// shows that.
+func (c *Core) IncarnationEnded(in Incarnation) {
+	c.endedIncarnations[in] = true
 	e := c.endpoints[in.ID]
 	if e == nil || e.incarnation() != in {
 		return
@@ -92,21 +93,21 @@
 }
 
 func (c *Core) endIncarnation(e *endpoint) {
-	c.gone[e.incarnation()] = true
+	c.endedIncarnations[e.incarnation()] = true
 	c.event(Event{Kind: EventGone, Endpoint: e.id, StartedMs: e.startedMs, Run: len(e.tasks)})
-	c.loseAll(e, "incarnation ended")
+	c.requeueAll(e, "incarnation ended")
 	c.forgetEndpoint(e)
 }
 
-// crashed records that an incarnation has ended for an unknown reason.
-func (c *Core) crashed(e *endpoint) {
-	taken := attributeCrash(e, append(e.orderedRuns(), c.unreportedRuns(e)...))
+// incarnationCrashed records that an incarnation has ended for an unknown reason.
+func (c *Core) incarnationCrashed(e *endpoint) {
+	crashes := attributeCrash(e, append(e.orderedRuns(), c.unreportedRuns(e)...))
 	c.endIncarnation(e)
-	c.recordCrashes(taken)
+	c.recordCrashes(crashes)
 }
 
-// Look is a poll to send: it renews the endpoint's leases, acknowledges ends and asks for a listing.
-type Look struct {
+// Poll is a request to an endpoint that renews its leases, acknowledges ends and asks for a listing.
+type Poll struct {
 	Endpoint     string
 	Addr         string
 	Fence        int64
@@ -116,37 +117,37 @@
 	sent         time.Duration
 }
 
-// DueLooks returns the polls to send now; LookDone reports the result of each.
-func (c *Core) DueLooks(now time.Duration) []Look {
-	var due []Look
+// DuePolls returns the polls to send now; PollDone reports the result of each.
+func (c *Core) DuePolls(now time.Duration) []Poll {
+	var due []Poll
 	for _, e := range c.endpoints {
-		if e.lookOut || now < e.nextLook || e.addr == "" || !c.needsPoll(now, e) {
+		if e.pollInFlight || now < e.nextPoll || e.addr == "" || !c.needsPoll(now, e) {
 			continue
 		}
-		e.lookOut = true
-		due = append(due, Look{Endpoint: e.id, Addr: e.addr, Fence: c.fence(e), Acknowledged: e.safeAcknowledgement(),
-			LeaseUntil: c.grant(e, now), Wait: c.pollWait(now, e), sent: now})
+		e.pollInFlight = true
+		due = append(due, Poll{Endpoint: e.id, Addr: e.addr, Fence: c.fence(e), Acknowledged: e.safeAcknowledgement(),
+			LeaseUntil: c.grantLease(e, now), Wait: c.pollWait(now, e), sent: now})
 	}
 	return due
 }
 
 func (c *Core) needsPoll(now time.Duration, e *endpoint) bool {
-	if !e.lookedEver || now-e.looked > maxClockAge {
+	if !e.hasReported || now-e.lastPollAnswer > maxClockAge {
 		return true
 	}
-	if c.watchful && now-e.clockAt > idlePollInterval {
+	if c.pollIdle && now-e.clockAt > idlePollInterval {
 		return true
 	}
-	return len(e.tasks) > 0 || e.strangers > 0 || e.lastAcknowledgeable() > e.acknowledged || e.failedLook > 0
+	return len(e.tasks) > 0 || e.unknownRuns > 0 || e.lastAcknowledgeable() > e.acknowledgedEnd || e.failedPolls > 0
 }
 
 func (c *Core) pollWait(now time.Duration, e *endpoint) time.Duration {
-	if !e.lookedEver || e.failedLook > 0 {
+	if !e.hasReported || e.failedPolls > 0 {
 		return 0
 	}
 	wait := maxPollWait
-	if e.tries() {
-		wait = trialPollWait
+	if e.isIsolating() {
+		wait = isolationPollWait
 	}
 	for t := range e.tasks {
 		wait = min(wait, t.pollWait(now))
@@ -157,11 +158,11 @@
 // pollWait is how long a poll of the task's endpoint may wait for an end.
 func (t *task) pollWait(now time.Duration) time.Duration {
 	switch {
-	case t.stopping, t.ordered > 0 && t.confirmed == 0 && now-t.ordered > startAnswerTimeout:
-		return unsureWait
-	case t.step.spec.LongRunning && t.percent < atWork:
+	case t.stopping, t.orderedAt > 0 && t.confirmedAt == 0 && now-t.orderedAt > startAnswerTimeout:
+		return uncertainPollWait
+	case t.step.spec.LongRunning && t.percent < fullyStarted:
 		return startingPollWait
-	case t.confirmed == 0:
+	case t.confirmedAt == 0:
 		return unconfirmedPollWait
 	}
 	return maxPollWait
@@ -210,69 +211,69 @@
 	Checkpoint string
 }
 
-// LookResult is the result of a poll.
-type LookResult uint8
+// PollResult is the result of a poll.
+type PollResult uint8
 
 // Results of polls.
 const (
-	LookAnswered LookResult = iota
-	LookUnanswered
-	LookFenced
-	LookGone
+	PollAnswered PollResult = iota
+	PollUnanswered
+	PollFenced
+	PollGone
 )
 
-// LookDone applies the result of a poll.
-func (c *Core) LookDone(now time.Duration, l Look, result LookResult, in Listed) {
-	e := c.endpoints[l.Endpoint]
-	if e == nil || l.Fence != c.fence(e) {
+// PollDone applies the result of a poll.
+func (c *Core) PollDone(now time.Duration, p Poll, result PollResult, in Listed) {
+	e := c.endpoints[p.Endpoint]
+	if e == nil || p.Fence != c.fence(e) {
 		return // result for an earlier incarnation
 	}
-	e.lookOut = false
+	e.pollInFlight = false
 	switch result {
-	case LookGone:
-		c.crashed(e)
-	case LookFenced:
+	case PollGone:
+		c.incarnationCrashed(e)
+	case PollFenced:
 		c.fenced = true
 		c.event(Event{Kind: EventFenced, Endpoint: e.id})
-	case LookUnanswered:
+	case PollUnanswered:
 		e.pollFailed(now)
-	case LookAnswered:
-		c.pollAnswered(now, l, e, in)
+	case PollAnswered:
+		c.pollAnswered(now, p, e, in)
 	}
 }
 
 func (e *endpoint) pollFailed(now time.Duration) {
-	e.failedLook++
-	e.nextLook = now + pollRetryDelay
+	e.failedPolls++
+	e.nextPoll = now + pollRetryDelay
 }
 
 // pollAnswered applies a listing. If it is from a new incarnation, it only shows that this one is
 // running: orders for the previous incarnation may still reach it.
-func (c *Core) pollAnswered(now time.Duration, l Look, e *endpoint, in Listed) {
-	c.meet(now, e, in.StartedMs)
-	if l.Fence == c.fence(e) {
-		c.applyListing(now, l.sent, e, in)
+func (c *Core) pollAnswered(now time.Duration, p Poll, e *endpoint, in Listed) {
+	c.observeIncarnation(now, e, in.StartedMs)
+	if p.Fence == c.fence(e) {
+		c.applyListing(now, p.sent, e, in)
 	}
 }
 
 func (c *Core) applyListing(now, sent time.Duration, e *endpoint, in Listed) {
-	e.noteClock(now, in.Clock)
-	if !e.lookedEver {
+	e.recordClock(now, in.Clock)
+	if !e.hasReported {
 		// Leases that a predecessor granted last for one more lease duration at most: it can't
 		// renew them now that the fence is raised. If they counted as expired, the tasks would
 		// be started elsewhere before this owner's first renewal, beside runs that go on here.
-		e.granted = max(e.granted, e.clock+c.limits.Lease)
+		e.grantedUntil = max(e.grantedUntil, e.clock+c.limits.Lease)
 	}
-	e.nextLook = now + e.pollInterval()
-	if !e.lookedEver || e.failedLook > 0 {
-		e.nextLook = now // this poll renewed nothing
+	e.nextPoll = now + e.pollInterval()
+	if !e.hasReported || e.failedPolls > 0 {
+		e.nextPoll = now // this poll renewed nothing
 	}
-	e.lookedEver, e.looked, e.failedLook = true, now, 0
+	e.hasReported, e.lastPollAnswer, e.failedPolls = true, now, 0
 	c.clearUnreported(e)
 	running := make(map[*task]bool, len(in.Running))
 	unknownRuns := 0
 	for _, r := range in.Running {
-		t := c.find(e, r.Task, r.Run)
+		t := c.placedTask(e, r.Task, r.Run)
 		if t == nil {
 			unknownRuns++
 			c.stopUnknownRun(e, r)
@@ -281,11 +282,11 @@
 		running[t] = true
 		c.applyRunning(now, in.Clock, t, r)
 	}
-	e.strangers = unknownRuns
+	e.unknownRuns = unknownRuns
 	for _, end := range in.Ended {
-		c.takeEnd(now, e, end)
+		c.applyEnd(now, e, end)
 	}
-	if upTo := e.lastAcknowledgeable(); upTo > e.acknowledged {
+	if upTo := e.lastAcknowledgeable(); upTo > e.acknowledgedEnd {
 		c.acks[e.incarnation()] = upTo
 	}
 	if len(in.Ended) < fullListing {
@@ -297,10 +298,10 @@
 // that is missing from the listing proves nothing.
 const fullListing = 500
 
-// find returns the task that is placed on e under this run.
-func (c *Core) find(e *endpoint, name string, run int) *task {
+// placedTask returns the task that is placed on e under this run.
+func (c *Core) placedTask(e *endpoint, name string, run int) *task {
 	t := c.taskByName(name)
-	if t == nil || t.host != e || t.run != run {
+	if t == nil || t.endpoint != e || t.run != run {
 		return nil
 	}
 	return t
@@ -323,35 +324,35 @@
 // ordered, so the run was abandoned while its endpoint was still up; it must not go on beside the
 // run that replaces it.
 func (c *Core) stopUnknownRun(e *endpoint, r ListedRun) {
-	c.event(Event{Kind: EventStranger, Task: r.Task, Run: r.Run, Endpoint: e.id})
+	c.event(Event{Kind: EventUnknownRun, Task: r.Task, Run: r.Run, Endpoint: e.id})
 	c.stops = append(c.stops, Order{Kind: OrderStop, Endpoint: e.id, Addr: e.addr, Fence: c.fence(e), Task: r.Task, Run: r.Run})
 }
 
 func (c *Core) applyRunning(now, clock time.Duration, t *task, r ListedRun) {
-	c.confirm(now, t)
-	t.proven = true
-	t.doubted = nil
+	c.recordConfirmation(now, t)
+	t.onCurrentIncarnation = true
+	t.possibleCrash = nil
 	if t.confirmedFor() >= newRunPeriod {
-		t.endTrial()
+		t.endIsolation()
 	}
 	if t.confirmedFor() >= stableRunAfter {
 		c.clearEvidence(t)
 	}
-	c.noteProgress(clock, t, r.Percent)
+	c.updateSpeed(clock, t, r.Percent)
 	if r.Percent != t.percent {
-		t.percent, t.movedAt = r.Percent, now
+		t.percent, t.progressAt = r.Percent, now
 	}
 	if r.Checkpoint != "" {
 		t.checkpoint = r.Checkpoint
 	}
 }
 
-// confirm records that an endpoint has a task's run.
-func (c *Core) confirm(now time.Duration, t *task) {
-	if t.confirmed == 0 {
-		t.confirmed = now
+// recordConfirmation records that an endpoint has a task's run.
+func (c *Core) recordConfirmation(now time.Duration, t *task) {
+	if t.confirmedAt == 0 {
+		t.confirmedAt = now
 	}
-	t.step.job.begun = true
+	t.step.job.runConfirmed = true
 }
 
 // resolveUnlisted handles runs that the endpoint lists neither as running nor as ended. Only a poll
@@ -359,10 +360,10 @@
 // conclusive.
 func (c *Core) resolveUnlisted(now, sent time.Duration, e *endpoint, running map[*task]bool) {
 	for t := range e.tasks {
-		if running[t] || t.confirmed >= sent && t.confirmed > 0 {
+		if running[t] || t.confirmedAt >= sent && t.confirmedAt > 0 {
 			continue
 		}
-		if t.confirmed > 0 {
+		if t.confirmedAt > 0 {
 			// An end is listed until it is acknowledged, and acknowledged only once it is
 			// recorded: the endpoint has lost this run.
 			c.requeueUnlisted(t, "no longer listed")
@@ -375,11 +376,11 @@
 // requeueUnlisted requeues a task whose run its endpoint does not have. If an incarnation has ended
 // since the start, the run ended with it and counts as crash evidence.
 func (c *Core) requeueUnlisted(t *task, reason string) {
-	c.event(Event{Kind: EventLost, Job: t.step.job.rec.Job.ID, Task: t.name(), Run: t.run, Endpoint: t.host.id, Reason: reason})
-	doubted := t.doubted
-	c.again(t)
-	if doubted != nil {
-		c.recordCrash(*doubted)
+	c.event(Event{Kind: EventLost, Job: t.step.job.rec.Job.ID, Task: t.name(), Run: t.run, Endpoint: t.endpoint.id, Reason: reason})
+	possible := t.possibleCrash
+	c.requeue(t)
+	if possible != nil {
+		c.recordCrash(*possible)
 	}
 }
 
@@ -393,12 +394,12 @@
 	}
 	// Before the first order has been sent there is nothing to repeat, and the intent may not
 	// be durable yet.
-	if t.stopping || t.resending || t.ordered == 0 || sent < t.ordered {
+	if t.stopping || t.resending || t.orderedAt == 0 || sent < t.orderedAt {
 		return
 	}
-	if !t.answered && now-t.ordered < resendAfter {
+	if !t.orderAnswered && now-t.orderedAt < resendAfter {
 		return
 	}
 	t.resending = true
-	c.leaving = append(c.leaving, c.startOrder(t))
+	c.startQueue = append(c.startQueue, c.startOrder(t))
 }
--- a/internal/executor/reserve.go
+++ b/internal/executor/reserve.go
@@ -2,68 +2,68 @@
 
 import "time"
 
-// Reservations. Load: a pool in its turn of demand is full of short tasks that
-// end one by one, while an endpoint with lasting tasks dies or leaves. The holes
-// that short tasks leave are smaller than a lasting task and go to the next short
-// one, so that lasting tasks wait for as long as the turn goes on and their users
-// see them away. An endpoint kept for a lasting task takes no more short ones, so that
-// its room comes together within a run or two of these.
+// Reservations. Load: a pool under peak demand is full of short tasks that end one by one while
+// an endpoint with long-running tasks crashes or leaves. The capacity that a short task frees
+// is smaller than a long-running task needs and goes to the next short one, so that
+// long-running tasks wait as long as the peak lasts and their users see an outage. An endpoint
+// reserved for a long-running task gets no more short ones, so that enough capacity becomes
+// free within one or two of their runs.
 const (
-	// reserveFor bounds a reservation: what has not ended on the endpoint by
-	// then does not end soon, and another endpoint may do better.
-	reserveFor = 4 * time.Second
-	// reserveShare is the most of the open endpoints that is kept at a time, so
-	// that the loss of many does not stop the short tasks.
-	reserveShare = 0.25
-	// reservePerRound bounds the tasks that one round looks at: each costs a
-	// look at every endpoint.
-	reservePerRound = 4
+	// reservationDuration bounds a reservation: tasks that have not ended on the endpoint by
+	// then will not end soon, and another endpoint may be better.
+	reservationDuration = 4 * time.Second
+	// maxReservedShare is the largest share of the open endpoints that may be reserved at a
+	// time, so that the loss of many endpoints does not stop the short tasks.
+	maxReservedShare = 0.25
+	// maxReservationTriesPerRound bounds the tasks considered per round, as each requires a
+	// scan of all endpoints.
+	maxReservationTriesPerRound = 4
 )
 
-// reserve keeps endpoints for lasting tasks that find none with room, and for suspects that
-// find none on which nothing has just begun.
-func (c *Core) reserve(now time.Duration, hosts []*endpoint) {
-	kept := c.dropReservations(now)
-	most := max(1, int(reserveShare*float64(len(hosts))))
-	looked := 0
-	for _, t := range append(c.lastingWaiting(now), c.suspectsWaiting(now)...) {
-		if len(kept) >= most || looked == reservePerRound {
+// reserve reserves endpoints for long-running tasks that find no free capacity, and for suspect
+// tasks that find no endpoint without recently started tasks.
+func (c *Core) reserve(now time.Duration, endpoints []*endpoint) {
+	reserved := c.dropReservations(now)
+	most := max(1, int(maxReservedShare*float64(len(endpoints))))
+	tried := 0
+	for _, t := range append(c.startableLongRunningTasks(now), c.waitingSuspects(now)...) {
+		if len(reserved) >= most || tried == maxReservationTriesPerRound {
 			return
 		}
-		if kept[t] {
+		if reserved[t] {
 			continue
 		}
-		looked++
-		if c.choose(now, t, hosts) != nil {
-			continue // it is placed in this round
+		tried++
+		if c.bestEndpoint(now, t, endpoints) != nil {
+			continue // this round places it
 		}
-		if e := c.choiceToKeep(now, t, hosts); e != nil {
-			e.keptFor, e.keptUntil = t, now+reserveFor
-			kept[t] = true
-			c.event(Event{Kind: EventKept, Job: t.step.job.rec.Job.ID, Task: t.name(), Endpoint: e.id, Run: len(e.tasks)})
+		if e := c.endpointToReserve(now, t, endpoints); e != nil {
+			e.reservedFor, e.reservedUntil = t, now+reservationDuration
+			reserved[t] = true
+			c.event(Event{Kind: EventReserved, Job: t.step.job.rec.Job.ID, Task: t.name(), Endpoint: e.id, Run: len(e.tasks)})
 		}
 	}
 }
 
-// dropReservations ends those that have served their purpose or lasted too
-// long, and returns the tasks of the others.
+// dropReservations ends the reservations that are used or expired, and returns the tasks of the
+// others.
 func (c *Core) dropReservations(now time.Duration) map[*task]bool {
-	kept := map[*task]bool{}
+	reserved := map[*task]bool{}
 	for _, e := range c.endpoints {
-		if e.keptFor == nil {
+		if e.reservedFor == nil {
 			continue
 		}
-		if t := e.keptFor; now >= e.keptUntil || !c.isOpen(now, e) || t.phase != taskWaiting || t.step.job.rec.State.Ended() {
-			e.keptFor = nil
+		if t := e.reservedFor; now >= e.reservedUntil || !c.isOpen(now, e) || t.phase != taskWaiting || t.step.job.rec.State.Ended() {
+			e.reservedFor = nil
 			continue
 		}
-		kept[e.keptFor] = true
+		reserved[e.reservedFor] = true
 	}
-	return kept
+	return reserved
 }
 
-// lastingWaiting returns the lasting tasks that could start now.
-func (c *Core) lastingWaiting(now time.Duration) []*task {
+// startableLongRunningTasks returns the long-running tasks that could start now.
+func (c *Core) startableLongRunningTasks(now time.Duration) []*task {
 	var out []*task
 	for _, j := range c.open {
 		if j.rec.State.Ended() {
@@ -74,7 +74,7 @@
 				continue
 			}
 			for _, t := range s.tasks {
-				if c.mayStart(now, t) && !t.alone(now) {
+				if c.mayStart(now, t) && !t.needsIsolatedRun(now) {
 					out = append(out, t)
 				}
 			}
@@ -83,12 +83,12 @@
 	return out
 }
 
-// choiceToKeep returns the endpoint that would take the task once its short
-// tasks have ended, and has the most room already.
-func (c *Core) choiceToKeep(now time.Duration, t *task, hosts []*endpoint) *endpoint {
+// endpointToReserve returns the endpoint with the most free capacity among those that would fit
+// the task once their short tasks have ended.
+func (c *Core) endpointToReserve(now time.Duration, t *task, endpoints []*endpoint) *endpoint {
 	var best *endpoint
-	for _, e := range hosts {
-		if e.keptFor != nil || !e.withoutShort().Holds(needs(t.step.spec)) || c.mismatch(now, t, e) != obstacleNone {
+	for _, e := range endpoints {
+		if e.reservedFor != nil || !e.capacityWithoutShortTasks().Holds(needs(t.step.spec)) || c.taskObstacle(now, t, e) != obstacleNone {
 			continue
 		}
 		if best == nil || e.free().CPUMilli > best.free().CPUMilli {
@@ -98,13 +98,13 @@
 	return best
 }
 
-// withoutShort is the room left beside the tasks that last.
-func (e *endpoint) withoutShort() Room {
-	room := e.capacity
+// capacityWithoutShortTasks returns the capacity that the long-running tasks leave.
+func (e *endpoint) capacityWithoutShortTasks() Resources {
+	capacity := e.capacity
 	for t := range e.tasks {
 		if t.step.spec.LongRunning {
-			room = room.Minus(needs(t.step.spec))
+			capacity = capacity.Minus(needs(t.step.spec))
 		}
 	}
-	return room
+	return capacity
 }
--- a/internal/executor/ends.go
+++ b/internal/executor/run_ends.go
@@ -5,63 +5,63 @@
 	"time"
 )
 
-// loseAll requeues all tasks of an endpoint, whose runs have ended with it.
-func (c *Core) loseAll(e *endpoint, reason string) {
-	hosted := make([]*task, 0, len(e.tasks))
+// requeueAll requeues all tasks of an endpoint, whose runs have ended with it.
+func (c *Core) requeueAll(e *endpoint, reason string) {
+	tasks := make([]*task, 0, len(e.tasks))
 	for t := range e.tasks {
-		hosted = append(hosted, t)
+		tasks = append(tasks, t)
 	}
-	for _, t := range hosted {
+	for _, t := range tasks {
 		c.event(Event{Kind: EventLost, Job: t.step.job.rec.Job.ID, Task: t.name(), Run: t.run, Endpoint: e.id, Reason: reason})
-		c.again(t)
+		c.requeue(t)
 	}
 }
 
-// again requeues a task whose run has ended or can't start any more.
-func (c *Core) again(t *task) {
+// requeue requeues a task whose run has ended or can't start any more.
+func (c *Core) requeue(t *task) {
 	s := t.step
 	c.release(t)
-	c.touch(s.job)
+	c.markDirty(s.job)
 	if s.gangDone {
 		t.phase = taskDone
-		s.left--
-		if s.left == 0 {
+		s.unfinished--
+		if s.unfinished == 0 {
 			c.completeStep(s)
 		}
 	} else {
 		t.phase = taskWaiting
 		s.waiting++
-		c.breakGang(s)
+		c.stopGangMembers(s)
 	}
 	c.retireIfStopped(s.job)
 }
 
-// breakGang stops the remaining members of a gang that lacks one. They would otherwise wait for
+// stopGangMembers stops the remaining members of a gang that lacks one. They would otherwise wait for
 // it until their endpoints end them.
-func (c *Core) breakGang(s *stepRun) {
+func (c *Core) stopGangMembers(s *stepRun) {
 	if !s.spec.Gang {
 		return
 	}
 	for _, t := range s.tasks {
 		if t.phase == taskPlaced {
-			c.stopFor(t, "gang incomplete")
+			c.requestStop(t, "gang incomplete")
 		}
 	}
 }
 
-// takeEnd applies an end that an endpoint lists.
-func (c *Core) takeEnd(now time.Duration, e *endpoint, end ListedEnd) {
-	if end.Number <= e.seen {
+// applyEnd applies an end that an endpoint lists.
+func (c *Core) applyEnd(now time.Duration, e *endpoint, end ListedEnd) {
+	if end.Number <= e.appliedEnd {
 		return
 	}
-	e.seen = end.Number
-	t := c.find(e, end.Task, end.Run)
+	e.appliedEnd = end.Number
+	t := c.placedTask(e, end.Task, end.Run)
 	if t == nil {
-		c.takeLateEnd(now, e, end)
+		c.applyLateEnd(now, e, end)
 		return
 	}
 	j := t.step.job
-	j.begun = true
+	j.runConfirmed = true
 	c.event(Event{Kind: EventTaskEnd, Job: j.rec.Job.ID, Task: end.Task, Run: end.Run, Endpoint: e.id, Reason: end.How.String()})
 	if end.Checkpoint != "" {
 		t.checkpoint = end.Checkpoint
@@ -73,13 +73,13 @@
 	case end.How == EndedFailed:
 		c.handleFailure(now, t, e)
 	default:
-		c.again(t)
+		c.requeue(t)
 	}
 }
 
 // completeTask records the run time of a completed task and marks the task as done.
 func (c *Core) completeTask(now time.Duration, t *task) {
-	c.noteLength(now, t)
+	c.recordLength(now, t)
 	c.release(t)
 	c.markDone(t)
 }
@@ -89,12 +89,12 @@
 func (c *Core) markDone(t *task) {
 	s, j := t.step, t.step.job
 	t.phase = taskDone
-	s.left--
-	c.touch(j)
+	s.unfinished--
+	c.markDirty(j)
 	if s.spec.Gang {
 		c.completeGang(s)
 	}
-	if s.left == 0 {
+	if s.unfinished == 0 {
 		c.completeStep(s)
 	}
 	c.retireIfStopped(j)
@@ -108,7 +108,7 @@
 		if t.phase == taskWaiting {
 			t.phase = taskDone
 			s.waiting--
-			s.left--
+			s.unfinished--
 		}
 	}
 }
@@ -117,9 +117,9 @@
 // job after its last occurrence.
 func (c *Core) completeStep(s *stepRun) {
 	o, j := s.occ, s.job
-	o.left--
-	if s.ran > 0 {
-		c.learn(j.rec.Queue, s.ranMs/float64(s.ran), s.ran, s.spec.EstimateMs)
+	o.unfinishedSteps--
+	if s.measuredRuns > 0 {
+		c.addLength(j.rec.Queue, s.measuredRunMs/float64(s.measuredRuns), s.measuredRuns, s.spec.EstimateMs)
 		c.setObjective(j)
 	}
 	for _, other := range o.steps {
@@ -127,12 +127,12 @@
 			other.waitsFor--
 		}
 	}
-	if o.left > 0 {
+	if o.unfinishedSteps > 0 {
 		return
 	}
 	c.closeOccurrence(j, o.number)
 	if j.firstOpen >= j.occurrenceCount() && !j.rec.State.Ended() {
-		c.end(j, JobCompleted, "all tasks done")
+		c.endJob(j, JobCompleted, "all tasks done")
 	}
 }
 
@@ -147,7 +147,7 @@
 // as its queue allows. Long-running tasks have no such limit.
 func (c *Core) handleFailure(now time.Duration, t *task, e *endpoint) {
 	c.countFailure(now, t, e)
-	c.again(t)
+	c.requeue(t)
 	c.endIfFailed(t)
 }
 
@@ -163,15 +163,15 @@
 func (c *Core) countFailure(now time.Duration, t *task, e *endpoint) {
 	count := t.failureCount()
 	*count++
-	t.avoid = e.incarnation()
+	t.avoidIncarnation = e.incarnation()
 	t.notBefore = now + min(failureBackoff<<min(*count-1, 8), maxFailureBackoff)
-	c.touch(t.step.job)
+	c.markDirty(t.step.job)
 }
 
 // endIfFailed fails the job if the task has failed as often as its queue allows.
 func (c *Core) endIfFailed(t *task) {
 	j := t.step.job
 	if !t.step.spec.LongRunning && *t.failureCount() >= j.rec.Terms.Attempts && !j.rec.State.Ended() {
-		c.end(j, JobFailed, "a task has failed as often as allowed")
+		c.endJob(j, JobFailed, "a task has failed as often as allowed")
 	}
 }
--- a/internal/executor/submit.go
+++ b/internal/executor/submit.go
@@ -11,10 +11,10 @@
 type Verdict uint8
 
 // Verdicts on submissions. VerdictAccepted is given for a new job; its reply follows once the
-// job is durable. VerdictKnown is given for a job that has been accepted already.
+// job is durable. VerdictDuplicate is given for a job that has been accepted already.
 const (
 	VerdictAccepted Verdict = iota
-	VerdictKnown
+	VerdictDuplicate
 	VerdictRefused
 )
 
@@ -28,8 +28,8 @@
 const (
 	// RefusedBacklog means that the job could not end in time behind the accepted work.
 	RefusedBacklog = "backlog"
-	// RefusedTaken means that the id belongs to a job of another caller.
-	RefusedTaken = "id-taken"
+	// RefusedIDTaken means that the id belongs to a job of another caller.
+	RefusedIDTaken = "id-taken"
 	// RefusedAccountBacklog means that the job could not end in time behind other jobs of its
 	// account, which is at its limit.
 	RefusedAccountBacklog = "account-backlog"
@@ -45,10 +45,10 @@
 	Account string `cbor:"2,keyasint,omitempty"`
 }
 
-// Shows reports whether the caller may see a job. A job that was submitted without an account is
+// VisibleTo reports whether the caller may see a job. A job that was submitted without an account is
 // visible to everybody. A caller without an account also sees the jobs of the queue that it
 // addresses, which may have required a key earlier.
-func (c *Core) Shows(id string, caller Caller) bool {
+func (c *Core) VisibleTo(id string, caller Caller) bool {
 	j := c.jobs[id]
 	if j == nil {
 		return true // the caller is told that there is no such job
@@ -61,36 +61,36 @@
 // yet durable gives VerdictAccepted and a reply of its own.
 func (c *Core) Submit(now time.Duration, in jobs.Job, accepting Accepting, token uint64) (Verdict, Refusal) {
 	if j := c.jobs[in.ID]; j != nil {
-		if !c.Shows(in.ID, Caller{Queue: accepting.Queue, Account: accepting.Account}) {
-			return VerdictRefused, Refusal{Reason: RefusedTaken}
+		if !c.VisibleTo(in.ID, Caller{Queue: accepting.Queue, Account: accepting.Account}) {
+			return VerdictRefused, Refusal{Reason: RefusedIDTaken}
 		}
 		if j.accepted {
-			return VerdictKnown, Refusal{}
+			return VerdictDuplicate, Refusal{}
 		}
-		c.touch(j)
+		c.markDirty(j)
 		c.replies = append(c.replies, Reply{token})
 		return VerdictAccepted, Refusal{}
 	}
-	j := &job{since: now, rec: jobRecord{Job: in, Queue: accepting.Queue, Terms: accepting.Terms, Account: accepting.Account, AcceptedMs: c.wallMs}}
+	j := &job{firstSeen: now, rec: jobRecord{Job: in, Queue: accepting.Queue, Terms: accepting.Terms, Account: accepting.Account, AcceptedMs: c.wallMs}}
 	refusal, refused := c.checkAdmission(now, j)
 	firstOffered := c.recordOffer(now, j, refused)
 	if refused {
 		c.event(Event{Kind: EventRefused, Job: in.ID, Reason: refusal.Reason, Account: accepting.Account})
 		if accepting.Account != "" {
-			c.refusedOf[accepting.Account]++
+			c.refusedByAccount[accepting.Account]++
 		}
 		return VerdictRefused, refusal
 	}
-	j.offered = firstOffered
+	j.offeredAt = firstOffered
 	j.rec.OfferedMs = c.wallMs - (now - firstOffered).Milliseconds()
 	c.jobs[in.ID] = j
 	c.open = append(c.open, j)
-	j.queued = true
-	c.touch(j)
+	j.inOpen = true
+	c.markDirty(j)
 	c.replies = append(c.replies, Reply{token})
 	c.event(Event{Kind: EventAccepted, Job: in.ID, Reason: accepting.Queue})
 	if in.Occurrences == 0 {
-		c.begin(j)
+		c.expandNextOccurrence(j)
 	}
 	c.setObjective(j)
 	return VerdictAccepted, Refusal{}
@@ -108,9 +108,9 @@
 		return true, true
 	}
 	if !j.rec.State.Ended() {
-		c.end(j, JobCancelled, "cancelled")
+		c.endJob(j, JobCancelled, "cancelled")
 	}
-	c.touch(j)
+	c.markDirty(j)
 	c.replies = append(c.replies, Reply{token})
 	return true, false
 }
@@ -124,7 +124,7 @@
 	if j.durable.Ended() {
 		return j.durable, true
 	}
-	if j.begun {
+	if j.runConfirmed {
 		return JobRunning, true
 	}
 	return JobQueued, true
@@ -136,21 +136,21 @@
 func (c *Core) Pending(queue string) int {
 	n := 0
 	for _, j := range c.open {
-		if j.rec.Queue == queue && j.accepted && !j.begun && !j.rec.State.Ended() {
+		if j.rec.Queue == queue && j.accepted && !j.runConfirmed && !j.rec.State.Ended() {
 			n++
 		}
 	}
 	return n
 }
 
-// end gives a job its final state. Waiting tasks are dropped and running ones stopped.
-func (c *Core) end(j *job, state JobState, reason string) {
+// endJob gives a job its final state. Waiting tasks are dropped and running ones stopped.
+func (c *Core) endJob(j *job, state JobState, reason string) {
 	j.rec.State = state
 	j.rec.EndedMs = c.wallMs
 	if state == JobFailed {
 		j.rec.Reason = reason
 	}
-	c.touch(j)
+	c.markDirty(j)
 	c.event(Event{Kind: EventEnded, Job: j.rec.Job.ID, Reason: state.String() + ": " + reason})
 	for _, o := range j.current {
 		for _, s := range o.steps {
@@ -166,14 +166,14 @@
 
 // retireIfStopped moves an ended job without running tasks from open to ended.
 func (c *Core) retireIfStopped(j *job) {
-	if !j.rec.State.Ended() || j.placed > 0 || !j.queued {
+	if !j.rec.State.Ended() || j.placedTasks > 0 || !j.inOpen {
 		return
 	}
-	j.queued = false
+	j.inOpen = false
 	j.current = nil
 	c.open = slices.DeleteFunc(c.open, func(o *job) bool { return o == j })
 	c.ended = append(c.ended, j)
-	c.touch(j)
+	c.markDirty(j)
 }
 
 // evictEnded removes jobs that ended more than KeepEnded ago.
@@ -185,18 +185,18 @@
 		}
 		c.ended = c.ended[1:]
 		delete(c.jobs, j.rec.Job.ID)
-		c.removed = append(c.removed, keyJob+j.rec.Job.ID)
+		c.removedKeys = append(c.removedKeys, keyJob+j.rec.Job.ID)
 	}
 }
 
-// begin expands the job's next occurrence into steps and tasks.
-func (c *Core) begin(j *job) {
-	o := &occurrence{number: j.next, left: len(j.rec.Job.Steps)}
-	j.next++
+// expandNextOccurrence expands the job's next occurrence into steps and tasks.
+func (c *Core) expandNextOccurrence(j *job) {
+	o := &occurrence{number: j.nextOccurrence, unfinishedSteps: len(j.rec.Job.Steps)}
+	j.nextOccurrence++
 	for i := range j.rec.Job.Steps {
 		spec := &j.rec.Job.Steps[i]
-		s := &stepRun{job: j, occ: o, index: i, spec: spec, left: spec.Count, waiting: spec.Count,
-			waitsFor: len(uniqueInts(spec.After)), perHost: map[*endpoint]int{}}
+		s := &stepRun{job: j, occ: o, index: i, spec: spec, unfinished: spec.Count, waiting: spec.Count,
+			waitsFor: len(uniqueInts(spec.After)), perEndpoint: map[*endpoint]int{}}
 		block := make([]task, spec.Count)
 		s.tasks = make([]*task, spec.Count)
 		for k := range block {
@@ -220,8 +220,8 @@
 		if j.rec.State.Ended() {
 			continue
 		}
-		for j.next < j.rec.Job.Occurrences && c.wallMs >= j.rec.Job.StartAtMs+int64(j.next)*j.rec.Job.IntervalMs {
-			c.begin(j)
+		for j.nextOccurrence < j.rec.Job.Occurrences && c.wallMs >= j.rec.Job.StartAtMs+int64(j.nextOccurrence)*j.rec.Job.IntervalMs {
+			c.expandNextOccurrence(j)
 		}
 	}
 }
@@ -233,10 +233,10 @@
 func (c *Core) closeOccurrence(j *job, number int) {
 	for _, o := range j.current {
 		if o.number == number {
-			o.left, o.steps = 0, nil
+			o.unfinishedSteps, o.steps = 0, nil
 		}
 	}
-	for len(j.current) > 0 && j.current[0].left == 0 {
+	for len(j.current) > 0 && j.current[0].unfinishedSteps == 0 {
 		j.firstOpen = j.current[0].number + 1
 		j.current = j.current[1:]
 	}
@@ -263,18 +263,18 @@
 	if !c.canEverRun(j) {
 		return Refusal{Reason: RefusedAccount}, true
 	}
-	if lasting(&j.rec.Job) || j.rec.Job.Occurrences > 0 {
+	if isLongRunning(&j.rec.Job) || j.rec.Job.Occurrences > 0 {
 		return Refusal{}, false
 	}
 	pool := float64(c.shortTaskCPU())
 	if pool <= 0 {
 		return Refusal{}, false
 	}
-	chain := c.chainMs(j)
-	slack := (j.rec.Terms.SlowdownFactor-1)*chain + float64(j.rec.Terms.Slack.Milliseconds())
+	criticalPath := c.criticalPathMs(j)
+	slack := (j.rec.Terms.SlowdownFactor-1)*criticalPath + float64(j.rec.Terms.Slack.Milliseconds())
 	ahead := c.backlog(now, j.rec.Terms.Priority)
-	backlog := c.withinShares(ahead.byAccount, slack)
-	wait := max(c.waitMs(now, backlog, pool), float64(c.pace.startsWait(ahead.tasks+len(c.leaving)).Milliseconds()))
+	backlog := c.workWithinShares(ahead.byAccount, slack)
+	wait := max(c.drainMs(now, backlog, pool), float64(c.startLimiter.startQueueDelay(ahead.tasks+len(c.startQueue)).Milliseconds()))
 	reason := RefusedBacklog
 	if accountWait := c.accountWaitMs(now, j.rec.Account, ahead.byAccount[j.rec.Account]); accountWait > wait {
 		wait, reason = accountWait, RefusedAccountBacklog
@@ -301,12 +301,12 @@
 	} else {
 		delete(c.refusedSince, id)
 	}
-	if resubmitted || lasting(&j.rec.Job) {
+	if resubmitted || isLongRunning(&j.rec.Job) {
 		return firstOffered
 	}
 	for i := range j.rec.Job.Steps {
 		st := &j.rec.Job.Steps[i]
-		c.offered += float64(st.Count) * float64(st.CPUMilli) / 1000 * c.expectMs(j.rec.Queue, st)
+		c.offeredCoreMs += float64(st.Count) * float64(st.CPUMilli) / 1000 * c.expectedTaskMs(j.rec.Queue, st)
 	}
 	return firstOffered
 }
@@ -320,8 +320,8 @@
 	}
 }
 
-// lasting reports whether the job has a long-running step.
-func lasting(j *jobs.Job) bool {
+// isLongRunning reports whether the job has a long-running step.
+func isLongRunning(j *jobs.Job) bool {
 	for i := range j.Steps {
 		if j.Steps[i].LongRunning {
 			return true
@@ -335,13 +335,13 @@
 	total := 0
 	for _, e := range c.endpoints {
 		if e.usable() {
-			total += max(0, e.capacity.CPUMilli-e.lastingCPU())
+			total += max(0, e.capacity.CPUMilli-e.longRunningCPU())
 		}
 	}
 	return total
 }
 
-func (e *endpoint) lastingCPU() int {
+func (e *endpoint) longRunningCPU() int {
 	cpu := 0
 	for t := range e.tasks {
 		if t.step.spec.LongRunning && !t.step.spec.Fills {
@@ -364,7 +364,7 @@
 func (c *Core) backlog(now time.Duration, priority int) queuedWork {
 	q := queuedWork{byAccount: map[string]float64{}}
 	for _, j := range c.open {
-		if j.rec.State.Ended() || j.rec.Terms.Priority > priority || lasting(&j.rec.Job) || c.hopeless(now, j) {
+		if j.rec.State.Ended() || j.rec.Terms.Priority > priority || isLongRunning(&j.rec.Job) || c.cannotMeetObjective(now, j) {
 			continue
 		}
 		w := c.remaining(j)
@@ -376,8 +376,8 @@
 
 // work is what a job still has to run, in milli-core-milliseconds.
 type work struct {
-	// ready could start at once; later waits for earlier steps; running is half of the work of
-	// the tasks that are running.
+	// ready is the work of tasks that could start at once, later that of tasks that wait for earlier
+	// steps, and running half of the work of placed tasks.
 	ready, later, running float64
 	// tasks is the number of tasks that could start at once.
 	tasks int
@@ -395,7 +395,7 @@
 				w.ready += waiting
 				w.tasks += s.waiting
 			}
-			w.running += float64(s.left-s.waiting) * perTask / 2
+			w.running += float64(s.unfinished-s.waiting) * perTask / 2
 		}
 	}
 	return w
--- a/internal/executor/vacate.go
+++ b/internal/executor/vacate.go
@@ -36,19 +36,19 @@
 	if hurry {
 		for t := range e.tasks {
 			if !t.step.spec.LongRunning {
-				c.stopFor(t, "instance leaves")
+				c.requestStop(t, "instance leaves")
 			}
 		}
 	}
-	return Vacancy{Left: len(e.tasks) + e.strangers, StartedMs: e.startedMs}, e.lookedEver
+	return Vacancy{Left: len(e.tasks) + e.unknownRuns, StartedMs: e.startedMs}, e.hasReported
 }
 
-// LeavesSoon sets which endpoints will have to be vacated soon. It is valid for vacateFor unless
+// SetVacatingSoon sets which endpoints will have to be vacated soon. It is valid for vacateFor unless
 // it is repeated.
-func (c *Core) LeavesSoon(now time.Duration, ids []string) {
+func (c *Core) SetVacatingSoon(now time.Duration, ids []string) {
 	for _, id := range ids {
 		if e := c.endpoints[id]; e != nil {
-			e.dueUntil = now + vacateFor
+			e.vacatingSoonUntil = now + vacateFor
 		}
 	}
 }
@@ -74,7 +74,7 @@
 		if s.spec.MayMiss > 0 && c.countUnavailable(s, t) >= s.spec.MayMiss {
 			continue
 		}
-		c.stopFor(t, "instance leaves")
+		c.requestStop(t, "instance leaves")
 	}
 }
 
@@ -84,18 +84,18 @@
 func (c *Core) stopLongRunningOnDrain(e *endpoint) {
 	for t := range e.tasks {
 		if t.step.spec.LongRunning {
-			c.stopFor(t, "endpoint drains")
+			c.requestStop(t, "endpoint drains")
 		}
 	}
 }
 
-// stopFor marks a task's run to be stopped and logs the reason.
-func (c *Core) stopFor(t *task, reason string) {
+// requestStop marks a task's run to be stopped and logs the reason.
+func (c *Core) requestStop(t *task, reason string) {
 	if t.stopping {
 		return
 	}
 	t.stopping = true
-	c.event(Event{Kind: EventStop, Job: t.step.job.rec.Job.ID, Task: t.name(), Run: t.run, Endpoint: t.host.id, Reason: reason})
+	c.event(Event{Kind: EventStop, Job: t.step.job.rec.Job.ID, Task: t.name(), Run: t.run, Endpoint: t.endpoint.id, Reason: reason})
 }
 
 // countUnavailable counts the tasks of a step, other than one, that are not confirmed to be
@@ -103,7 +103,7 @@
 func (c *Core) countUnavailable(s *stepRun, except *task) int {
 	n := 0
 	for _, t := range s.tasks {
-		if t != except && (t.phase != taskPlaced || t.stopping || t.percent < atWork || t.host.failedLook > 0) {
+		if t != except && (t.phase != taskPlaced || t.stopping || t.percent < fullyStarted || t.endpoint.failedPolls > 0) {
 			n++
 		}
 	}
--- a/internal/shards/runner_calls.go
+++ b/internal/shards/runner_calls.go
@@ -84,7 +84,7 @@
 		}
 		verdict, refusal := r.core.Submit(now, job, acceptance, token)
 		switch verdict {
-		case executor.VerdictKnown:
+		case executor.VerdictDuplicate:
 			return Result{Outcome: OutcomeDone}, true
 		case executor.VerdictRefused:
 			return Result{Outcome: OutcomeRefused, Reason: refusal.Reason, RetryAfterMs: refusal.RetryAfter.Milliseconds()}, true
@@ -111,7 +111,7 @@
 
 func (r *Runner) cancelJob(ctx context.Context, id string, caller executor.Caller) Result {
 	return r.request(ctx, func(now time.Duration, token uint64) (Result, bool) {
-		if !r.core.Shows(id, caller) {
+		if !r.core.VisibleTo(id, caller) {
 			return Result{Outcome: OutcomeNotFound}, true
 		}
 		found, durable := r.core.Cancel(now, id, token)
@@ -128,7 +128,7 @@
 			return Result{Outcome: OutcomeUnavailable, Reason: "the store does not answer", RetryAfterMs: storeRetryAfterMs}, true
 		}
 		state, found := r.core.State(id)
-		if !found || !r.core.Shows(id, caller) {
+		if !found || !r.core.VisibleTo(id, caller) {
 			return Result{Outcome: OutcomeNotFound}, true
 		}
 		return Result{Outcome: OutcomeDone, State: state}, true
@@ -174,11 +174,11 @@
 // be returned after an append has proved the epoch.
 func (r *Runner) startVacate(now time.Duration, in VacateCall) (result VacateResult, needsProof bool) {
 	result = VacateResult{Owned: true, Left: map[string]int{}, Started: map[string]int64{}}
-	r.core.TakeShares(now, in.Shares.Grants)
+	r.core.ApplyShares(now, in.Shares.Grants)
 	result.Accounts, needsProof = r.core.AccountReports(in.Shares.Grants), in.Shares.Prove
 	for _, item := range in.Items {
 		if item.Ended {
-			r.core.Gone(executor.Incarnation{ID: item.Endpoint, StartedMs: item.StartedMs})
+			r.core.IncarnationEnded(executor.Incarnation{ID: item.Endpoint, StartedMs: item.StartedMs})
 			continue
 		}
 		if v, found := r.core.Vacate(now, item.Endpoint, item.Hurry); found {
@@ -186,8 +186,8 @@
 			needsProof = needsProof || v.Left == 0
 		}
 	}
-	r.core.LeavesSoon(now, in.Due)
-	r.core.Lent(now, in.Loans)
+	r.core.SetVacatingSoon(now, in.Due)
+	r.core.SetIncomingCapacity(now, in.Loans)
 	result.Summary = r.core.Summary(now)
 	result.ProofAgeMs = r.tenure.ProofAge().Milliseconds()
 	return result, needsProof
