--- a/internal/peer/backoff.go
+++ b/internal/peer/backoff.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// backoff returns the pause after the given number of failed dials in a row;
-// random is in [0,1).
+// backoff returns the delay before the next dial after the given number of
+// consecutive failures; random is in [0,1).
 func backoff(failures int, random float64) time.Duration {
 	ceiling := backoffBase
 	for range failures - 1 {
--- a/internal/peer/call.go
+++ b/internal/peer/call.go
@@ -8,29 +8,29 @@
 	"github.com/quic-go/quic-go"
 )
 
-// callHeader is the first frame of a call; the request follows as the second.
+// callHeader is the first frame of a call; the second frame is the request.
 type callHeader struct {
 	Kind string `cbor:"1,keyasint"`
-	// TimeoutMillis is how long the caller waits. It is a span and not a time,
-	// as clocks differ.
+	// TimeoutMillis is how long the caller waits. It is a duration and not a
+	// point in time, because clocks differ.
 	TimeoutMillis int64 `cbor:"2,keyasint"`
 }
 
-// answerHeader is the first frame of an answer. Where Type is empty the answer
-// itself follows as the second.
+// answerHeader is the first frame of an answer. If Type is empty, the second
+// frame is the answer itself; otherwise the call failed.
 type answerHeader struct {
 	Type   string `cbor:"1,keyasint,omitempty"`
 	Detail string `cbor:"2,keyasint,omitempty"`
 }
 
-// Call sends req and returns the answer of the peer's handler. Its errors tell
-// how sure the failure is: *UnreachableError where the request was certainly
-// not handled, *OutcomeUnknownError where it may have been, *RemoteError where
-// the handler itself failed. A request that can't be encoded is
-// *EncodeError or *TooLargeError and was not sent.
+// Call sends req and returns the answer of the peer's handler. The error type
+// tells whether the request may have been handled: *UnreachableError if it was
+// certainly not, *OutcomeUnknownError if it may have been, *RemoteError if the
+// handler returned an error. A request that can't be encoded fails with
+// *EncodeError or *TooLargeError and is not sent.
 func Call[Req, Resp any](ctx context.Context, n *Node, peerID, kind string, req Req, opts ...KindOption) (Resp, error) {
 	var resp Resp
-	s := settings(opts)
+	s := applyOptions(opts)
 	body, err := encode(req, s.limit)
 	if err != nil {
 		return resp, err
@@ -48,32 +48,33 @@
 func (n *Node) call(ctx context.Context, peerID, kind string, body []byte, limit int) ([]byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, defaultCallTimeout)
 	defer cancel()
-	if !n.begin() {
+	if !n.beginCall() {
 		return nil, &UnreachableError{Peer: peerID, Kind: kind, Cause: &ClosedError{}}
 	}
-	defer n.end()
-	l, stream, err := n.open(ctx, peerID)
+	defer n.endCall()
+	l, stream, err := n.openStream(ctx, peerID)
 	if err != nil {
 		return nil, &UnreachableError{Peer: peerID, Kind: kind, Cause: err}
 	}
-	defer l.end()
-	defer cancelStream(stream, streamCanceled) // no effect on a stream that has ended
+	defer l.endCall()
+	defer cancelStream(stream, streamCanceled) // no effect on a finished stream
 	stop := context.AfterFunc(ctx, func() { cancelStream(stream, streamCanceled) })
 	defer stop()
 
 	if err := writeRequest(ctx, stream, kind, body); err != nil {
-		return nil, &UnreachableError{Peer: peerID, Kind: kind, Cause: because(ctx, err)}
+		return nil, &UnreachableError{Peer: peerID, Kind: kind, Cause: preferContextError(ctx, err)}
 	}
-	// The peer handles a request only once it has read the end of the stream.
-	// Up to here the failure is certain; from here on it may have run. A
-	// failure to end the stream shows in reading the answer, which can still
-	// be there: a peer that doesn't know the kind says so before the end.
+	// The peer handles a request only after reading the end of the stream. A
+	// failure before this point means that it was not handled; after it, the
+	// request may have run. An error of Close shows when the answer is read.
+	// The answer may still arrive: a peer without a handler for the kind
+	// answers before the end of the request.
 	_ = stream.Close()
 	answer, err := readAnswer(stream, kind, limit)
-	return answer, n.judgeAnswer(ctx, l, kind, err)
+	return answer, n.classifyAnswerError(ctx, l, kind, err)
 }
 
-func (n *Node) open(ctx context.Context, peerID string) (*link, *quic.Stream, error) {
+func (n *Node) openStream(ctx context.Context, peerID string) (*link, *quic.Stream, error) {
 	r, err := n.remote(peerID)
 	if err != nil {
 		return nil, nil, err
@@ -84,8 +85,8 @@
 	}
 	stream, err := l.conn.OpenStreamSync(ctx)
 	if err != nil {
-		l.end()
-		return nil, nil, because(ctx, linkError("open", err))
+		l.endCall()
+		return nil, nil, preferContextError(ctx, linkError("open", err))
 	}
 	return l, stream, nil
 }
@@ -108,7 +109,7 @@
 
 func readAnswer(stream *quic.Stream, kind string, limit int) ([]byte, error) {
 	var head answerHeader
-	if err := readInto(stream, maxHeader, &head); err != nil {
+	if err := readFrameInto(stream, maxHeader, &head); err != nil {
 		return nil, err
 	}
 	if head.Type != "" {
@@ -117,36 +118,37 @@
 	return readFrame(stream, limit)
 }
 
-// judgeAnswer says how sure a failure to read the answer is. A broken answer
-// also closes the connection, as nothing on it can be trusted.
-func (n *Node) judgeAnswer(ctx context.Context, l *link, kind string, err error) error {
+// classifyAnswerError turns a failure to read the answer into the error type
+// that tells whether the request may have been handled. A malformed answer also
+// closes the connection, as nothing on it can be trusted.
+func (n *Node) classifyAnswerError(ctx context.Context, l *link, kind string, err error) error {
 	if err == nil {
 		return nil
 	}
-	var remote *RemoteError
-	if errors.As(err, &remote) {
-		return remote
+	var remoteErr *RemoteError
+	if errors.As(err, &remoteErr) {
+		return remoteErr
 	}
-	var stream *quic.StreamError
-	if errors.As(err, &stream) && stream.Remote && stream.ErrorCode == streamRefused {
-		refused := &RefusedError{Code: codeNames[codeClosing], Detail: "not taken"}
+	var streamErr *quic.StreamError
+	if errors.As(err, &streamErr) && streamErr.Remote && streamErr.ErrorCode == streamRefused {
+		refused := &RefusedError{Code: codeNames[codeClosing], Detail: "request not accepted"}
 		return &UnreachableError{Peer: l.peer.ID, Kind: kind, Cause: refused}
 	}
-	var frame *FrameError
-	if errors.As(err, &frame) {
-		n.reportMalformed(l, err)
+	var frameErr *FrameError
+	if errors.As(err, &frameErr) {
+		n.closeMalformed(l, err)
 	}
-	return &OutcomeUnknownError{Peer: l.peer.ID, Kind: kind, Cause: because(ctx, err)}
+	return &OutcomeUnknownError{Peer: l.peer.ID, Kind: kind, Cause: preferContextError(ctx, err)}
 }
 
-func (n *Node) reportMalformed(l *link, err error) {
-	n.log.Warn("malformed input from a peer", "peer", l.peer.ID, "boot", l.peer.BootID, "error", err.Error())
+func (n *Node) closeMalformed(l *link, err error) {
+	n.log.Warn("peer sent malformed input; closing its connection", "peer", l.peer.ID, "boot", l.peer.BootID, "error", err.Error())
 	l.close(codeMalformed, err.Error())
 }
 
-// because prefers the end of the caller's context as the cause: the failure of
-// the stream is then only its consequence.
-func because(ctx context.Context, err error) error {
+// preferContextError returns the error of the caller's context if it has ended,
+// because the stream's failure is then only a consequence, and err otherwise.
+func preferContextError(ctx context.Context, err error) error {
 	if ctx.Err() != nil {
 		return ctx.Err()
 	}
--- a/internal/peer/errors.go
+++ b/internal/peer/errors.go
@@ -11,8 +11,8 @@
 	"github.com/quic-go/quic-go"
 )
 
-// UnreachableError says that the message was certainly not handled: it was
-// never sent in full, or the peer said that it did not take it.
+// UnreachableError reports that the message was certainly not handled: it was
+// not sent in full, or the peer refused it.
 type UnreachableError struct {
 	Peer  string
 	Kind  string
@@ -26,8 +26,8 @@
 // Unwrap returns the cause.
 func (e *UnreachableError) Unwrap() error { return e.Cause }
 
-// OutcomeUnknownError says that the message was sent and its answer was lost:
-// it may have been handled.
+// OutcomeUnknownError reports that the message was sent and its answer was
+// lost: it may have been handled.
 type OutcomeUnknownError struct {
 	Peer  string
 	Kind  string
@@ -48,7 +48,7 @@
 	// Type is the Go type of the handler's error, such as
 	// "idempotency.NotOwnerError".
 	Type string
-	// Detail is for people.
+	// Detail is the text of the handler's error, for logs only.
 	Detail string
 }
 
@@ -56,18 +56,18 @@
 	return fmt.Sprintf("%s: remote %s: %s", e.Kind, e.Type, e.Detail)
 }
 
-// UnknownPeerError names an id that is not among the wanted peers.
+// UnknownPeerError reports an ID that is not among the wanted peers.
 type UnknownPeerError struct{ ID string }
 
 func (e *UnknownPeerError) Error() string { return fmt.Sprintf("no peer %q", e.ID) }
 
-// ClosedError says that this node is closed, closing or not started.
+// ClosedError reports that this node is closed, closing or not started.
 type ClosedError struct{}
 
 func (e *ClosedError) Error() string { return "node is not running" }
 
-// BackoffError says that the last dial failed a moment ago and the next one is
-// not due yet.
+// BackoffError reports that the last dial failed and that the next one is not
+// due yet.
 type BackoffError struct {
 	Wait  time.Duration
 	Cause error
@@ -80,7 +80,7 @@
 // Unwrap returns the failure of the last dial.
 func (e *BackoffError) Unwrap() error { return e.Cause }
 
-// CertificateError says why a certificate was turned away.
+// CertificateError reports why a certificate was rejected.
 type CertificateError struct {
 	Detail string
 	Cause  error
@@ -96,22 +96,23 @@
 // Unwrap returns the cause.
 func (e *CertificateError) Unwrap() error { return e.Cause }
 
-// IdentityError says that a peer is not who it should be: its hello differs
-// from its certificate, or another process answers at the address.
+// IdentityError reports that a peer has another identity than expected: its
+// hello differs from its certificate, or another process answers at the
+// address.
 type IdentityError struct{ Want, Got string }
 
 func (e *IdentityError) Error() string {
 	return fmt.Sprintf("peer should be %s and is %s", e.Want, e.Got)
 }
 
-// StaleBootError says that a newer boot of the same id is known.
+// StaleBootError reports that a newer boot of the same process is current.
 type StaleBootError struct{ ID, BootID, Current string }
 
 func (e *StaleBootError) Error() string {
 	return fmt.Sprintf("boot %s of %s is older than %s", e.BootID, e.ID, e.Current)
 }
 
-// RefusedError says that the peer closed the connection, and why.
+// RefusedError reports that the peer closed the connection, and why.
 type RefusedError struct {
 	Code   string
 	Detail string
@@ -132,7 +133,8 @@
 // Unwrap returns the cause.
 func (e *LinkError) Unwrap() error { return e.Cause }
 
-// FrameError is input that breaks the protocol. The connection is closed.
+// FrameError reports input that violates the protocol. The connection is
+// closed.
 type FrameError struct {
 	Detail string
 	Cause  error
@@ -148,14 +150,14 @@
 // Unwrap returns the cause.
 func (e *FrameError) Unwrap() error { return e.Cause }
 
-// TooLargeError is a message above the limit of its kind.
+// TooLargeError reports a message above the size limit of its kind.
 type TooLargeError struct{ Size, Limit int }
 
 func (e *TooLargeError) Error() string {
 	return fmt.Sprintf("message of %d bytes, limit %d", e.Size, e.Limit)
 }
 
-// EncodeError is a message that CBOR can't express.
+// EncodeError reports a message that can't be encoded as CBOR.
 type EncodeError struct{ Cause error }
 
 func (e *EncodeError) Error() string { return fmt.Sprintf("encode: %v", e.Cause) }
@@ -163,8 +165,8 @@
 // Unwrap returns the cause.
 func (e *EncodeError) Unwrap() error { return e.Cause }
 
-// DecodeError is well-formed CBOR of another shape than the kind's message:
-// the peer runs another version.
+// DecodeError reports well-formed CBOR that doesn't match the kind's message
+// type: the peer runs another version.
 type DecodeError struct{ Cause error }
 
 func (e *DecodeError) Error() string { return fmt.Sprintf("decode: %v", e.Cause) }
@@ -172,12 +174,12 @@
 // Unwrap returns the cause.
 func (e *DecodeError) Unwrap() error { return e.Cause }
 
-// UnknownKindError is a call of a kind that the peer has no handler for.
+// UnknownKindError reports a call of a kind that the peer has no handler for.
 type UnknownKindError struct{ Kind string }
 
 func (e *UnknownKindError) Error() string { return fmt.Sprintf("no handler for %q", e.Kind) }
 
-// OptionsError says which option of a node is wrong.
+// OptionsError reports an invalid option of a node.
 type OptionsError struct {
 	Option string
 	Detail string
@@ -185,13 +187,13 @@
 
 func (e *OptionsError) Error() string { return fmt.Sprintf("option %s: %s", e.Option, e.Detail) }
 
-// DuplicateHandlerError is the value of the panic on a second handler for one
-// kind, which is a mistake in the program.
+// DuplicateHandlerError is the value of the panic when a second handler is
+// registered for a kind, which is a programming error.
 type DuplicateHandlerError struct{ Kind string }
 
 func (e *DuplicateHandlerError) Error() string { return fmt.Sprintf("second handler for %q", e.Kind) }
 
-// Codes with which a connection is closed. The texts appear in logs and dumps.
+// Codes for closing a connection. Their names appear in logs and dumps.
 const (
 	codeClosing quic.ApplicationErrorCode = iota + 1
 	codeMalformed
@@ -210,15 +212,15 @@
 	codeRemoved:    "removed",
 }
 
-// Codes with which one stream is ended.
+// Codes for resetting a stream.
 const (
-	// streamRefused: the request was not handled, certainly.
+	// streamRefused: the request was certainly not handled.
 	streamRefused quic.StreamErrorCode = iota + 1
 	// streamCanceled: the caller no longer waits.
 	streamCanceled
 )
 
-// linkError turns a failure of quic-go into one of this package.
+// linkError converts an error of quic-go into an error type of this package.
 func linkError(op string, err error) error {
 	var app *quic.ApplicationError
 	if errors.As(err, &app) && app.Remote {
@@ -227,22 +229,23 @@
 	return &LinkError{Op: op, Cause: err}
 }
 
-// remoteType names the error for the other end: the outermost type of this
-// program, or else the innermost one. Wrappers that only add text or a stack
-// are of no use to a peer that decides by type.
-func remoteType(err error) string {
+// remoteErrorType returns the type name that the other end receives: that of
+// the outermost error declared in this module, or else that of the innermost
+// error. Wrappers that only add text or a stack trace are skipped, as peers
+// decide by the type.
+func remoteErrorType(err error) string {
 	const module = "cyclamenwheel/"
-	last := err
+	innermost := err
 	for e := err; e != nil; e = errors.UnwrapOnce(e) {
-		if strings.HasPrefix(elem(e).PkgPath(), module) {
-			return elem(e).String()
+		if strings.HasPrefix(concreteType(e).PkgPath(), module) {
+			return concreteType(e).String()
 		}
-		last = e
+		innermost = e
 	}
-	return elem(last).String()
+	return concreteType(innermost).String()
 }
 
-func elem(err error) reflect.Type {
+func concreteType(err error) reflect.Type {
 	t := reflect.TypeOf(err)
 	if t.Kind() == reflect.Pointer {
 		return t.Elem()
@@ -250,9 +253,9 @@
 	return t
 }
 
-// clip bounds a text to maxDetail bytes without leaving half a character,
-// which CBOR would refuse.
-func clip(s string) string {
+// truncateDetail cuts a text to maxDetail bytes and removes invalid UTF-8, such
+// as a character cut in half, which CBOR would reject.
+func truncateDetail(s string) string {
 	if len(s) > maxDetail {
 		s = s[:maxDetail]
 	}
--- a/internal/peer/frame.go
+++ b/internal/peer/frame.go
@@ -9,13 +9,12 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// A frame is a length of four bytes, big-endian, and as many bytes of CBOR.
+// A frame is a four-byte big-endian length followed by that many bytes of CBOR.
 const frameHeaderLen = 4
 
-// Limits of CBOR, for input from a peer that is broken or taken over. A
-// nesting of 16 is twice what any message needs. The counts of elements allow
-// the state of a large fleet and stop a short message from announcing a huge
-// table.
+// CBOR limits for input from a broken or compromised peer. A nesting of 16 is
+// twice what any message needs. The element counts allow the state of a large
+// fleet and prevent a short message from announcing a huge table.
 const (
 	maxNestedLevels  = 16
 	maxArrayElements = 1 << 18
@@ -62,9 +61,10 @@
 	return data, nil
 }
 
-// decode reads one CBOR item that fills data. Input that is not CBOR at all is
-// a *FrameError: the peer is broken. CBOR of another shape is a *DecodeError:
-// the peer may just be of another version, and other kinds still work.
+// decode reads one CBOR item that fills data. Input that is not well-formed
+// CBOR fails with *FrameError: the peer is broken. CBOR that doesn't match the
+// type of v fails with *DecodeError: the peer may only run another version, and
+// other kinds still work.
 func decode(data []byte, v any) error {
 	if err := decMode.Wellformed(data); err != nil {
 		return &FrameError{Detail: "not CBOR", Cause: err}
@@ -75,13 +75,13 @@
 	return nil
 }
 
-// appendFrame adds data as a frame to buf.
+// appendFrame appends data to buf as a frame.
 func appendFrame(buf, data []byte) []byte {
 	buf = binary.BigEndian.AppendUint32(buf, uint32(len(data)))
 	return append(buf, data...)
 }
 
-// readLength reads the head of a frame and checks it against limit, before
+// readLength reads the length of a frame and checks it against limit before
 // anything is allocated for the body.
 func readLength(r io.Reader, limit int) (int, error) {
 	var head [frameHeaderLen]byte
@@ -95,14 +95,14 @@
 	return int(size), nil
 }
 
-// readBody reads size bytes. The buffer grows with what has arrived, so that a
-// peer that announces a large message and sends nothing takes no memory.
+// readBody reads size bytes. The buffer grows with the received data, so that a
+// peer that announces a large message and sends nothing occupies no memory.
 func readBody(r io.Reader, size int) ([]byte, error) {
 	var buf bytes.Buffer
 	buf.Grow(min(size, MaxOrdinary))
 	if _, err := io.CopyN(&buf, r, int64(size)); err != nil {
-		// An end in mid-frame must not pass for a stream that ended between
-		// two frames.
+		// EOF inside a frame must be distinguishable from a stream that ended
+		// between two frames.
 		if errors.Is(err, io.EOF) {
 			err = io.ErrUnexpectedEOF
 		}
@@ -120,9 +120,10 @@
 	return readBody(r, size)
 }
 
-// readInto reads one frame and decodes it. Header frames are the protocol's
-// own, so another shape is a breach of it too.
-func readInto(r io.Reader, limit int, v any) error {
+// readFrameInto reads one frame and decodes it into v. It is used for header
+// frames, which belong to the protocol itself, so a mismatch with v is a
+// protocol violation as well.
+func readFrameInto(r io.Reader, limit int, v any) error {
 	data, err := readFrame(r, limit)
 	if err != nil {
 		return err
@@ -133,8 +134,9 @@
 	return nil
 }
 
-// readError tells a stream that ended inside a frame, which breaks the
-// protocol, from one that failed, which is the network's or the peer's end.
+// readError distinguishes a stream that ended inside a frame, which violates
+// the protocol, from a stream that failed because of the network or because the
+// peer ended.
 func readError(err error) error {
 	if errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) {
 		return &FrameError{Detail: "truncated", Cause: err}
--- a/internal/peer/fuzz_test.go
+++ b/internal/peer/fuzz_test.go
@@ -7,9 +7,9 @@
 	"github.com/cockroachdb/errors"
 )
 
-// FuzzReadFrame feeds the decoder what a broken or hostile peer may send. It
-// must end in a value or in a typed error, and must not take more memory than
-// has arrived.
+// FuzzReadFrame passes input of a broken or hostile peer to the decoder.
+// Decoding must return a value or a typed error, and must not allocate more
+// memory than has arrived.
 func FuzzReadFrame(f *testing.F) {
 	f.Add(appendFrame(nil, []byte{0xa2, 0x01, 0x61, 'k', 0x02, 0x05}))
 	f.Add([]byte{0xff, 0xff, 0xff, 0xff})
@@ -27,15 +27,15 @@
 		checkTyped(t, decode(body, &head))
 		var state map[string][]Identity
 		checkTyped(t, decode(body, &state))
-		checkTyped(t, (&Node{seen: map[string]*noticeSeqs{}, boots: newBoots()}).readNotices(&link{}, bytes.NewReader(data)))
+		checkTyped(t, (&Node{delivered: map[string]*noticeSeqs{}, boots: newBootTracker()}).readNotices(&link{}, bytes.NewReader(data)))
 	})
 }
 
 func checkTyped(t *testing.T, err error) {
 	t.Helper()
 	var frame *FrameError
-	var shape *DecodeError
-	if err != nil && !errors.As(err, &frame) && !errors.As(err, &shape) {
+	var decodeErr *DecodeError
+	if err != nil && !errors.As(err, &frame) && !errors.As(err, &decodeErr) {
 		t.Fatalf("untyped: %v", err)
 	}
 }
--- a/internal/peer/helpers_test.go
+++ b/internal/peer/helpers_test.go
@@ -21,9 +21,9 @@
 
 const (
 	deployment = "island"
-	// settle bounds a wait for a condition on a busy machine. No verdict
-	// depends on it when the code is right.
-	settle = 20 * time.Second
+	// waitTimeout bounds the wait for a condition on a busy machine. No result
+	// depends on it if the code is correct.
+	waitTimeout = 20 * time.Second
 )
 
 func TestPeer(t *testing.T) {
@@ -79,7 +79,7 @@
 	}
 }
 
-func start(opts Options) *Node {
+func startNode(opts Options) *Node {
 	n, err := NewNode(opts)
 	Expect(err).NotTo(HaveOccurred())
 	Expect(n.Start()).To(Succeed())
@@ -87,8 +87,8 @@
 	return n
 }
 
-// join makes the nodes wanted peers of each other.
-func join(nodes ...*Node) {
+// setMutualPeers makes the nodes wanted peers of each other.
+func setMutualPeers(nodes ...*Node) {
 	addrs := map[string]string{}
 	for _, n := range nodes {
 		addrs[n.Self().ID] = n.LocalAddr().String()
@@ -98,15 +98,15 @@
 	}
 }
 
-// checkLeaks fails the spec if goroutines outlive it.
+// checkLeaks fails the spec if goroutines outlast it.
 func checkLeaks() {
 	before := goleak.IgnoreCurrent()
 	DeferCleanup(func() {
-		Eventually(func() error { return goleak.Find(before) }).WithTimeout(settle).Should(Succeed())
+		Eventually(func() error { return goleak.Find(before) }).WithTimeout(waitTimeout).Should(Succeed())
 	})
 }
 
-func within(d time.Duration) context.Context {
+func contextWithTimeout(d time.Duration) context.Context {
 	ctx, cancel := context.WithTimeout(context.Background(), d)
 	DeferCleanup(cancel)
 	return ctx
@@ -116,13 +116,13 @@
 	Text string `cbor:"1,keyasint"`
 }
 
-func echo(n *Node) {
+func handleEcho(n *Node) {
 	Handle(n, "echo", func(_ context.Context, from Identity, p ping) (ping, error) {
 		return ping{Text: from.ID + "/" + from.BootID + ":" + p.Text}, nil
 	})
 }
 
-func say(ctx context.Context, n *Node, to, text string) (string, error) {
+func callEcho(ctx context.Context, n *Node, to, text string) (string, error) {
 	answer, err := Call[ping, ping](ctx, n, to, "echo", ping{Text: text})
 	return answer.Text, err
 }
--- a/internal/peer/identity.go
+++ b/internal/peer/identity.go
@@ -8,12 +8,12 @@
 	"cyclamenwheel/internal/certs"
 )
 
-// Identity is who a process is.
+// Identity identifies a running process.
 type Identity struct {
-	// ID and Role are vouched for by the certificate.
+	// ID and Role are authenticated by the certificate.
 	ID   string `cbor:"1,keyasint" json:"id"`
 	Role string `cbor:"2,keyasint" json:"role"`
-	// BootID changes whenever the process starts anew.
+	// BootID changes with every restart of the process.
 	BootID string `cbor:"3,keyasint" json:"boot_id"`
 	Zone   string `cbor:"4,keyasint" json:"zone"`
 }
@@ -24,21 +24,20 @@
 	return certs.Identity{Deployment: deployment, Role: certs.Role(role), ID: id}.URI()
 }
 
-// certifiedIdentity returns the id and role that a certificate vouches for
-// within the deployment.
+// certifiedIdentity returns the ID and role in a certificate of the deployment.
 func certifiedIdentity(deployment string, cert *x509.Certificate) (Identity, error) {
 	id, err := certs.IdentityOf(cert)
 	if err != nil {
-		return Identity{}, &CertificateError{Detail: "not of this deployment, or names no process", Cause: err}
+		return Identity{}, &CertificateError{Detail: "not of this deployment, or without a process identity", Cause: err}
 	}
 	if id.Deployment != deployment {
-		return Identity{}, &CertificateError{Detail: "not of this deployment: " + clip(id.String())}
+		return Identity{}, &CertificateError{Detail: "not of this deployment: " + truncateDetail(id.String())}
 	}
 	return Identity{ID: id.ID, Role: string(id.Role)}, nil
 }
 
-// serverTLS is the configuration for accepting peers. Session tickets are off:
-// every connection shows its certificate.
+// serverTLS returns the configuration for accepting peers. Session tickets are
+// disabled so that every connection presents its certificate.
 func serverTLS(base *tls.Config, deployment string) *tls.Config {
 	c := commonTLS(base)
 	c.ClientAuth = tls.RequireAndVerifyClientCert
@@ -49,8 +48,8 @@
 	return c
 }
 
-// verifyPeer checks the name in a certificate, and whatever else the given
-// configuration checks, such as the roles it is open to.
+// verifyPeer checks the name in a certificate and runs the base configuration's
+// own check, such as a check of the allowed roles.
 func verifyPeer(base *tls.Config, deployment string, state tls.ConnectionState) error {
 	if _, err := peerIdentity(deployment, state); err != nil {
 		return err
@@ -61,9 +60,9 @@
 	return base.VerifyConnection(state)
 }
 
-// clientTLS is the configuration for dialling peers. Peers are known by id and
-// not by host name, so the standard check of the name is replaced, and with it
-// the check of the chain has to be done here.
+// clientTLS returns the configuration for dialling peers. Peers are identified
+// by ID and not by host name, so the standard verification is disabled, and the
+// certificate chain is verified here.
 func clientTLS(base *tls.Config, deployment string) *tls.Config {
 	c := commonTLS(base)
 	c.InsecureSkipVerify = true
@@ -97,7 +96,7 @@
 
 func verifyChain(roots *x509.CertPool, chain []*x509.Certificate) error {
 	if len(chain) == 0 {
-		return &CertificateError{Detail: "none shown"}
+		return &CertificateError{Detail: "none presented"}
 	}
 	intermediates := x509.NewCertPool()
 	for _, cert := range chain[1:] {
@@ -116,7 +115,7 @@
 
 func peerIdentity(deployment string, state tls.ConnectionState) (Identity, error) {
 	if len(state.PeerCertificates) == 0 {
-		return Identity{}, &CertificateError{Detail: "none shown"}
+		return Identity{}, &CertificateError{Detail: "none presented"}
 	}
 	return certifiedIdentity(deployment, state.PeerCertificates[0])
 }
--- a/internal/peer/link.go
+++ b/internal/peer/link.go
@@ -7,36 +7,37 @@
 	"github.com/quic-go/quic-go"
 )
 
-// link is one connection on which both ends have said who they are.
+// link is a connection whose both ends have exchanged hellos.
 type link struct {
 	conn *quic.Conn
 	peer Identity
 
-	mu       sync.Mutex
-	calls    int
-	draining bool
+	mu            sync.Mutex
+	callsInFlight int
+	draining      bool
 }
 
-// begin counts a call on the link unless it is draining or dead.
-func (l *link) begin() bool {
+// beginCall counts a call on the link. It returns false if the link is draining
+// or closed.
+func (l *link) beginCall() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.draining || l.conn.Context().Err() != nil {
 		return false
 	}
-	l.calls++
+	l.callsInFlight++
 	return true
 }
 
-// end closes the link when it is draining and this was its last call.
-func (l *link) end() {
+// endCall ends a call and closes a draining link after its last call.
+func (l *link) endCall() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.calls--
+	l.callsInFlight--
 	l.closeIfDrained()
 }
 
-// drain takes no more calls and closes the link after the last one.
+// drain rejects new calls and closes the link after the last one in flight.
 func (l *link) drain() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -45,7 +46,7 @@
 }
 
 func (l *link) closeIfDrained() {
-	if l.draining && l.calls == 0 {
+	if l.draining && l.callsInFlight == 0 {
 		l.close(codeClosing, "drained")
 	}
 }
@@ -57,12 +58,13 @@
 }
 
 func (l *link) close(code quic.ApplicationErrorCode, detail string) {
-	_ = l.conn.CloseWithError(code, clip(detail)) // closing twice is harmless
+	_ = l.conn.CloseWithError(code, truncateDetail(detail)) // closing twice has no effect
 }
 
-// goAway tells the dialling end that this one is shutting down: it lets its
-// calls end and closes the connection. The message is the stream itself.
-func (l *link) goAway() {
+// sendGoAway announces a shutdown to the dialling end, which then finishes its
+// calls and closes the connection. Opening the stream is the message; it
+// carries no data.
+func (l *link) sendGoAway() {
 	stream, err := l.conn.OpenUniStream()
 	if err != nil {
 		return // the connection is closed already
@@ -75,8 +77,8 @@
 	Self Identity `cbor:"1,keyasint"`
 }
 
-// checkHello returns the identity of the other end: its hello must agree with
-// its certificate, and its boot must not be an older one.
+// checkHello returns the identity of the other end. Its hello must agree with
+// its certificate, and its boot must not be stale.
 func (n *Node) checkHello(conn *quic.Conn, h hello) (Identity, error) {
 	certified, err := peerIdentity(n.opts.Deployment, conn.ConnectionState().TLS)
 	if err != nil {
@@ -84,7 +86,7 @@
 	}
 	if h.Self.ID != certified.ID || h.Self.Role != certified.Role {
 		return Identity{}, &IdentityError{
-			Want: certified.Role + "/" + certified.ID, Got: clip(h.Self.Role + "/" + h.Self.ID),
+			Want: certified.Role + "/" + certified.ID, Got: truncateDetail(h.Self.Role + "/" + h.Self.ID),
 		}
 	}
 	if h.Self.BootID == "" {
@@ -93,7 +95,8 @@
 	return h.Self, n.admitBoot(h.Self)
 }
 
-// admitBoot closes the links of the boot that a newer one replaces.
+// admitBoot admits the peer's boot and closes the links of a boot that it
+// replaces.
 func (n *Node) admitBoot(peer Identity) error {
 	n.mu.Lock()
 	replaced, err := n.boots.admit(peer.ID, peer.BootID, time.Now())
@@ -102,12 +105,12 @@
 	if err != nil || !replaced {
 		return err
 	}
-	n.log.Info("newer boot of a peer", "peer", peer.ID, "boot", peer.BootID)
+	n.log.Info("newer boot of a peer replaces the previous one", "peer", peer.ID, "boot", peer.BootID)
 	if l != nil && l.peer.BootID != peer.BootID {
 		l.close(codeSuperseded, "a newer boot is linked")
 	}
 	if r != nil {
-		r.dropOlder(peer.BootID)
+		r.closeOtherBoot(peer.BootID)
 	}
 	return nil
 }
@@ -118,15 +121,16 @@
 	return n.boots.isCurrent(peer.ID, peer.BootID)
 }
 
-// watch keeps the count of links to a boot while the link lives.
-func (n *Node) watch(l *link) {
+// countUntilClosed counts the link as one of its boot's links until the link
+// closes, and then removes it from the incoming links.
+func (n *Node) countUntilClosed(l *link) {
 	n.mu.Lock()
-	n.boots.attach(l.peer.ID, l.peer.BootID)
+	n.boots.addLink(l.peer.ID, l.peer.BootID)
 	n.mu.Unlock()
 	<-l.conn.Context().Done()
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.boots.detach(l.peer.ID, l.peer.BootID, time.Now())
+	n.boots.removeLink(l.peer.ID, l.peer.BootID, time.Now())
 	if n.incoming[l.peer.ID] == l {
 		delete(n.incoming, l.peer.ID)
 	}
--- a/internal/peer/node.go
+++ b/internal/peer/node.go
@@ -17,16 +17,16 @@
 
 // Options configure a node.
 type Options struct {
-	// Self is this process. Its ID and Role are those of the certificate.
+	// Self identifies this process. Its ID and Role must match the certificate.
 	Self Identity
-	// Deployment is the one that certificates must name.
+	// Deployment is the deployment that certificates must name.
 	Deployment string
-	// TLS holds this process's certificate (also by GetCertificate and
-	// GetClientCertificate, for renewal) and RootCAs, the authorities of the
-	// peers' certificates at both ends; ClientCAs, where set, is used for
-	// accepting instead.
+	// TLS holds this process's certificate (or GetCertificate and
+	// GetClientCertificate, for renewal) and RootCAs, the authorities that
+	// verify peers in both directions. ClientCAs, if set, verifies accepted
+	// connections instead.
 	TLS *tls.Config
-	// Listen is the UDP address to listen on, an IP number and a port.
+	// Listen is the UDP address to listen on, an IP address and a port.
 	Listen string
 	Logger *slog.Logger
 }
@@ -40,18 +40,18 @@
 	stateClosed
 )
 
-// Node is this process's end of the links to its peers.
+// Node holds this process's connections to and from its peers.
 type Node struct {
-	opts     Options
-	log      *slog.Logger
-	listenOn netip.AddrPort
-	serverTL *tls.Config
-	clientTL *tls.Config
-	registry registry
-	// noticeSeq numbers this process's notices. It belongs to the node, so
-	// that it never falls while the process lives, whatever links come and go.
-	noticeSeq atomic.Uint64
-	budget    *semaphore.Weighted
+	opts      Options
+	log       *slog.Logger
+	listenOn  netip.AddrPort
+	serverTLS *tls.Config
+	clientTLS *tls.Config
+	registry  registry
+	// noticeSeq numbers this process's notices. It belongs to the node and not
+	// to a link, so that it never decreases while the process runs.
+	noticeSeq      atomic.Uint64
+	transferMemory *semaphore.Weighted
 
 	udp       *net.UDPConn
 	transport *quic.Transport
@@ -60,19 +60,19 @@
 	cancel    context.CancelFunc
 	wg        sync.WaitGroup
 
-	mu       sync.Mutex
-	state    nodeState
-	remotes  map[string]*remote
-	incoming map[string]*link
-	boots    *boots
-	seen     map[string]*noticeSeqs
-	// inflight counts calls at both ends; idle is closed when it has fallen to
-	// zero after Close began.
-	inflight int
-	idle     chan struct{}
+	mu        sync.Mutex
+	state     nodeState
+	remotes   map[string]*remote
+	incoming  map[string]*link
+	boots     *bootTracker
+	delivered map[string]*noticeSeqs
+	// callsInFlight counts outgoing and incoming calls; idle is closed when it
+	// reaches zero after Close began.
+	callsInFlight int
+	idle          chan struct{}
 }
 
-// NewNode checks the options and returns a node that is not yet started.
+// NewNode checks the options and returns a node that is not started.
 func NewNode(opts Options) (*Node, error) {
 	listenOn, err := checkOptions(&opts)
 	if err != nil {
@@ -80,19 +80,19 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	return &Node{
-		opts:     opts,
-		log:      opts.Logger.With("component", "peer"),
-		listenOn: listenOn,
-		serverTL: serverTLS(opts.TLS, opts.Deployment),
-		clientTL: clientTLS(opts.TLS, opts.Deployment),
-		budget:   semaphore.NewWeighted(transferBudget),
-		ctx:      ctx,
-		cancel:   cancel,
-		remotes:  map[string]*remote{},
-		incoming: map[string]*link{},
-		boots:    newBoots(),
-		seen:     map[string]*noticeSeqs{},
-		idle:     make(chan struct{}),
+		opts:           opts,
+		log:            opts.Logger.With("component", "peer"),
+		listenOn:       listenOn,
+		serverTLS:      serverTLS(opts.TLS, opts.Deployment),
+		clientTLS:      clientTLS(opts.TLS, opts.Deployment),
+		transferMemory: semaphore.NewWeighted(transferBudget),
+		ctx:            ctx,
+		cancel:         cancel,
+		remotes:        map[string]*remote{},
+		incoming:       map[string]*link{},
+		boots:          newBootTracker(),
+		delivered:      map[string]*noticeSeqs{},
+		idle:           make(chan struct{}),
 	}, nil
 }
 
@@ -104,7 +104,7 @@
 	if opts.Deployment == "" {
 		return none, &OptionsError{Option: "Deployment", Detail: "is empty"}
 	}
-	// Without roots the library would trust every public authority.
+	// Without RootCAs the library would trust every public authority.
 	if opts.TLS == nil || opts.TLS.RootCAs == nil {
 		return none, &OptionsError{Option: "TLS", Detail: "needs RootCAs"}
 	}
@@ -118,7 +118,8 @@
 	return addr, nil
 }
 
-// Start listens. Peers are dialled when there is something to say to them.
+// Start begins to accept connections. Peers are dialled when the first message
+// is sent to them.
 func (n *Node) Start() error {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -130,7 +131,7 @@
 		return &LinkError{Op: "listen", Cause: err}
 	}
 	transport := &quic.Transport{Conn: udp}
-	listener, err := transport.Listen(n.serverTL, acceptConfig())
+	listener, err := transport.Listen(n.serverTLS, acceptConfig())
 	if err != nil {
 		return errors.CombineErrors(&LinkError{Op: "listen", Cause: err}, udp.Close())
 	}
@@ -159,8 +160,8 @@
 	return c
 }
 
-// dialConfig lets the peer open nothing but the stream that announces its
-// shutdown: what it has to say goes over its own connection.
+// dialConfig lets the accepting end open nothing but the stream that announces
+// its shutdown: it sends messages over the connection that it dials itself.
 func dialConfig() *quic.Config {
 	c := commonConfig()
 	c.MaxIncomingStreams = -1
@@ -168,7 +169,7 @@
 	return c
 }
 
-// LocalAddr is the address that the node listens on, or nil before Start.
+// LocalAddr returns the address that the node listens on, or nil before Start.
 func (n *Node) LocalAddr() net.Addr {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -178,16 +179,16 @@
 	return n.udp.LocalAddr()
 }
 
-// Self is this process's identity.
+// Self returns this process's identity.
 func (n *Node) Self() Identity { return n.opts.Self }
 
-// SetPeers replaces the wanted peers: id to address (IP number and port).
-// Connections to and from removed ones, and to a changed address, are closed.
-// A malformed address leaves its peer out; the others still apply, and the
-// first such address is the error.
+// SetPeers replaces the wanted peers, a map of ID to address (IP address and
+// port). Connections to and from removed peers, and to a changed address, are
+// closed. A peer with a malformed address is left out while the others apply;
+// the first such address is returned as the error.
 func (n *Node) SetPeers(peers map[string]string) error {
 	wanted, firstErr := n.parsePeers(peers)
-	for _, r := range n.swapRemotes(wanted) {
+	for _, r := range n.replaceRemotes(wanted) {
 		r.close()
 	}
 	return firstErr
@@ -212,31 +213,32 @@
 	return wanted, firstErr
 }
 
-// swapRemotes installs the wanted set and returns what it displaced.
-func (n *Node) swapRemotes(wanted map[string]netip.AddrPort) []*remote {
+// replaceRemotes installs the wanted set and returns the remotes that it
+// removed.
+func (n *Node) replaceRemotes(wanted map[string]netip.AddrPort) []*remote {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	var displaced []*remote
+	var removed []*remote
 	for id, r := range n.remotes {
 		addr, keep := wanted[id]
 		if keep && addr == r.addr {
 			continue
 		}
-		displaced = append(displaced, r)
+		removed = append(removed, r)
 		delete(n.remotes, id)
 		if l := n.incoming[id]; l != nil && !keep {
 			l.close(codeRemoved, "no longer a peer")
 		}
 	}
 	if n.state >= stateClosing {
-		return displaced
+		return removed
 	}
 	for id, addr := range wanted {
 		if n.remotes[id] == nil {
 			n.remotes[id] = newRemote(n, id, addr)
 		}
 	}
-	return displaced
+	return removed
 }
 
 func (n *Node) remote(id string) (*remote, error) {
@@ -251,7 +253,7 @@
 	return nil, &UnknownPeerError{ID: id}
 }
 
-// spawn runs f in the background unless the node is closing.
+// spawn runs f in a goroutine unless the node is closing.
 func (n *Node) spawn(f func()) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -262,29 +264,30 @@
 	return true
 }
 
-// begin counts a call in flight unless the node is closing; end follows it.
-func (n *Node) begin() bool {
+// beginCall counts a call in flight unless the node is closing. Each successful
+// beginCall needs an endCall.
+func (n *Node) beginCall() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.state != stateRunning {
 		return false
 	}
-	n.inflight++
+	n.callsInFlight++
 	return true
 }
 
-func (n *Node) end() {
+func (n *Node) endCall() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.inflight--
-	if n.inflight == 0 && n.state >= stateClosing {
+	n.callsInFlight--
+	if n.callsInFlight == 0 && n.state >= stateClosing {
 		close(n.idle)
 	}
 }
 
-// Close ends the node gracefully: no new calls, the peers are told, calls in
-// flight may end within a grace period, then all connections close. It returns
-// when nothing of the node runs any more.
+// Close shuts the node down gracefully: it accepts no new calls, announces the
+// shutdown to the peers, waits up to closeGrace for calls in flight and closes
+// all connections. It returns when all of the node's goroutines have ended.
 func (n *Node) Close() error {
 	incoming, remotes, ok := n.beginClose()
 	if !ok {
@@ -294,12 +297,12 @@
 	grace := time.NewTimer(closeGrace)
 	defer grace.Stop()
 	for _, l := range incoming {
-		l.goAway()
+		l.sendGoAway()
 	}
 	for _, r := range remotes {
 		r.drain()
 	}
-	n.awaitQuiet(incoming, grace.C)
+	n.awaitDrained(incoming, grace.C)
 	n.cancel()
 	for _, r := range remotes {
 		r.close()
@@ -320,7 +323,7 @@
 		return nil, nil, false
 	}
 	n.state = stateClosing
-	if n.inflight == 0 {
+	if n.callsInFlight == 0 {
 		close(n.idle)
 	}
 	for _, l := range n.incoming {
@@ -332,10 +335,10 @@
 	return incoming, remotes, true
 }
 
-// awaitQuiet waits until no call is in flight and the peers have closed their
-// connections, which tells that they have read the last answers. Closing from
-// this side would discard answers still on their way.
-func (n *Node) awaitQuiet(incoming []*link, grace <-chan time.Time) {
+// awaitDrained waits until no call is in flight and the peers have closed their
+// connections, which shows that they have read the last answers. Closing them
+// from this side would discard answers in transit.
+func (n *Node) awaitDrained(incoming []*link, grace <-chan time.Time) {
 	select {
 	case <-n.idle:
 	case <-grace:
--- a/internal/peer/notice.go
+++ b/internal/peer/notice.go
@@ -9,7 +9,7 @@
 	"github.com/quic-go/quic-go"
 )
 
-// noticeHeader is the frame before each notice on the stream of notices.
+// noticeHeader is the frame before each notice on a notice stream.
 type noticeHeader struct {
 	Kind string `cbor:"1,keyasint"`
 	Seq  uint64 `cbor:"2,keyasint"`
@@ -21,9 +21,9 @@
 	body []byte
 }
 
-// outbox holds the notices that wait for a peer: at most one of each kind. A
-// peer that is slow, frozen or away therefore costs its senders no memory and
-// no time, and finds the newest word when it comes back.
+// outbox holds the notices that wait for a peer, at most one of each kind. A
+// slow, frozen or unreachable peer therefore costs its senders neither memory
+// nor time, and receives the newest notices when it is back.
 type outbox struct {
 	mu      sync.Mutex
 	pending map[string]notice
@@ -35,7 +35,7 @@
 	return &outbox{pending: map[string]notice{}, signal: make(chan struct{}, 1)}
 }
 
-// put replaces the waiting notice of the same kind if it is older.
+// put queues a notice, replacing an older one of the same kind.
 func (o *outbox) put(m notice) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -53,8 +53,8 @@
 	}
 }
 
-// take returns the notice whose kind has waited longest.
-func (o *outbox) take() (notice, bool) {
+// pop removes and returns the notice whose kind has waited longest.
+func (o *outbox) pop() (notice, bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if len(o.order) == 0 {
@@ -74,13 +74,13 @@
 }
 
 // Notify sends m one way. It never blocks; of several notices of one kind that
-// wait for the same peer only the newest is sent. A notice can be lost with
-// its connection, so what matters is repeated by its sender.
+// wait for the same peer only the newest is sent. A notice can be lost with its
+// connection, so senders must repeat what matters.
 func Notify[M any](n *Node, peerID, kind string, m M, opts ...KindOption) error {
 	if len(kind) > maxKind {
 		return &TooLargeError{Size: len(kind), Limit: maxKind}
 	}
-	body, err := encode(m, settings(opts).limit)
+	body, err := encode(m, applyOptions(opts).limit)
 	if err != nil {
 		return err
 	}
@@ -89,19 +89,19 @@
 		return &UnreachableError{Peer: peerID, Kind: kind, Cause: err}
 	}
 	r.outbox.put(notice{kind: kind, seq: n.noticeSeq.Add(1), body: body})
-	r.startSending()
+	r.ensureSender()
 	return nil
 }
 
-func (r *remote) startSending() {
+func (r *remote) ensureSender() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if !r.sending {
-		r.sending = r.node.spawn(r.sendNotices)
+	if !r.senderRunning {
+		r.senderRunning = r.node.spawn(r.sendNotices)
 	}
 }
 
-// sendNotices writes what is in the outbox until the peer is removed.
+// sendNotices sends the notices of the outbox until the peer is removed.
 func (r *remote) sendNotices() {
 	for {
 		select {
@@ -110,19 +110,19 @@
 			return
 		}
 		for r.outbox.len() > 0 && r.ctx.Err() == nil {
-			if err := r.sendOnOneLink(); err != nil {
-				r.pause(err)
+			if err := r.sendOverLink(); err != nil {
+				r.awaitNextDial(err)
 			}
 		}
 	}
 }
 
-// pause waits until the next dial is due.
-func (r *remote) pause(err error) {
+// awaitNextDial waits until the next dial is due.
+func (r *remote) awaitNextDial(err error) {
 	wait := backoffBase
-	var pause *BackoffError
-	if errors.As(err, &pause) {
-		wait = pause.Wait
+	var backoffErr *BackoffError
+	if errors.As(err, &backoffErr) {
+		wait = backoffErr.Wait
 	}
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
@@ -132,21 +132,21 @@
 	}
 }
 
-// sendOnOneLink writes notices on one stream until the link fails or the peer
-// is removed. The stream stays open while there is nothing to send.
-func (r *remote) sendOnOneLink() error {
+// sendOverLink sends notices on one stream until the link fails or the peer is
+// removed. The stream stays open while there is nothing to send.
+func (r *remote) sendOverLink() error {
 	l, err := r.acquire(r.ctx)
 	if err != nil {
 		return err
 	}
-	l.end() // an idle stream of notices doesn't hold up a draining link
+	l.endCall() // a notice stream must not keep a draining link open
 	stream, err := l.conn.OpenUniStreamSync(r.ctx)
 	if err != nil {
 		return linkError("open", err)
 	}
 	defer func() { _ = stream.Close() }()
 	for l.usable() {
-		m, ok := r.outbox.take()
+		m, ok := r.outbox.pop()
 		if !ok {
 			select {
 			case <-r.outbox.signal:
@@ -175,7 +175,7 @@
 	return nil
 }
 
-// serveNotices reads the peer's streams of notices.
+// serveNotices accepts and reads the peer's notice streams.
 func (n *Node) serveNotices(l *link) {
 	for {
 		stream, err := l.conn.AcceptUniStream(l.conn.Context())
@@ -184,9 +184,9 @@
 		}
 		n.wg.Go(func() {
 			err := n.readNotices(l, stream)
-			var frame *FrameError
-			if errors.As(err, &frame) {
-				n.reportMalformed(l, err)
+			var frameErr *FrameError
+			if errors.As(err, &frameErr) {
+				n.closeMalformed(l, err)
 			}
 		})
 	}
@@ -195,22 +195,22 @@
 func (n *Node) readNotices(l *link, stream io.Reader) error {
 	for {
 		var head noticeHeader
-		if err := readInto(stream, maxHeader, &head); err != nil {
+		if err := readFrameInto(stream, maxHeader, &head); err != nil {
 			if errors.Is(err, io.EOF) {
-				return nil // ended between two notices
+				return nil // the stream ended between two notices
 			}
 			return err
 		}
-		h, known := n.registry.notice(head.Kind)
+		h, ok := n.registry.noticeHandler(head.Kind)
 		limit := MaxOrdinary
-		if known {
+		if ok {
 			limit = h.limit
 		}
 		body, err := readFrame(stream, limit)
 		if err != nil {
 			return err
 		}
-		if !known || !n.isNewest(l.peer, head) {
+		if !ok || !n.recordIfNewest(l.peer, head) {
 			continue
 		}
 		if err := n.deliver(l, h, head, body); err != nil {
@@ -219,37 +219,40 @@
 	}
 }
 
-// deliver leaves out a notice of another version's shape: it is one way, and
-// its sender can't be told.
+// deliver runs the handler. A notice that doesn't match the handler's type,
+// because the peer runs another version, is logged and dropped: a notice is
+// one-way, so its sender can't be informed.
 func (n *Node) deliver(l *link, h noticeHandler, head noticeHeader, body []byte) error {
-	err := h.deliver(l.peer, body)
-	var shape *DecodeError
-	if errors.As(err, &shape) {
-		n.log.Warn("notice of another shape", "peer", l.peer.ID, "kind", head.Kind, "error", err.Error())
+	err := h.decodeAndRun(l.peer, body)
+	var decodeErr *DecodeError
+	if errors.As(err, &decodeErr) {
+		n.log.Warn("notice does not match its type; dropped", "peer", l.peer.ID, "kind", head.Kind, "error", err.Error())
 		return nil
 	}
 	return err
 }
 
-// noticeSeqs is the highest number delivered, by kind, from one boot.
+// noticeSeqs holds the highest sequence number delivered from one boot, by
+// kind.
 type noticeSeqs struct {
 	bootID string
 	byKind map[string]uint64
 }
 
-// isNewest tells whether a notice is to be delivered. The stream of a broken
-// link can still be read while its successor is, so an older notice can come
-// last; and a boot that has been replaced is no longer heard.
-func (n *Node) isNewest(from Identity, head noticeHeader) bool {
+// recordIfNewest reports whether a notice is to be delivered, and records its
+// sequence number if so. The stream of a broken link can still be read while
+// its successor is, so an older notice can arrive last. Notices of a replaced
+// boot are dropped.
+func (n *Node) recordIfNewest(from Identity, head noticeHeader) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if !n.boots.isCurrent(from.ID, from.BootID) {
 		return false
 	}
-	s := n.seen[from.ID]
+	s := n.delivered[from.ID]
 	if s == nil || s.bootID != from.BootID {
 		s = &noticeSeqs{bootID: from.BootID, byKind: map[string]uint64{}}
-		n.seen[from.ID] = s
+		n.delivered[from.ID] = s
 	}
 	if head.Seq <= s.byKind[head.Kind] {
 		return false
--- a/internal/peer/registry.go
+++ b/internal/peer/registry.go
@@ -5,19 +5,19 @@
 	"sync"
 )
 
-// KindOption changes how one kind of message is treated. Both ends give the
-// same options for a kind.
+// KindOption configures one kind of message. Both ends must use the same
+// options for a kind.
 type KindOption func(*kindSettings)
 
 type kindSettings struct{ limit int }
 
-// MaxBytes sets the limit of a kind's messages, requests and answers alike, up
-// to MaxTransfer. Without it the limit is MaxOrdinary.
+// MaxBytes sets the size limit of a kind's messages, requests and answers
+// alike, up to MaxTransfer. The default is MaxOrdinary.
 func MaxBytes(limit int) KindOption {
 	return func(s *kindSettings) { s.limit = min(limit, MaxTransfer) }
 }
 
-func settings(opts []KindOption) kindSettings {
+func applyOptions(opts []KindOption) kindSettings {
 	s := kindSettings{limit: MaxOrdinary}
 	for _, opt := range opts {
 		opt(&s)
@@ -25,40 +25,41 @@
 	return s
 }
 
-// callHandler serves one kind of call. Decoding is a step of its own, so that
-// the memory of a large request is given back before the handler runs.
+// callHandler serves one kind of call. Decoding is a separate step, so that the
+// memory of a large request is released before the handler runs.
 type callHandler struct {
 	kindSettings
-	prepare func(body []byte) (func(ctx context.Context, from Identity) ([]byte, error), error)
+	decodeRequest func(body []byte) (func(ctx context.Context, from Identity) ([]byte, error), error)
 }
 
+// noticeHandler decodes and handles one kind of notice.
 type noticeHandler struct {
 	kindSettings
-	deliver func(from Identity, body []byte) error
+	decodeAndRun func(from Identity, body []byte) error
 }
 
-// registry holds the handlers by kind.
+// registry holds the handlers by message kind.
 type registry struct {
 	mu      sync.RWMutex
 	calls   map[string]callHandler
 	notices map[string]noticeHandler
 }
 
-func (r *registry) call(kind string) (callHandler, bool) {
+func (r *registry) callHandler(kind string) (callHandler, bool) {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
 	h, ok := r.calls[kind]
 	return h, ok
 }
 
-func (r *registry) notice(kind string) (noticeHandler, bool) {
+func (r *registry) noticeHandler(kind string) (noticeHandler, bool) {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
 	h, ok := r.notices[kind]
 	return h, ok
 }
 
-func add[H any](r *registry, m *map[string]H, kind string, h H) {
+func register[H any](r *registry, m *map[string]H, kind string, h H) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if *m == nil {
@@ -70,14 +71,15 @@
 	(*m)[kind] = h
 }
 
-// Handle serves calls of a kind. The handler runs once per call that arrived
-// whole; its context ends when the caller's does. from is vouched for by the
-// certificate, but for BootID and Zone, which are the peer's own word.
+// Handle registers the handler for calls of a kind. It runs once per call that
+// arrived completely; its context ends when the caller's does. The ID and Role
+// of from are authenticated by the certificate; its BootID and Zone are only
+// claimed by the peer.
 func Handle[Req, Resp any](n *Node, kind string,
 	fn func(ctx context.Context, from Identity, req Req) (Resp, error), opts ...KindOption,
 ) {
-	s := settings(opts)
-	prepare := func(body []byte) (func(context.Context, Identity) ([]byte, error), error) {
+	s := applyOptions(opts)
+	decodeRequest := func(body []byte) (func(context.Context, Identity) ([]byte, error), error) {
 		var req Req
 		if err := decode(body, &req); err != nil {
 			return nil, err
@@ -90,14 +92,14 @@
 			return encode(resp, s.limit)
 		}, nil
 	}
-	add(&n.registry, &n.registry.calls, kind, callHandler{kindSettings: s, prepare: prepare})
+	register(&n.registry, &n.registry.calls, kind, callHandler{kindSettings: s, decodeRequest: decodeRequest})
 }
 
-// HandleNotice takes notices of a kind. Those of one peer are delivered one at
-// a time, newer ones after older ones; fn must return quickly, as the peer's
-// other notices wait for it.
+// HandleNotice registers the handler for notices of a kind. Notices of one kind
+// from one peer are delivered one at a time and never out of order; fn must
+// return quickly, as the peer's other notices wait for it.
 func HandleNotice[M any](n *Node, kind string, fn func(from Identity, m M), opts ...KindOption) {
-	deliver := func(from Identity, body []byte) error {
+	decodeAndRun := func(from Identity, body []byte) error {
 		var m M
 		if err := decode(body, &m); err != nil {
 			return err
@@ -105,6 +107,6 @@
 		fn(from, m)
 		return nil
 	}
-	h := noticeHandler{kindSettings: settings(opts), deliver: deliver}
-	add(&n.registry, &n.registry.notices, kind, h)
+	h := noticeHandler{kindSettings: applyOptions(opts), decodeAndRun: decodeAndRun}
+	register(&n.registry, &n.registry.notices, kind, h)
 }
--- a/internal/peer/remote.go
+++ b/internal/peer/remote.go
@@ -12,7 +12,7 @@
 	"github.com/quic-go/quic-go"
 )
 
-// remote is a wanted peer: the connection dialled to it, and its notices.
+// remote is a wanted peer: the connection dialled to it and its outbox.
 type remote struct {
 	node   *Node
 	id     string
@@ -21,18 +21,19 @@
 	cancel context.CancelFunc
 	outbox *outbox
 
-	mu       sync.Mutex
-	link     *link
-	attempt  *attempt
-	failures int
-	retryAt  time.Time
-	lastErr  error
-	sending  bool
+	mu            sync.Mutex
+	link          *link
+	dialInFlight  *dialAttempt
+	failedDials   int
+	nextDialAt    time.Time
+	lastDialErr   error
+	senderRunning bool
 }
 
-// attempt is one dial, shared by all who wait for it. It is not bound to the
-// context of any of them: one caller's short deadline doesn't fail the others.
-type attempt struct {
+// dialAttempt is one dial, shared by all callers that wait for it. It is not
+// bound to the context of any of them, so that the short deadline of one caller
+// doesn't fail the others.
+type dialAttempt struct {
 	done chan struct{}
 	err  error
 }
@@ -42,13 +43,13 @@
 	return &remote{node: n, id: id, addr: addr, ctx: ctx, cancel: cancel, outbox: newOutbox()}
 }
 
-// acquire returns a live link on which a call has been begun, dialling if need
-// be. In the pause after a failed dial it fails at once: a caller with other
-// choices learns of it now, and a dead peer costs one dial per pause however
-// many callers there are.
+// acquire returns an open link on which a call has been begun, and dials if
+// necessary. During the backoff after a failed dial it fails immediately: a
+// caller with alternatives can use them at once, and an unreachable peer costs
+// one dial per backoff delay regardless of the number of callers.
 func (r *remote) acquire(ctx context.Context) (*link, error) {
 	for {
-		l, a, err := r.linkOrAttempt()
+		l, a, err := r.linkOrDial()
 		if err != nil {
 			return nil, err
 		}
@@ -66,39 +67,39 @@
 	}
 }
 
-func (r *remote) linkOrAttempt() (*link, *attempt, error) {
+func (r *remote) linkOrDial() (*link, *dialAttempt, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.link != nil && r.link.begin() {
+	if r.link != nil && r.link.beginCall() {
 		return r.link, nil, nil
 	}
-	if r.attempt != nil {
-		return nil, r.attempt, nil
+	if r.dialInFlight != nil {
+		return nil, r.dialInFlight, nil
 	}
-	if wait := time.Until(r.retryAt); r.failures > 0 && wait > 0 {
-		return nil, nil, &BackoffError{Wait: wait, Cause: r.lastErr}
+	if wait := time.Until(r.nextDialAt); r.failedDials > 0 && wait > 0 {
+		return nil, nil, &BackoffError{Wait: wait, Cause: r.lastDialErr}
 	}
-	a := &attempt{done: make(chan struct{})}
-	if !r.node.spawn(func() { r.run(a) }) {
+	a := &dialAttempt{done: make(chan struct{})}
+	if !r.node.spawn(func() { r.runDial(a) }) {
 		return nil, nil, &ClosedError{}
 	}
-	r.attempt = a
+	r.dialInFlight = a
 	return nil, a, nil
 }
 
-// run dials once and publishes the outcome.
-func (r *remote) run(a *attempt) {
+// runDial dials once and publishes the result.
+func (r *remote) runDial(a *dialAttempt) {
 	l, err := r.dial()
 	r.mu.Lock()
-	r.attempt = nil
+	r.dialInFlight = nil
 	a.err = err
 	if err != nil {
-		r.failures++
-		r.lastErr = err
-		r.retryAt = time.Now().Add(backoff(r.failures, rand.Float64()))
+		r.failedDials++
+		r.lastDialErr = err
+		r.nextDialAt = time.Now().Add(backoff(r.failedDials, rand.Float64()))
 	} else {
-		r.failures, r.lastErr, r.link = 0, nil, l
-		if r.ctx.Err() != nil { // removed while it was being dialled
+		r.failedDials, r.lastDialErr, r.link = 0, nil, l
+		if r.ctx.Err() != nil { // removed during the dial
 			l.close(codeRemoved, "no longer a peer")
 		}
 	}
@@ -108,39 +109,39 @@
 		r.node.log.Debug("dial failed", "peer", r.id, "addr", r.addr.String(), "error", err.Error())
 		return
 	}
-	r.attend(l)
+	r.superviseLink(l)
 }
 
-// attend watches a dialled link until it ends. The only stream that the other
-// end opens on it says that it is shutting down.
-func (r *remote) attend(l *link) {
+// superviseLink follows a dialled link until it closes. The only stream that
+// the accepting end opens on it announces its shutdown.
+func (r *remote) superviseLink(l *link) {
 	r.node.wg.Go(func() {
 		if _, err := l.conn.AcceptUniStream(l.conn.Context()); err == nil {
 			l.drain()
 		}
 	})
-	r.node.watch(l)
+	r.node.countUntilClosed(l)
 }
 
 func (r *remote) dial() (*link, error) {
 	ctx, cancel := context.WithTimeout(r.ctx, 2*handshakeTimeout+helloTimeout)
 	defer cancel()
 	addr := net.UDPAddrFromAddrPort(r.addr)
-	conn, err := r.node.transport.Dial(ctx, addr, r.node.clientTL, dialConfig())
+	conn, err := r.node.transport.Dial(ctx, addr, r.node.clientTLS, dialConfig())
 	if err != nil {
 		return nil, linkError("dial", err)
 	}
-	l, err := r.greet(ctx, conn)
+	l, err := r.dialHello(ctx, conn)
 	if err != nil {
-		_ = conn.CloseWithError(codeOf(err), clip(err.Error()))
+		_ = conn.CloseWithError(closeCodeFor(err), truncateDetail(err.Error()))
 		return nil, err
 	}
 	return l, nil
 }
 
-// greet exchanges hellos and checks that the process at the address is the one
-// wanted: addresses are given to other instances in time.
-func (r *remote) greet(ctx context.Context, conn *quic.Conn) (*link, error) {
+// dialHello exchanges hellos and checks that the process at the address is the
+// wanted one, as addresses can be reassigned to other instances.
+func (r *remote) dialHello(ctx context.Context, conn *quic.Conn) (*link, error) {
 	stream, err := conn.OpenStreamSync(ctx)
 	if err != nil {
 		return nil, linkError("hello", err)
@@ -152,7 +153,7 @@
 		return nil, err
 	}
 	var answer hello
-	if err := readInto(stream, maxHello, &answer); err != nil {
+	if err := readFrameInto(stream, maxHello, &answer); err != nil {
 		return nil, err
 	}
 	peer, err := r.node.checkHello(conn, answer)
@@ -183,25 +184,25 @@
 	return nil
 }
 
-// codeOf returns the code to close a connection with after err.
-func codeOf(err error) quic.ApplicationErrorCode {
+// closeCodeFor returns the code with which to close a connection after err.
+func closeCodeFor(err error) quic.ApplicationErrorCode {
 	var stale *StaleBootError
-	var frame *FrameError
+	var frameErr *FrameError
 	var closed *ClosedError
 	switch {
 	case errors.As(err, &closed):
 		return codeClosing
 	case errors.As(err, &stale):
 		return codeStaleBoot
-	case errors.As(err, &frame):
+	case errors.As(err, &frameErr):
 		return codeMalformed
 	default:
 		return codeIdentity
 	}
 }
 
-// dropOlder closes the link if it leads to another boot than the given one.
-func (r *remote) dropOlder(boot string) {
+// closeOtherBoot closes the link if it is to another boot than the given one.
+func (r *remote) closeOtherBoot(boot string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.link != nil && r.link.peer.BootID != boot {
@@ -209,7 +210,7 @@
 	}
 }
 
-// drain lets the calls on the link end.
+// drain closes the link once its calls in flight have ended.
 func (r *remote) drain() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -218,7 +219,7 @@
 	}
 }
 
-// close ends the link and whatever waits for it.
+// close closes the link and cancels whatever waits for it.
 func (r *remote) close() {
 	r.cancel()
 	r.mu.Lock()
--- a/internal/peer/serve.go
+++ b/internal/peer/serve.go
@@ -9,8 +9,9 @@
 	"github.com/quic-go/quic-go"
 )
 
-// acceptLoop takes connections until the listener closes. It goes on during a
-// shutdown, so that late calls are refused by word instead of by silence.
+// acceptLoop accepts connections until the listener closes. It continues during
+// a shutdown, so that late connections are refused explicitly instead of timing
+// out.
 func (n *Node) acceptLoop() {
 	for {
 		conn, err := n.listener.Accept(n.ctx)
@@ -24,21 +25,21 @@
 }
 
 func (n *Node) serveConn(conn *quic.Conn) {
-	l, err := n.welcome(conn)
+	l, err := n.acceptHello(conn)
 	if err != nil {
-		n.log.Warn("connection turned away", "remote", conn.RemoteAddr().String(), "error", err.Error())
-		_ = conn.CloseWithError(codeOf(err), clip(err.Error()))
+		n.log.Warn("connection rejected", "remote", conn.RemoteAddr().String(), "error", err.Error())
+		_ = conn.CloseWithError(closeCodeFor(err), truncateDetail(err.Error()))
 		return
 	}
-	n.wg.Go(func() { n.watch(l) })
+	n.wg.Go(func() { n.countUntilClosed(l) })
 	n.wg.Go(func() { n.serveNotices(l) })
 	n.serveCalls(l)
 }
 
-// welcome reads the hello of a new connection, answers it and installs the
-// link. An older link of the same process is closed: its dialler has given it
-// up, or it would not have dialled again.
-func (n *Node) welcome(conn *quic.Conn) (*link, error) {
+// acceptHello reads the hello of a new connection, answers it and installs the
+// link. It closes an older link of the same process, which the dialling end
+// must have abandoned, or it would not have dialled again.
+func (n *Node) acceptHello(conn *quic.Conn) (*link, error) {
 	ctx, cancel := context.WithTimeout(conn.Context(), helloTimeout)
 	defer cancel()
 	stream, err := conn.AcceptStream(ctx)
@@ -49,7 +50,7 @@
 		return nil, linkError("hello", err)
 	}
 	var h hello
-	if err := readInto(stream, maxHello, &h); err != nil {
+	if err := readFrameInto(stream, maxHello, &h); err != nil {
 		return nil, err
 	}
 	peer, err := n.checkHello(conn, h)
@@ -57,13 +58,13 @@
 		return nil, err
 	}
 	l := &link{conn: conn, peer: peer}
-	if err := n.install(l); err != nil {
+	if err := n.installIncoming(l); err != nil {
 		return nil, err
 	}
 	return l, writeHello(stream, n.opts.Self)
 }
 
-func (n *Node) install(l *link) error {
+func (n *Node) installIncoming(l *link) error {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.state != stateRunning {
@@ -85,27 +86,27 @@
 		if err != nil {
 			return
 		}
-		if !n.begin() {
+		if !n.beginCall() {
 			cancelStream(stream, streamRefused)
 			continue
 		}
 		n.wg.Go(func() {
-			defer n.end()
+			defer n.endCall()
 			n.serveCall(l, stream)
 		})
 	}
 }
 
 func (n *Node) serveCall(l *link, stream *quic.Stream) {
-	defer stream.CancelRead(streamCanceled) // no effect where all was read
+	defer stream.CancelRead(streamCanceled) // no effect if everything was read
 	head, run, err := n.readRequest(l, stream)
-	var frame *FrameError
-	if errors.As(err, &frame) {
-		n.reportMalformed(l, err)
+	var frameErr *FrameError
+	if errors.As(err, &frameErr) {
+		n.closeMalformed(l, err)
 		return
 	}
-	var link *LinkError
-	if errors.As(err, &link) || !n.isCurrent(l.peer) {
+	var linkErr *LinkError
+	if errors.As(err, &linkErr) || !n.isCurrent(l.peer) {
 		cancelStream(stream, streamRefused)
 		return
 	}
@@ -116,19 +117,19 @@
 	n.writeAnswer(stream, answer, err)
 }
 
-type runFunc func(ctx context.Context, from Identity) ([]byte, error)
+type handlerFunc func(ctx context.Context, from Identity) ([]byte, error)
 
-// readRequest reads a whole request up to the end of its stream. The limit of
-// its size is known from its kind before the body is read.
-func (n *Node) readRequest(l *link, stream *quic.Stream) (head callHeader, run runFunc, err error) {
+// readRequest reads a whole request up to the end of its stream. The kind
+// determines the size limit before the body is read.
+func (n *Node) readRequest(l *link, stream *quic.Stream) (head callHeader, run handlerFunc, err error) {
 	if err := stream.SetReadDeadline(time.Now().Add(requestReadTimeout)); err != nil {
 		return head, nil, linkError("read", err)
 	}
-	if err := readInto(stream, maxHeader, &head); err != nil {
+	if err := readFrameInto(stream, maxHeader, &head); err != nil {
 		return head, nil, err
 	}
-	h, known := n.registry.call(head.Kind)
-	if !known {
+	h, ok := n.registry.callHandler(head.Kind)
+	if !ok {
 		return head, nil, &UnknownKindError{Kind: head.Kind}
 	}
 	size, err := readLength(stream, h.limit)
@@ -136,25 +137,25 @@
 		return head, nil, err
 	}
 	if size > MaxOrdinary {
-		if err := n.budget.Acquire(l.conn.Context(), int64(size)); err != nil {
+		if err := n.transferMemory.Acquire(l.conn.Context(), int64(size)); err != nil {
 			return head, nil, linkError("read", err)
 		}
-		defer n.budget.Release(int64(size))
+		defer n.transferMemory.Release(int64(size))
 	}
 	body, err := readBody(stream, size)
 	if err != nil {
 		return head, nil, err
 	}
-	if err := expectEnd(stream); err != nil {
+	if err := expectEOF(stream); err != nil {
 		return head, nil, err
 	}
-	run, err = h.prepare(body)
+	run, err = h.decodeRequest(body)
 	return head, run, err
 }
 
-// expectEnd checks that the request ends here. A caller that gave up before
-// the end has reset the stream, and its request is not handled.
-func expectEnd(stream io.Reader) error {
+// expectEOF checks that the request ends here. A caller that gave up before the
+// end has reset the stream, and its request is not handled.
+func expectEOF(stream io.Reader) error {
 	var one [1]byte
 	switch count, err := stream.Read(one[:]); {
 	case count > 0:
@@ -166,9 +167,9 @@
 	}
 }
 
-// runHandler bounds the handler by the time its caller waits, in case the word
-// of the caller's giving up is lost.
-func runHandler(stream *quic.Stream, head callHeader, from Identity, run runFunc) ([]byte, error) {
+// runHandler runs the handler, bounded by the time for which its caller waits,
+// in case the caller's stream reset is lost.
+func runHandler(stream *quic.Stream, head callHeader, from Identity, run handlerFunc) ([]byte, error) {
 	timeout := min(time.Duration(head.TimeoutMillis)*time.Millisecond, defaultCallTimeout)
 	ctx, cancel := context.WithTimeout(stream.Context(), timeout)
 	defer cancel()
@@ -178,7 +179,7 @@
 func (n *Node) writeAnswer(stream *quic.Stream, answer []byte, failure error) {
 	var head answerHeader
 	if failure != nil {
-		head = answerHeader{Type: clip(remoteType(failure)), Detail: clip(failure.Error())}
+		head = answerHeader{Type: truncateDetail(remoteErrorType(failure)), Detail: truncateDetail(failure.Error())}
 	}
 	data, err := encode(head, maxHeader+2*maxDetail)
 	if err != nil {
@@ -190,7 +191,7 @@
 		buf = appendFrame(buf, answer)
 	}
 	if _, err := stream.Write(buf); err != nil {
-		return // the caller has gone
+		return // the caller no longer waits
 	}
 	_ = stream.Close()
 }
--- a/internal/peer/status.go
+++ b/internal/peer/status.go
@@ -5,23 +5,22 @@
 	"slices"
 )
 
-// PeerStatus is one wanted peer, for dumps.
+// PeerStatus describes one wanted peer in dumps.
 type PeerStatus struct {
 	ID   string `json:"id"`
 	Addr string `json:"addr"`
-	// Linked tells that there is a live connection to the peer, Incoming that
-	// there is one from it.
+	// Linked reports an open connection to the peer, Incoming one from it.
 	Linked   bool   `json:"linked"`
 	Incoming bool   `json:"incoming"`
 	BootID   string `json:"boot_id,omitempty"`
 	Zone     string `json:"zone,omitempty"`
-	// Failures counts the failed dials since the last good one.
+	// Failures counts the failed dials since the last successful one.
 	Failures       int    `json:"failures,omitempty"`
 	LastError      string `json:"last_error,omitempty"`
 	PendingNotices int    `json:"pending_notices,omitempty"`
 }
 
-// Status lists the wanted peers by id.
+// Status lists the wanted peers, sorted by ID.
 func (n *Node) Status() []PeerStatus {
 	n.mu.Lock()
 	remotes := make([]*remote, 0, len(n.remotes))
@@ -44,9 +43,9 @@
 func (r *remote) status() PeerStatus {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	s := PeerStatus{ID: r.id, Addr: r.addr.String(), Failures: r.failures, PendingNotices: r.outbox.len()}
-	if r.lastErr != nil {
-		s.LastError = r.lastErr.Error()
+	s := PeerStatus{ID: r.id, Addr: r.addr.String(), Failures: r.failedDials, PendingNotices: r.outbox.len()}
+	if r.lastDialErr != nil {
+		s.LastError = r.lastDialErr.Error()
 	}
 	if r.link != nil && r.link.usable() {
 		s.Linked, s.BootID, s.Zone = true, r.link.peer.BootID, r.link.peer.Zone
