--- a/internal/host/feeds.go
+++ b/internal/host/feeds.go
@@ -20,34 +20,38 @@
 )
 
 const (
-	// endpointsGap gathers records of service discovery into one read.
-	endpointsGap = 80 * time.Millisecond
-	// dutyCheck is how soon a node that was given a pool begins to read service
-	// discovery, and dutyLinger how long it goes on without any.
-	dutyCheck  = 60 * time.Millisecond
-	dutyLinger = 3 * time.Second
+	// endpointsBatchGap is the delay between reads of service discovery, so
+	// that several records arrive in one read.
+	endpointsBatchGap = 80 * time.Millisecond
+	// poolOwnershipPoll is how often the node checks whether it owns pools, and
+	// so how soon it starts to follow service discovery after it was assigned
+	// one. poolOwnershipLinger is how long it continues without owning any.
+	poolOwnershipPoll   = 60 * time.Millisecond
+	poolOwnershipLinger = 3 * time.Second
 )
 
-// followEndpoints reads service discovery while this node owns pools. The other
-// nodes have no use for it, and each read has its price.
+// followEndpoints follows service discovery while this node owns pools. Other
+// nodes don't need it, and each read has a cost.
 func (n *Node) followEndpoints(ctx context.Context) {
 	for ctx.Err() == nil {
 		if !n.manager.HoldsPools() {
-			pause.For(ctx, dutyCheck)
+			pause.For(ctx, poolOwnershipPoll)
 			continue
 		}
 		following, stop := context.WithCancel(ctx)
-		go n.stopWhenIdle(following, stop)
-		feed.Follow(following, n.client, feed.Topic{Name: platform.TopicEndpoints, Gap: endpointsGap, Handle: n.takeEndpoints}, n.log)
+		go n.stopWithoutPools(following, stop)
+		feed.Follow(following, n.client, feed.Topic{Name: platform.TopicEndpoints, Gap: endpointsBatchGap, Handle: n.applyEndpoints}, n.log)
 		stop()
 	}
 }
 
-func (n *Node) stopWhenIdle(ctx context.Context, stop context.CancelFunc) {
+// stopWithoutPools calls stop after the node has owned no pool for
+// poolOwnershipLinger.
+func (n *Node) stopWithoutPools(ctx context.Context, stop context.CancelFunc) {
 	idle := time.Duration(0)
-	for ctx.Err() == nil && idle < dutyLinger {
-		pause.For(ctx, dutyCheck)
-		idle += dutyCheck
+	for ctx.Err() == nil && idle < poolOwnershipLinger {
+		pause.For(ctx, poolOwnershipPoll)
+		idle += poolOwnershipPoll
 		if n.manager.HoldsPools() {
 			idle = 0
 		}
@@ -55,17 +59,18 @@
 	stop()
 }
 
-// unusable says that an entry of the store was left out. Whoever else writes there
-// may do so all the time, so the counter says how often.
-func (n *Node) unusable(topic string, err error) {
+// reportUnusableEntry logs and counts a store entry that was skipped. The
+// counter shows the rate, as another writer may write such entries
+// continuously.
+func (n *Node) reportUnusableEntry(topic string, err error) {
 	metrics.GetOrCreateCounter(`cyclamen_unusable_entries_total{topic="` + topic + `"}`).Inc()
 	n.log.Error("entry left out", "topic", topic, operator.Err(err))
 }
 
-// takeOperator takes in what operators publish and reports whether all of it could
-// be read.
-func (n *Node) takeOperator(records []platform.Record) (whole bool) {
-	whole = true
+// applyOperatorRecords applies the records that operators publish and reports
+// whether all of them could be read.
+func (n *Node) applyOperatorRecords(records []platform.Record) (allReadable bool) {
+	allReadable = true
 	for _, r := range records {
 		var err error
 		switch {
@@ -73,45 +78,46 @@
 			err = &platform.UnusableEntryError{Field: "bytes"}
 		case len(r.Value) == 0 && !r.Damaged:
 		case r.Key == platform.KeyConfig:
-			err = n.takeConfig(r)
+			err = n.applyConfig(r)
 		case strings.HasPrefix(r.Key, platform.KeyWavePrefix):
-			err = n.takeWave(r)
+			err = n.applyWave(r)
 		}
 		if err != nil {
-			n.unusable(platform.TopicOperator, err)
-			whole = false
+			n.reportUnusableEntry(platform.TopicOperator, err)
+			allReadable = false
 		}
 	}
-	return whole
+	return allReadable
 }
 
-// takeHistory looks for the last good configuration and waves behind newest ones
-// that can't be read. A node that starts after such an entry was written would
-// otherwise have no configuration and refuse all of its callers, while the others
-// still serve by the one before.
-func (n *Node) takeHistory(ctx context.Context) {
+// applyOperatorHistory searches the history for the last valid configuration
+// and waves that precede unreadable newest ones. Otherwise a node that starts
+// after an unreadable entry was written would have no configuration and reject
+// all callers, while the other nodes still serve with the previous one.
+func (n *Node) applyOperatorHistory(ctx context.Context) {
 	records, err := feed.History(ctx, n.client, platform.TopicOperator)
 	if err != nil {
-		n.log.Warn("history not read", "topic", platform.TopicOperator, operator.Err(err))
+		n.log.Warn("cannot read topic history", "topic", platform.TopicOperator, operator.Err(err))
 	}
-	n.log.Info("operators' history read", "records", len(records))
-	n.takeOperator(records)
+	n.log.Info("operator topic history read", "records", len(records))
+	n.applyOperatorRecords(records)
 }
 
-func (n *Node) takeWave(r platform.Record) error {
+func (n *Node) applyWave(r platform.Record) error {
 	w, err := platform.DecodeWave(r)
 	if err != nil {
 		return err
 	}
-	n.log.Info("wave asked for", "wave", w.Number, "instances", len(w.Instances), "at_once", w.MaxAtOnce, "within_ms", w.Within.Milliseconds())
+	n.log.Info("maintenance wave requested", "wave", w.Number, "instances", len(w.Instances), "at_once", w.MaxAtOnce, "within_ms", w.Within.Milliseconds())
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.waves[w.Number] = w
 	return nil
 }
 
-// facts are what the duty over instances goes by.
-func (n *Node) facts() fleetops.Facts {
+// fleetFacts returns the input of the fleet operations duty, which moves and
+// maintains instances.
+func (n *Node) fleetFacts() fleetops.Facts {
 	f := fleetops.Facts{Pools: n.manager.Pools()}
 	if c := n.ingress.Config(); c != nil {
 		f.Accounts = c.Accounts
@@ -129,9 +135,9 @@
 	return f
 }
 
-// takeConfig puts a configuration in force. One that can't be read leaves the last
-// good one in force: callers are served by it until the operator publishes anew.
-func (n *Node) takeConfig(r platform.Record) error {
+// applyConfig puts a configuration in force. An unreadable one leaves the last
+// valid one in force, which serves callers until the operator publishes again.
+func (n *Node) applyConfig(r platform.Record) error {
 	c, err := platform.DecodeConfig(r, platform.AccountsInForce(n.set.Contracts))
 	if err != nil {
 		return err
@@ -140,32 +146,32 @@
 	return nil
 }
 
-// configChanged lets the duties know of a configuration that has come into force.
-func (n *Node) configChanged(c *routing.Config) {
+// onConfigChanged passes a configuration that has come into force to the pool
+// manager.
+func (n *Node) onConfigChanged(c *routing.Config) {
 	n.log.Info("configuration in force", "config_version", c.Version, "queues", len(c.Queues), "accounts", c.Accounts.Len())
-	n.manager.SetPools(poolsOf(c))
+	n.manager.SetPools(poolNames(c))
 	n.manager.SetAccounts(c.Accounts)
-	n.passEndpoints()
+	n.distributeEndpoints()
 }
 
-// followOperator follows what operators publish.
 func (n *Node) followOperator(ctx context.Context) {
 	feed.Follow(ctx, n.client, feed.Topic{Name: platform.TopicOperator, Handle: func(reset bool, records []platform.Record) {
-		if !n.takeOperator(records) && reset {
-			n.takeHistory(ctx)
+		if !n.applyOperatorRecords(records) && reset {
+			n.applyOperatorHistory(ctx)
 		}
 	}, OnAnswer: func() { n.configs.Confirm(planlease.Boottime()) }}, n.log)
 }
 
-// peerNames are the peers that can be asked.
+// peerNames returns the other nodes, sorted by name.
 func (n *Node) peerNames() []string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	names := slices.Sorted(maps.Keys(n.peersSeen))
+	names := slices.Sorted(maps.Keys(n.recentPeers))
 	return slices.DeleteFunc(names, func(name string) bool { return name == n.set.Node })
 }
 
-func poolsOf(c *routing.Config) []string {
+func poolNames(c *routing.Config) []string {
 	var pools []string
 	for _, s := range c.Services {
 		if !s.Spare {
@@ -175,31 +181,32 @@
 	return pools
 }
 
-func (n *Node) takeEndpoints(reset bool, records []platform.Record) {
+func (n *Node) applyEndpoints(reset bool, records []platform.Record) {
 	n.mu.Lock()
 	if reset {
 		clear(n.endpoints)
 	}
 	for _, r := range records {
-		// What can't be read names no endpoint to use: one that was known gets no
-		// new work from here on, and what runs there goes on under its lease.
+		// An unreadable entry removes its endpoint: the endpoint gets no new
+		// work, and its running tasks continue under their leases.
 		delete(n.endpoints, r.Key)
 		if len(r.Value) == 0 && !r.Damaged {
 			continue
 		}
 		entry, err := platform.DecodeEndpoint(r)
 		if err != nil {
-			n.unusable(platform.TopicEndpoints, err)
+			n.reportUnusableEntry(platform.TopicEndpoints, err)
 			continue
 		}
 		n.endpoints[r.Key] = entry
 	}
 	n.mu.Unlock()
-	n.passEndpoints()
+	n.distributeEndpoints()
 }
 
-// passEndpoints gives each pool's owner here its list.
-func (n *Node) passEndpoints() {
+// distributeEndpoints passes each pool that this node owns the list of its
+// endpoints.
+func (n *Node) distributeEndpoints() {
 	byPool := map[string][]executor.EndpointInfo{}
 	n.mu.Lock()
 	for _, e := range n.endpoints {
--- a/internal/host/host.go
+++ b/internal/host/host.go
@@ -1,5 +1,8 @@
-// Package host puts together what one node runs: callers' requests, the pools
-// that it owns, and the feeds and links they live on.
+// Package host assembles and runs one node: the HTTP server for callers'
+// requests, the pools that the node owns, the feeds of operator and endpoint
+// records and the peer links. Its input is the node settings, the records in
+// the store and process signals; it decides when the node is ready and in which
+// order it shuts down. The main function of cyclamen-node calls Run.
 package host
 
 import (
@@ -37,79 +40,82 @@
 )
 
 const (
-	// lease is how far ahead leases are renewed: it outlasts the change of a
-	// pool's owner (its membership lapses, a claim, the first renewals) with room for
-	// an answer that is lost.
-	lease = 3500 * time.Millisecond
-	// proofAge lets running tasks go on through an outage of the store as long
-	// as a successor is willing to wait for them.
-	proofAge = 5 * time.Second
-	// memoryShare is the part of the memory limit at which the collector works
-	// harder; the rest is for the network's buffers.
-	memoryShare = 0.7
-	// balancerNotice is how long the balancer takes to see that a node is not
-	// ready: it asks each second and believes the second miss.
-	balancerNotice = 2500 * time.Millisecond
-	// linksLimit, dutiesLimit and logLimit bound the last steps of a stop: links
-	// close, what still runs of the duties ends, and the rest of the log is written.
-	linksLimit  = 400 * time.Millisecond
-	dutiesLimit = 400 * time.Millisecond
-	logLimit    = 300 * time.Millisecond
-	// stopMargin is the part of the grace time that no step counts on: a node short
-	// of processor time is late with each of them.
-	stopMargin = 500 * time.Millisecond
-	// leastClose is what requests in flight get however short the grace time is.
-	leastClose = 300 * time.Millisecond
-	// headerTimeout and idleTimeout hold until a configuration names others.
+	// leaseDuration is how far ahead leases are renewed. It outlasts a change
+	// of a pool's owner (expiry of the old membership, a claim, the first
+	// renewals) with a margin for one lost answer.
+	leaseDuration = 3500 * time.Millisecond
+	// ownershipProofAge lets running tasks continue through an outage of the
+	// store for as long as a successor waits for them.
+	ownershipProofAge = 5 * time.Second
+	// memoryLimitShare is the share of the configured memory that becomes the
+	// garbage collector's memory limit; the rest is for network buffers.
+	memoryLimitShare = 0.7
+	// balancerDetectTime is how long the balancer takes to detect that a node
+	// is not ready: it checks every second and acts on the second failed check.
+	balancerDetectTime = 2500 * time.Millisecond
+	// linksCloseLimit, dutiesStopLimit and logFlushLimit bound the last steps
+	// of a shutdown: closing the links, ending the background duties, and
+	// writing the rest of the log.
+	linksCloseLimit = 400 * time.Millisecond
+	dutiesStopLimit = 400 * time.Millisecond
+	logFlushLimit   = 300 * time.Millisecond
+	// shutdownMargin is the part of the grace time reserved for delays: each
+	// step runs late on a node short of CPU time.
+	shutdownMargin = 500 * time.Millisecond
+	// minDrainLimit is the minimum time for requests in flight, however short
+	// the grace time is.
+	minDrainLimit = 300 * time.Millisecond
+	// headerTimeout and idleTimeout are the timeouts of all HTTP servers here.
+	// The timeouts in a configuration's limits are not applied to them.
 	headerTimeout = 3 * time.Second
 	idleTimeout   = 15 * time.Second
 	maxHeader     = 16 << 10
 )
 
-// UnsupportedError says that the settings ask for something that this version
-// does not do.
+// UnsupportedError reports a setting that this version does not support.
 type UnsupportedError struct{ What string }
 
 func (e *UnsupportedError) Error() string { return "not supported: " + e.What }
 
 // Node is one process of the system.
 type Node struct {
-	set      settings.NodeSettings
-	log      *slog.Logger
-	client   *platform.Client
-	peers    *peer.Node
-	manager  *shards.Manager
-	configs  *published.Keeper
-	ingress  *ingress.Ingress
-	stopping atomic.Bool
-	inFlight inFlight
+	set             settings.NodeSettings
+	log             *slog.Logger
+	client          *platform.Client
+	peers           *peer.Node
+	manager         *shards.Manager
+	configs         *published.Keeper
+	ingress         *ingress.Ingress
+	stopping        atomic.Bool
+	requestDeadline requestDeadline
 
-	mu        sync.Mutex
-	endpoints map[string]platform.EndpointEntry
-	waves     map[int]platform.Wave
-	peersSeen map[string]seenPeer
+	mu          sync.Mutex
+	endpoints   map[string]platform.EndpointEntry
+	waves       map[int]platform.Wave
+	recentPeers map[string]recentPeer
 }
 
-// seenPeer is a member's address and when it was last one.
-type seenPeer struct {
-	addr string
-	at   time.Duration
+// recentPeer is the address of a current or recent member and the time when it
+// was last seen as one.
+type recentPeer struct {
+	addr         string
+	lastMemberAt time.Duration
 }
 
-// Run runs a node until it is told to stop.
+// Run runs a node until the process receives a stop signal.
 func Run(set settings.NodeSettings, path string) error {
 	writer := eventlog.NewWriter(os.Stdout)
-	defer writer.Close(logLimit)
+	defer writer.Close(logFlushLimit)
 	base := slog.NewJSONHandler(writer, &slog.HandlerOptions{Level: slog.LevelInfo})
 	log := slog.New(eventlog.NewHandler(base)).With("node", set.Node, "zone", set.Zone)
 	if set.Orders != "rpc" {
 		return &UnsupportedError{What: "orders = " + set.Orders}
 	}
-	debug.SetMemoryLimit(int64(float64(set.Memory) * memoryShare))
+	debug.SetMemoryLimit(int64(float64(set.Memory) * memoryLimitShare))
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	n := &Node{set: set, log: log, client: platform.NewClient(set.Store, set.Instances, set.Advice),
-		endpoints: map[string]platform.EndpointEntry{}, waves: map[int]platform.Wave{}, peersSeen: map[string]seenPeer{}}
+		endpoints: map[string]platform.EndpointEntry{}, waves: map[int]platform.Wave{}, recentPeers: map[string]recentPeer{}}
 	log.Info("starting", "version", version.Version, "settings", path)
 	return n.run(ctx, cancel)
 }
@@ -119,28 +125,28 @@
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP)
 	boot := uuid.NewString()
 	calls := &shards.Calls{}
-	n.configs = published.New(published.Options{Peers: n.peerNames, Changed: n.configChanged, Logger: n.log,
+	n.configs = published.New(published.Options{Peers: n.peerNames, Changed: n.onConfigChanged, Logger: n.log,
 		Strict: n.set.Bounds.StrictKeys, Revoke: n.set.Bounds.KeysUnconfirmed,
 		Ask: func(ctx context.Context, name string, have int64) (published.Answer, error) {
 			return published.AskPeer(ctx, n.peers, name, have)
 		}})
 	n.ingress = ingress.New(n.configs, calls, n.log)
-	front, err := n.serve(n.set.Front.String(), n.inFlight.bound(&platform.Front{Service: n.ingress}))
+	front, err := n.startServer(n.set.Front.String(), n.requestDeadline.wrap(&platform.Front{Service: n.ingress}))
 	if err != nil {
 		return err
 	}
-	ready, err := n.serve(n.set.Ready.String(), http.HandlerFunc(n.answerReady))
+	ready, err := n.startServer(n.set.Ready.String(), http.HandlerFunc(n.serveReadiness))
 	if err != nil {
 		return err
 	}
-	if err := n.link(ctx, boot, calls); err != nil {
+	if err := n.startPeers(ctx, boot, calls); err != nil {
 		return err
 	}
-	observed, err := n.observe()
+	stopOperatorServer, err := n.startOperatorServer()
 	if err != nil {
 		return err
 	}
-	defer observed()
+	defer stopOperatorServer()
 	var wg sync.WaitGroup
 	membership, leave := context.WithCancel(ctx)
 	wg.Go(func() { n.manager.Run(membership) })
@@ -148,17 +154,17 @@
 	wg.Go(func() { n.configs.Follow(ctx) })
 	wg.Go(func() { n.followEndpoints(ctx) })
 	n.log.Info("started", "boot", boot)
-	n.await(signals)
-	err = n.stop(front, ready, leave)
+	n.awaitStopSignal(signals)
+	err = n.shutDown(front, ready, leave)
 	cancel()
-	n.awaitDuties(&wg)
+	n.awaitBackground(&wg)
 	return err
 }
 
-// awaitDuties waits for what still runs, for a time: a call that nobody answers
-// must not keep the process beyond its grace time, at the end of which it is killed
-// with the rest of its log unwritten.
-func (n *Node) awaitDuties(wg *sync.WaitGroup) {
+// awaitBackground waits up to dutiesStopLimit for background goroutines: an
+// unanswered call must not keep the process beyond its grace time, when it is
+// killed and the rest of its log is lost.
+func (n *Node) awaitBackground(wg *sync.WaitGroup) {
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
@@ -166,20 +172,21 @@
 	}()
 	select {
 	case <-ended:
-	case <-time.After(dutiesLimit):
-		n.log.Warn("stopped with duties under way")
+	case <-time.After(dutiesStopLimit):
+		n.log.Warn("shutdown continues while background duties still run")
 	}
 }
 
-// closeLimit is what is left of the grace time for requests in flight, beside all
-// other steps of a stop.
-func closeLimit(grace time.Duration) time.Duration {
-	return max(leastClose, grace-balancerNotice-linksLimit-dutiesLimit-2*logLimit-stopMargin)
+// drainLimit returns the part of the grace time that remains for requests in
+// flight after all other shutdown steps.
+func drainLimit(grace time.Duration) time.Duration {
+	return max(minDrainLimit, grace-balancerDetectTime-linksCloseLimit-dutiesStopLimit-2*logFlushLimit-shutdownMargin)
 }
 
-// observe serves operators: a dump of the state on request, profiles of health
-// and metrics on loopback, and metrics for collectors.
-func (n *Node) observe() (stop func(), err error) {
+// startOperatorServer serves operators on loopback (state dumps, profiles,
+// readiness and metrics) and, if configured, metrics for collectors on a port
+// of its own.
+func (n *Node) startOperatorServer() (stop func(), err error) {
 	op, err := operator.New(operator.Options{
 		Process: operator.Process{ID: n.set.Node, Deployment: n.set.Deployment, Zone: n.set.Zone, Version: version.Version},
 		Listen:  n.set.Operator, Logger: n.log,
@@ -187,12 +194,13 @@
 	if err != nil {
 		return nil, err
 	}
-	op.SetReady(n.notReady)
+	op.SetReady(n.notReadyReasons)
 	op.RegisterDump("duties", func() any { return n.manager.Status() })
 	op.RegisterDump("pools", func() any { return n.manager.Dump() })
 	op.RegisterDump("configuration", func() any { return n.ingress.Config() })
 	op.RegisterDump("peers", func() any { return n.peers.Status() })
-	// Profiles of a live process: the operators' port is on loopback.
+	// Profiles of the running process are safe to serve here, as the operators'
+	// port is on loopback.
 	op.Handle("/debug/pprof/profile", http.HandlerFunc(pprof.Profile))
 	op.Handle("/debug/pprof/heap", pprof.Handler("heap"))
 	if err := op.Start(); err != nil {
@@ -201,7 +209,7 @@
 	n.log.Info("operators served", "listen", op.Addr().String())
 	closeOperator := func() {
 		if err := op.Close(); err != nil {
-			n.log.Warn("operators' server not closed", operator.Err(err))
+			n.log.Warn("cannot close operator server", operator.Err(err))
 		}
 	}
 	if !n.set.Metrics.IsValid() {
@@ -209,17 +217,17 @@
 	}
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /metrics", func(w http.ResponseWriter, _ *http.Request) { metrics.WritePrometheus(w, true) })
-	server, err := n.serve(n.set.Metrics.String(), mux)
+	server, err := n.startServer(n.set.Metrics.String(), mux)
 	if err != nil {
 		return closeOperator, err
 	}
 	return func() {
 		closeOperator()
-		_ = server.Close() // nobody is owed an answer of it any more
+		_ = server.Close() // no request to it needs an answer during a shutdown
 	}, nil
 }
 
-func (n *Node) notReady() []string {
+func (n *Node) notReadyReasons() []string {
 	switch {
 	case n.stopping.Load():
 		return []string{"stopping"}
@@ -229,20 +237,20 @@
 	return nil
 }
 
-// await returns when the process is told to stop.
-func (n *Node) await(signals <-chan os.Signal) {
+// awaitStopSignal returns when the process receives a signal to stop.
+func (n *Node) awaitStopSignal(signals <-chan os.Signal) {
 	for s := range signals {
 		if s != syscall.SIGHUP {
 			n.log.Info("stopping", "signal", s.String())
 			return
 		}
-		n.log.Info("reload asked for", "outcome", "settings that may change are read from the store")
+		n.log.Info("reload signal ignored", "outcome", "changeable settings are read from the store")
 	}
 }
 
-// link opens the links to peers and prepares the ownership of pools.
-func (n *Node) link(ctx context.Context, boot string, calls *shards.Calls) error {
-	tlsConfig, err := linkTLS(ctx, n.client, n.log, n.set.Deployment, n.set.Node)
+// startPeers starts the peer links and creates the pool manager.
+func (n *Node) startPeers(ctx context.Context, boot string, calls *shards.Calls) error {
+	tlsConfig, err := peerTLSConfig(ctx, n.client, n.log, n.set.Deployment, n.set.Node)
 	if err != nil {
 		return err
 	}
@@ -259,18 +267,18 @@
 	n.manager = shards.NewManager(shards.Options{
 		Node: n.set.Node, Addr: addr, Member: member,
 		Membership: n.client, Store: store, Endpoints: n.client, Logger: n.log,
-		Limits: executor.Limits{Lease: lease, ProofAge: proofAge, KeepEnded: n.set.Bounds.KeepEnded, StopTimeout: n.set.Bounds.StopTimeout,
+		Limits: executor.Limits{Lease: leaseDuration, ProofAge: ownershipProofAge, KeepEnded: n.set.Bounds.KeepEnded, StopTimeout: n.set.Bounds.StopTimeout,
 			LongestLease: n.set.Bounds.LongestLease, RoomHolds: n.set.Bounds.StableWindow + n.set.Bounds.Heartbeat},
 		Fleet: func(ctx context.Context, duty shards.Duty) {
 			fleetops.Run(ctx, fleetops.Options{Holder: n.set.Node, Member: member, Claims: duty, Claimed: duty.RecordClaim,
-				Store: store, Cloud: n.client, Pools: calls, Facts: n.facts, Logger: n.log,
+				Store: store, Cloud: n.client, Pools: calls, Facts: n.fleetFacts, Logger: n.log,
 				Limits: fleetops.Limits{Holder: n.set.Node, MoveTime: n.set.Bounds.Move, MaintainTime: n.set.Bounds.Maintain, HolderTTL: n.set.Bounds.LeaseTTL}})
 		},
 		AskMembers: func(ctx context.Context, node string) (shards.MembersResult, error) {
 			return shards.AskMembers(ctx, n.peers, node)
 		},
 		NotifyLeaving: func(ctx context.Context, node string) { shards.NotifyLeaving(ctx, n.peers, node, member) },
-		OnPeers:       n.takePeers,
+		OnPeers:       n.updatePeers,
 	})
 	calls.Manager, calls.Peers = n.manager, n.peers
 	n.manager.Register(n.peers)
@@ -278,33 +286,34 @@
 	return n.peers.Start()
 }
 
-// peerLinger is how long a node that is no longer a member stays a peer: calls
-// that are on their way to it would otherwise be cut, and their callers left
-// without knowing what became of them.
-const peerLinger = 3 * time.Second
+// peerRemovalDelay is how long a node stays a peer after it stopped being a
+// member. Removing it at once would cut calls in flight to it, and their
+// callers would not know the outcome.
+const peerRemovalDelay = 3 * time.Second
 
-// takePeers sets the peers to the members of now and of just before.
-func (n *Node) takePeers(members map[string]string) {
+// updatePeers sets the peers to the current and the recent members.
+func (n *Node) updatePeers(members map[string]string) {
 	n.mu.Lock()
 	now := planlease.Boottime()
 	for node, addr := range members {
-		n.peersSeen[node] = seenPeer{addr, now}
+		n.recentPeers[node] = recentPeer{addr, now}
 	}
 	peers := map[string]string{}
-	for node, p := range n.peersSeen {
-		if now-p.at > peerLinger {
-			delete(n.peersSeen, node)
+	for node, p := range n.recentPeers {
+		if now-p.lastMemberAt > peerRemovalDelay {
+			delete(n.recentPeers, node)
 			continue
 		}
 		peers[node] = p.addr
 	}
 	n.mu.Unlock()
 	if err := n.peers.SetPeers(peers); err != nil {
-		n.log.Warn("peer left out", operator.Err(err))
+		n.log.Warn("peer with an invalid address skipped", operator.Err(err))
 	}
 }
 
-func (n *Node) serve(addr string, h http.Handler) (*http.Server, error) {
+// startServer listens on addr and serves h in the background.
+func (n *Node) startServer(addr string, h http.Handler) (*http.Server, error) {
 	listener, err := net.Listen("tcp", addr)
 	if err != nil {
 		return nil, &operator.ListenError{Listen: addr, Cause: err}
@@ -313,33 +322,33 @@
 		ErrorLog: slog.NewLogLogger(n.log.Handler(), slog.LevelWarn)}
 	go func() {
 		if err := server.Serve(listener); err != http.ErrServerClosed {
-			n.log.Error("server ended", "listen", addr, operator.Err(err))
+			n.log.Error("HTTP server stopped unexpectedly", "listen", addr, operator.Err(err))
 		}
 	}()
 	return server, nil
 }
 
-// answerReady tells the balancer whether to send connections: not before a
-// configuration is known, and not while stopping.
-func (n *Node) answerReady(w http.ResponseWriter, _ *http.Request) {
-	if len(n.notReady()) > 0 {
+// serveReadiness answers the balancer's readiness check: a node is not ready
+// before it has a configuration, nor while it shuts down.
+func (n *Node) serveReadiness(w http.ResponseWriter, _ *http.Request) {
+	if len(n.notReadyReasons()) > 0 {
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
 	w.WriteHeader(http.StatusOK)
 }
 
-// stop ends the node in order: pools go to others at once, while requests are
-// still taken until the balancer sends no more.
-func (n *Node) stop(front, ready *http.Server, leave context.CancelFunc) error {
-	limit := closeLimit(n.set.Bounds.Grace)
-	n.inFlight.closeAt(planlease.Boottime() + balancerNotice + limit)
+// shutDown stops the node in order: it releases the pools to other nodes at
+// once, and still accepts requests until the balancer sends no more.
+func (n *Node) shutDown(front, ready *http.Server, leave context.CancelFunc) error {
+	limit := drainLimit(n.set.Bounds.Grace)
+	n.requestDeadline.setCloseTime(planlease.Boottime() + balancerDetectTime + limit)
 	n.stopping.Store(true)
 	leave()
 	return shutdown.Run(context.Background(), n.log, []shutdown.Step{
-		shutdown.Wait("balancer notices", balancerNotice),
+		shutdown.Wait("balancer notices", balancerDetectTime),
 		{Name: "requests end", Limit: limit, Run: front.Shutdown},
-		{Name: "links close", Limit: linksLimit, Run: func(context.Context) error { return n.peers.Close() }},
-		{Name: "readiness ends", Limit: logLimit, Run: ready.Shutdown},
+		{Name: "links close", Limit: linksCloseLimit, Run: func(context.Context) error { return n.peers.Close() }},
+		{Name: "readiness ends", Limit: logFlushLimit, Run: ready.Shutdown},
 	})
 }
--- a/internal/host/stop_test.go
+++ b/internal/host/stop_test.go
@@ -7,15 +7,16 @@
 	. "github.com/onsi/gomega"
 )
 
-// A caller's answer is cut off and the node's last log lines are missing. Its steps of
-// a stop took 6.3 s together, each within its own limit, and it was killed at the end
-// of its 6 s of grace.
-func TestTheStepsOfAStopStayWithinTheGraceTime(t *testing.T) {
+// Guards against shutdown steps that each stay within their own limits but
+// together exceed the grace time: with 6 s of grace they took 6.3 s, the node
+// was killed, a caller's answer was cut off and the last log lines were lost.
+func TestShutdownStepsFitGraceTime(t *testing.T) {
 	g := NewWithT(t)
 	for _, grace := range []time.Duration{5 * time.Second, 6 * time.Second, 30 * time.Second} {
-		// Links, duties and the log follow the requests; readiness ends last of all.
-		steps := balancerNotice + closeLimit(grace) + linksLimit + logLimit + dutiesLimit + logLimit
+		// Requests end first, then links, readiness and duties, and the log is
+		// written last.
+		steps := balancerDetectTime + drainLimit(grace) + linksCloseLimit + logFlushLimit + dutiesStopLimit + logFlushLimit
 		g.Expect(steps).To(BeNumerically("<", grace))
 	}
-	g.Expect(closeLimit(time.Second)).To(Equal(leastClose), "requests in flight get some time however short the grace is")
+	g.Expect(drainLimit(time.Second)).To(Equal(minDrainLimit), "requests in flight get a minimum time however short the grace time is")
 }
