--- a/internal/daemon/control.go
+++ b/internal/daemon/control.go
@@ -16,13 +16,13 @@
 )
 
 const (
-	// controlGCPercent is how much garbage, in percent of what is in use, a
-	// control process lets stand.
+	// controlGCPercent is the heap growth, in percent of the live heap, that
+	// triggers a garbage collection in a control process.
 	controlGCPercent = 50
-	// logLimit bounds a last record of a process that stops.
-	logLimit = 5 * time.Second
-	// challengeStagger is the extra wait of each further challenger for the
-	// planner lease: longer than a claim takes to be read back.
+	// lastStepLimit bounds each shutdown step that writes a final record.
+	lastStepLimit = 5 * time.Second
+	// challengeStagger is the additional delay of each further candidate for
+	// the planner lease. It is longer than a claim takes to be read back.
 	challengeStagger = 150 * time.Millisecond
 )
 
@@ -30,7 +30,7 @@
 func ControlMain(args []string) int {
 	f := parseFlags("cyclamen-control", "plans moves, maintenance and job placement", args)
 	s, err := settings.LoadControl(f.file)
-	if code, done := f.settle(settings.ControlTable(), err); done {
+	if code, done := f.handleExit(settings.ControlTable(), err); done {
 		return code
 	}
 	stop, cancel := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
@@ -40,8 +40,8 @@
 		os.Stderr.WriteString(err.Error() + "\n")
 		return exitFailure
 	}
-	// A control process allocates little and lives beside an entry on a small
-	// instance: half the usual garbage costs it next to nothing.
+	// A control process allocates little and shares a small instance with an
+	// entry process, so half the default heap growth costs next to nothing.
 	debug.SetGCPercent(controlGCPercent)
 	p := planner.New(planner.Options{
 		Node: d.Node, Platform: d.Platform, Logger: d.Log, FenceAfter: s.FenceAfter,
@@ -51,7 +51,7 @@
 	})
 	d.Operator.RegisterDump("planner", p.Dump)
 	if err := d.Start(p); err != nil {
-		d.Log.Error("not started", "error", err.Error())
+		d.Log.Error("cannot start", "error", err.Error())
 		return exitFailure
 	}
 	d.Log.Info("started", "operator", d.Operator.Addr().String())
@@ -63,8 +63,8 @@
 	ctx, cancel := context.WithTimeout(context.Background(), s.Timing.ShutdownLimit)
 	defer cancel()
 	err := shutdown.Run(ctx, d.Log, []shutdown.Step{
-		{Name: "release lease", Limit: logLimit, Run: p.Release},
-		{Name: "leave members", Limit: logLimit, Run: d.Node.Leave},
+		{Name: "release lease", Limit: lastStepLimit, Run: p.Release},
+		{Name: "leave members", Limit: lastStepLimit, Run: d.Node.Leave},
 	})
 	d.Close()
 	if err != nil {
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -1,5 +1,9 @@
-// Package daemon sets up what both daemons have: logs, certificates, peer
-// links, the control goroutine and the operators' server.
+// Package daemon sets up and runs the entry and control daemons, and what both
+// share: logging, certificates, peer links, the control goroutine of the node
+// and the operator server. Its input is the command line, the settings file and
+// stop signals; it decides the order of startup and shutdown and the exit code.
+// The main functions of cyclamen-entry and cyclamen-control call EntryMain and
+// ControlMain.
 package daemon
 
 import (
@@ -23,7 +27,7 @@
 	"cyclamenwheel/internal/version"
 )
 
-// Daemon is the common part of a process.
+// Daemon holds the components that both daemons share.
 type Daemon struct {
 	Log      *slog.Logger
 	Platform platform.Platform
@@ -33,12 +37,12 @@
 	http     *http.Transport
 }
 
-// platformConnections bounds connections to the platform: one long poll of the
-// log, one of the list, and a few calls beside them.
-const platformConnections = 8
+// maxPlatformConnections bounds the connections to the platform: a long poll of
+// the log, a long poll of the instance list, and a few concurrent calls.
+const maxPlatformConnections = 8
 
-// New prepares a daemon; nothing listens yet. self names the process; its
-// BootID is set here.
+// New creates a daemon without listening yet. self describes the process; New
+// sets its BootID and the fields that come from the settings.
 func New(s settings.Common, self membership.Member) (*Daemon, error) {
 	debug.SetMemoryLimit(s.Memory)
 	self.ID, self.Zone, self.Instance = s.Process.ID, s.Process.Zone, s.Process.Instance
@@ -54,7 +58,8 @@
 	if err := checkIdentity(creds.Identity(), s.Process, self.Role); err != nil {
 		return nil, err
 	}
-	// Not among the library's process metrics: a leak of connections shows here.
+	// The library's process metrics don't include open file descriptors, which
+	// show a connection leak.
 	metrics.RegisterMetricsWriter(metrics.WriteFDMetrics)
 	metrics.GetOrCreateGauge("cyclamen_certificate_expiry_seconds", func() float64 {
 		return time.Until(creds.NotAfter()).Seconds()
@@ -69,10 +74,10 @@
 	if err != nil {
 		return nil, err
 	}
-	d := &Daemon{Log: log, Peers: peers, http: &http.Transport{MaxConnsPerHost: platformConnections}}
+	d := &Daemon{Log: log, Peers: peers, http: &http.Transport{MaxConnsPerHost: maxPlatformConnections}}
 	d.Platform = platform.NewClient(s.PlatformURL.String(), &http.Client{Transport: d.http})
 	d.Node = node.New(node.Options{
-		Self: self, Platform: d.Platform, Peers: peers, Seeds: seeds(s.Peer.Seeds),
+		Self: self, Platform: d.Platform, Peers: peers, Seeds: seedAddrs(s.Peer.Seeds),
 		Heartbeat: s.Timing.Heartbeat, ListPoll: s.Timing.ListPoll,
 		SnapshotEvery: s.Timing.SnapshotEvery, Logger: log,
 	})
@@ -85,8 +90,8 @@
 	return d, err
 }
 
-// IdentityMismatchError says that the certificate names another process than
-// the settings do: its peers would turn it away one by one.
+// IdentityMismatchError reports that the certificate names another process than
+// the settings do. Every peer would reject its connections.
 type IdentityMismatchError struct {
 	Certificate certs.Identity
 	Process     settings.Process
@@ -94,7 +99,7 @@
 }
 
 func (e *IdentityMismatchError) Error() string {
-	return "the certificate is of " + e.Certificate.String() + ", the settings of " +
+	return "certificate identity " + e.Certificate.String() + " does not match the settings: " +
 		string(e.Role) + " " + e.Process.ID + " of " + e.Process.Deployment
 }
 
@@ -105,7 +110,7 @@
 	return nil
 }
 
-func seeds(list []settings.Seed) map[string]string {
+func seedAddrs(list []settings.Seed) map[string]string {
 	out := make(map[string]string, len(list))
 	for _, s := range list {
 		out[s.ID] = s.Addr.String()
@@ -119,15 +124,16 @@
 	return st
 }
 
-// NotReady lists why the process is not ready. Any goroutine but the control
-// goroutine may call it.
+// NotReady returns the reasons why the process is not ready. It must not be
+// called from the control goroutine.
 func (d *Daemon) NotReady() []string {
-	why := []string{"stopped"}
-	d.Node.Do(func() { why = d.Node.NotReady() })
-	return why
+	reasons := []string{"stopped"}
+	d.Node.Do(func() { reasons = d.Node.NotReady() })
+	return reasons
 }
 
-// Start listens and runs the control goroutine with hooks.
+// Start starts the peer links, the control goroutine with hooks, and the
+// operator server.
 func (d *Daemon) Start(hooks node.Hooks) error {
 	d.Node.Register()
 	if err := d.Peers.Start(); err != nil {
@@ -137,8 +143,8 @@
 	d.Operator.SetReady(d.NotReady)
 	d.registerDumps()
 	d.Operator.Handle("/fold", http.HandlerFunc(d.serveFold))
-	// Profiles of a live process; the operators' port is on loopback or asks
-	// for a certificate.
+	// Profiles of the running process are safe to serve here: the operators'
+	// port is on loopback or requires a client certificate.
 	d.Operator.Handle("/debug/pprof/profile", http.HandlerFunc(pprof.Profile))
 	d.Operator.Handle("/debug/pprof/heap", pprof.Handler("heap"))
 	d.Operator.Handle("/debug/pprof/goroutine", pprof.Handler("goroutine"))
@@ -147,11 +153,12 @@
 
 func (d *Daemon) registerDumps() {
 	d.Operator.RegisterDump("status", d.status)
-	d.Operator.RegisterDump("fold", func() any { return d.snapshot() })
+	d.Operator.RegisterDump("fold", func() any { return d.copyState() })
 	d.Operator.RegisterDump("peers", func() any { return d.Peers.Status() })
 }
 
-// serveFold answers with the encoded fold, for commands while the log is down.
+// serveFold answers with the encoded state that results from applying (folding)
+// the fleet log, so that commands work while the log is unavailable.
 func (d *Daemon) serveFold(w http.ResponseWriter, _ *http.Request) {
 	encoded := d.encodedFold()
 	if encoded == nil {
@@ -167,8 +174,9 @@
 	return encoded
 }
 
-// snapshot returns a copy of the folded state that nobody changes.
-func (d *Daemon) snapshot() *fleetlog.State {
+// copyState returns a copy of the folded state, which is safe to read from any
+// goroutine.
+func (d *Daemon) copyState() *fleetlog.State {
 	st, err := fleetlog.DecodeState(d.encodedFold())
 	if err != nil {
 		return nil
@@ -176,15 +184,15 @@
 	return st
 }
 
-// Close stops everything that Start started. The operators' server goes first:
-// answering from a node that has stopped, it would report generation 0.
+// Close stops everything that Start started. The operator server stops first:
+// it would report generation 0 if it answered for a stopped node.
 func (d *Daemon) Close() {
 	if err := d.Operator.Close(); err != nil {
-		d.Log.Warn("operators' server not closed", "error", err.Error())
+		d.Log.Warn("cannot close operator server", "error", err.Error())
 	}
 	d.Node.Close()
 	if err := d.Peers.Close(); err != nil {
-		d.Log.Warn("peers not closed", "error", err.Error())
+		d.Log.Warn("cannot close peer links", "error", err.Error())
 	}
 	d.http.CloseIdleConnections()
 }
--- a/internal/daemon/entry.go
+++ b/internal/daemon/entry.go
@@ -19,13 +19,13 @@
 )
 
 const (
-	// readHeaderTimeout frees connections of callers that send nothing.
+	// readHeaderTimeout closes connections of callers that send no request.
 	readHeaderTimeout = 10 * time.Second
-	// callerIdleTimeout is above the usual idle timeout of balancers (60 s), so
-	// that it is the balancer that closes an idle connection and never we
-	// while a request is on its way.
+	// callerIdleTimeout exceeds the usual idle timeout of balancers (60 s), so
+	// that the balancer closes an idle connection, and never this process while
+	// a request is in transit.
 	callerIdleTimeout = 75 * time.Second
-	// maxHeaderBytes bounds a request's header.
+	// maxHeaderBytes bounds the header of a request.
 	maxHeaderBytes = 64 << 10
 )
 
@@ -33,7 +33,7 @@
 func EntryMain(args []string) int {
 	f := parseFlags("cyclamen-entry", "takes callers' requests and sends them to endpoints", args)
 	s, err := settings.LoadEntry(f.file)
-	if code, done := f.settle(settings.EntryTable(), err); done {
+	if code, done := f.handleExit(settings.EntryTable(), err); done {
 		return code
 	}
 	stop, cancel := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
@@ -50,22 +50,22 @@
 
 func runEntry(stop context.Context, d *Daemon, s settings.EntrySettings) int {
 	e := entry.New(d.Node, d.Log)
-	keys, claims := newKeys(d, s)
+	keys, claims := newIdempotencyService(d, s)
 	defer claims.Close()
 	handler := dispatch.NewHandler(dispatch.Options{
 		Routes: e.Routes, Current: d.Node.ListCurrent, Claims: claims, Zone: s.Process.Zone, Log: d.Log,
-		MaxBody: s.Callers.MaxBody, Metrics: callerMetrics(),
+		MaxBody: s.Callers.MaxBody, Metrics: newCallerMetrics(),
 	})
 	e.Attach(handler, keys, d.Node.NotReady)
 	d.Operator.RegisterDump("entry", e.Dump(d.Node.Do))
 	d.Operator.RegisterDump("keys", func() any { return claims.Status() })
 	listener, err := net.Listen("tcp", s.Callers.Listen.String())
 	if err != nil {
-		d.Log.Error("callers' port", "error", err.Error())
+		d.Log.Error("cannot listen on the callers' address", "error", err.Error())
 		return exitFailure
 	}
 	if err := d.Start(e); err != nil {
-		d.Log.Error("not started", "error", err.Error())
+		d.Log.Error("cannot start", "error", err.Error())
 		return exitFailure
 	}
 	server := &http.Server{
@@ -79,15 +79,15 @@
 	return stopEntry(d, s, server, handler, claims)
 }
 
-// stopEntry leaves in the order that loses nothing: the balancer first stops
-// sending, then connections close after their answer, then what is in flight
-// ends, and only then do handovers stop waiting for this entry.
+// stopEntry shuts down in an order that loses no request: the balancer stops
+// sending, connections close after their answers, requests in flight end, and
+// only then are the idempotency keys handed over and the membership ended.
 func stopEntry(d *Daemon, s settings.EntrySettings, server *http.Server, handler *dispatch.Handler,
 	claims *idempotency.Service) int {
 	ctx, cancel := context.WithTimeout(context.Background(), s.Timing.ShutdownLimit)
 	defer cancel()
 	err := shutdown.Run(ctx, d.Log, []shutdown.Step{
-		{Name: "announce", Limit: logLimit, Run: func(context.Context) error {
+		{Name: "announce", Limit: lastStepLimit, Run: func(context.Context) error {
 			d.Node.MarkNotReady()
 			handler.AnnounceClose()
 			return nil
@@ -100,8 +100,8 @@
 			}
 			return handler.Drain(ctx)
 		}},
-		{Name: "hand keys over", Limit: logLimit, Run: claims.Drain},
-		{Name: "leave members", Limit: logLimit, Run: d.Node.Leave},
+		{Name: "hand keys over", Limit: lastStepLimit, Run: claims.Drain},
+		{Name: "leave members", Limit: lastStepLimit, Run: d.Node.Leave},
 	})
 	d.Close()
 	if err != nil {
--- a/internal/daemon/flags.go
+++ b/internal/daemon/flags.go
@@ -17,7 +17,7 @@
 	exitSettings = 3
 )
 
-// flags are the daemons' command line.
+// flags are the command-line flags of the daemons.
 type flags struct {
 	file      string
 	check     bool
@@ -32,13 +32,14 @@
 	p.String(&f.file, "s", "settings", "settings file (INI)")
 	p.Bool(&f.check, "", "check-settings", "check the settings and exit")
 	p.Bool(&f.reference, "", "reference", "print all settings with defaults and units, and exit")
-	// flaggy ends the process with a usage message when args do not parse.
+	// flaggy exits with a usage message if args can't be parsed.
 	_ = p.ParseArgs(args)
 	return f
 }
 
-// settle handles the flags that end the process; done tells that one did.
-func (f flags) settle(table settings.Table, err error) (code int, done bool) {
+// handleExit handles invalid settings and the flags that make the process exit;
+// done reports whether it should exit with code.
+func (f flags) handleExit(table settings.Table, err error) (code int, done bool) {
 	switch {
 	case f.reference:
 		table.Reference(os.Stdout)
--- a/internal/daemon/claims.go
+++ b/internal/daemon/idempotency.go
@@ -8,17 +8,18 @@
 	"cyclamenwheel/internal/settings"
 )
 
-// callerMetrics is the set of the callers' path, shown on /metrics with the
-// rest.
-func callerMetrics() *metrics.Set {
+// newCallerMetrics returns the registered metrics set of callers' requests,
+// which /metrics includes.
+func newCallerMetrics() *metrics.Set {
 	set := metrics.NewSet()
 	metrics.RegisterSet(set)
 	return set
 }
 
-// newKeys joins the idempotency service to the fold. Its handlers are
-// registered on the peer links, which have not started yet.
-func newKeys(d *Daemon, s settings.EntrySettings) (*entry.Keys, *idempotency.Service) {
+// newIdempotencyService creates the idempotency service and its connection to
+// the fleet log's state. It registers handlers on the peer links, which must
+// not have started yet.
+func newIdempotencyService(d *Daemon, s settings.EntrySettings) (*entry.Keys, *idempotency.Service) {
 	keys := entry.NewKeys(d.Node, d.Platform)
 	self := d.Node.Self()
 	limits := idempotency.DefaultLimits
