--- a/internal/peer/doc.go
+++ b/internal/peer/doc.go
@@ -1,11 +1,11 @@
 // Package peer carries messages between the system's processes over QUIC with
 // mutual TLS: calls, which are a request and its answer, and notices, which are
 // one-way and of which only the newest of a kind matters. Its input is the set
-// of wanted peers and the messages that other packages register handlers for;
-// it authenticates peers by their certificates and decides which connections
-// and messages to accept. The node, entry, planner, idempotency, published and
-// shards packages send and handle messages through it, and the daemons start
-// it.
+// of wanted peers and the messages that other packages send or register
+// handlers for; it authenticates peers by their certificates and decides which
+// connections and messages to accept. The node, idempotency, published and
+// shards packages send and handle messages through it; the daemon and host
+// packages start it.
 //
 // Each node dials the peers it sends to and accepts connections from the peers
 // that send to it, so there is at most one connection per pair and direction. A
