--- a/internal/idempotency/begin.go
+++ b/internal/idempotency/begin.go
@@ -14,91 +14,93 @@
 )
 
 const (
-	// askPause is the mean pause before an owner is asked again. A change of
-	// members takes a few of them.
-	askPause = 50 * time.Millisecond
-	// finishPause and finishPauseMax bound the pause between tries to report
-	// an outcome, finishFor the tries altogether: a dead owner is replaced
-	// well within it.
-	finishPause    = 50 * time.Millisecond
-	finishPauseMax = 2 * time.Second
-	finishTimeout  = 2 * time.Second
-	finishFor      = 2 * time.Minute
-	// maxFinishes bounds the reports under way, maxFinishBytes the answers in
-	// them. Past the bytes a report goes without its answer; past the count it
-	// is dropped, which leaves its key as one that may have run.
-	maxFinishes    = 1 << 14
-	maxFinishBytes = 64 << 20
+	// claimRetryPause is the mean pause before a claim is sent to the owner again.
+	// A membership change takes a few of these pauses.
+	claimRetryPause = 50 * time.Millisecond
+	// reportRetryMin and reportRetryMax bound the pause between attempts to
+	// deliver an outcome, reportDeliveryTimeout all attempts together. A crashed
+	// owner is replaced well within that time.
+	reportRetryMin        = 50 * time.Millisecond
+	reportRetryMax        = 2 * time.Second
+	reportCallTimeout     = 2 * time.Second
+	reportDeliveryTimeout = 2 * time.Minute
+	// maxPendingReports bounds the outcome reports in flight,
+	// maxPendingReportBytes the answers in them. Beyond the byte limit a report is
+	// sent without its answer. Beyond the count it is dropped, and its key stays
+	// claimed as one that may have run.
+	maxPendingReports     = 1 << 14
+	maxPendingReportBytes = 64 << 20
 )
 
-func checkKey(c Claim) error {
+func validateKey(c Claim) error {
 	if len(c.Key) == 0 || len(c.Key) > MaxKeyLen {
 		return &KeyError{Len: len(c.Key)}
 	}
 	return nil
 }
 
-// Begin returns once the claim is decided, see Claims.
+// Begin implements Claims.
 //
-// An attempt may be asked for again while its answer is missing, as its owner
-// knows it by name and it is dispatched only after Begin has returned. If Begin
-// gives up after the owner may have heard of it, the attempt is reported as not
-// run, so that the key doesn't stay taken.
+// The same attempt can be claimed repeatedly until a decision arrives: the owner
+// identifies it by its attempt ID, and the request is dispatched only after Begin
+// returns. If Begin fails after the owner may have received the claim, it reports
+// the attempt as not run, so that the key does not stay claimed.
 func (s *Service) Begin(ctx context.Context, c Claim) (Decision, *Answer, error) {
-	if err := checkKey(c); err != nil {
+	if err := validateKey(c); err != nil {
 		return 0, nil, &NotRunError{Cause: err}
 	}
-	heard := false
+	mayBeClaimed := false
 	for {
-		r, err := s.ask(ctx, c)
+		r, err := s.claimFromOwner(ctx, c)
 		if err == nil {
 			return r.Decision, r.Answer, nil
 		}
-		heard = heard || mayHaveHeard(err)
-		if !final(err) && sleep(ctx, jitter(askPause)) {
+		mayBeClaimed = mayBeClaimed || mayHaveReached(err)
+		if !isFinal(err) && sleep(ctx, jitter(claimRetryPause)) {
 			continue
 		}
-		if heard {
-			s.report(FinishReport{FinishRecord: c.outcome(OutcomeNotRun)})
+		if mayBeClaimed {
+			s.reportAsync(FinishReport{FinishRecord: c.outcome(OutcomeNotRun)})
 		}
-		return 0, nil, notRun(ctx, err)
+		return 0, nil, newNotRunError(ctx, err)
 	}
 }
 
-// notRun names the end of the caller's time as the cause where it is one: the
-// owner's own failure is then only the last state on the way.
-func notRun(ctx context.Context, err error) error {
-	if final(err) || ctx.Err() == nil {
+// newNotRunError reports the end of the caller's context as the cause if the
+// context has ended; the owner's error is then only the last one seen.
+func newNotRunError(ctx context.Context, err error) error {
+	if isFinal(err) || ctx.Err() == nil {
 		return &NotRunError{Cause: err}
 	}
 	return &NotRunError{Cause: ctx.Err(), Last: err}
 }
 
-// Finish reports the outcome of an attempt in the background, see Claims.
-func (s *Service) Finish(c Claim, outcome Outcome, answer *Answer) {
+// Finish implements Claims. It reports the outcome in the background.
+func (s *Service) Finish(c Claim, finishRecord Outcome, answer *Answer) {
 	if answer != nil && answer.Size() > MaxAnswerBytes {
 		answer = nil
 	}
-	s.report(FinishReport{FinishRecord: c.outcome(outcome), Fingerprint: c.Fingerprint, Answer: answer})
+	s.reportAsync(FinishReport{FinishRecord: c.outcome(finishRecord), Fingerprint: c.Fingerprint, Answer: answer})
 }
 
 func (c Claim) outcome(o Outcome) FinishRecord {
 	return FinishRecord{Key: HashKey(c.Service, c.Key), Attempt: HashAttempt(c.Attempt), Outcome: o}
 }
 
-func (s *Service) ask(ctx context.Context, c Claim) (claimReply, error) {
+func (s *Service) claimFromOwner(ctx context.Context, c Claim) (claimReply, error) {
 	owner, err := s.view.Load().owner(HashKey(c.Service, c.Key))
 	if err != nil {
 		return claimReply{}, err
 	}
 	if owner.ID == s.self.ID {
-		return s.decide(ctx, s.self, c.record())
+		return s.claimAsOwner(ctx, s.self, c.record())
 	}
-	return s.links.claim(ctx, owner.ID, c)
+	return s.client.claim(ctx, owner.ID, c)
 }
 
-// typeOf names an error the same way whether it came from here or from a peer.
-func typeOf(err error) string {
+// errorTypeName returns the type name of an error, which is the same for local
+// errors and those received from a peer.
+func errorTypeName(err error) string {
 	var remote *peer.RemoteError
 	if errors.As(err, &remote) {
 		return remote.Type
@@ -106,11 +108,11 @@
 	return strings.TrimPrefix(fmt.Sprintf("%T", err), "*")
 }
 
-// final tells whether asking again is of no use. An owner that can't be
-// reached is final too: the caller learns at once that its request did not
-// run, instead of at its deadline.
-func final(err error) bool {
-	switch typeOf(err) {
+// isFinal reports whether retrying the claim is pointless. An unreachable owner
+// is final too, so that the caller learns at once that its request did not run
+// instead of waiting for its deadline.
+func isFinal(err error) bool {
+	switch errorTypeName(err) {
 	case "peer.UnreachableError", "peer.TooLargeError", "idempotency.NoOwnerError",
 		"idempotency.LogUnavailableError", "idempotency.OverloadedError", "idempotency.AbandonedError",
 		"idempotency.KeyError":
@@ -120,9 +122,10 @@
 	}
 }
 
-// mayHaveHeard tells whether an owner may know of the attempt after the error.
-func mayHaveHeard(err error) bool {
-	switch typeOf(err) {
+// mayHaveReached reports whether an owner may have received the claim despite the
+// error.
+func mayHaveReached(err error) bool {
+	switch errorTypeName(err) {
 	case "peer.UnreachableError", "peer.TooLargeError", "idempotency.NoOwnerError",
 		"idempotency.OverloadedError", "idempotency.KeyError":
 		return false
@@ -135,7 +138,7 @@
 	return time.Duration(rand.Float64() * 2 * float64(mean))
 }
 
-// sleep waits for d, or returns false when ctx ends before.
+// sleep waits for d. It returns false if ctx ends first.
 func sleep(ctx context.Context, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
@@ -147,86 +150,87 @@
 	}
 }
 
-// outbox counts the reports under way.
-type outbox struct {
+// pendingReports counts the outcome reports in flight.
+type pendingReports struct {
 	mu    *sync.Mutex
 	count int
 	bytes int
 }
 
-func newOutbox() outbox { return outbox{mu: &sync.Mutex{}} }
+func newPendingReports() pendingReports { return pendingReports{mu: &sync.Mutex{}} }
 
-// admit counts a report in, without its answer where there is no room for it.
-func (o *outbox) admit(f *FinishReport) bool {
+// add counts a report, or returns false if there are too many. It removes the
+// answer from a report that exceeds the byte limit.
+func (o *pendingReports) add(f *FinishReport) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if o.count >= maxFinishes {
+	if o.count >= maxPendingReports {
 		return false
 	}
-	if o.bytes+f.size() > maxFinishBytes {
+	if o.bytes+f.answerSize() > maxPendingReportBytes {
 		f.Answer = nil
 	}
 	o.count++
-	o.bytes += f.size()
+	o.bytes += f.answerSize()
 	return true
 }
 
-func (o *outbox) leave(f FinishReport) {
+func (o *pendingReports) remove(f FinishReport) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.count--
-	o.bytes -= f.size()
+	o.bytes -= f.answerSize()
 }
 
-func (o *outbox) len() int {
+func (o *pendingReports) len() int {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.count
 }
 
-func (f FinishReport) size() int {
+func (f FinishReport) answerSize() int {
 	if f.Answer == nil {
 		return 0
 	}
 	return f.Answer.Size()
 }
 
-func (s *Service) report(f FinishReport) {
-	if !s.outbox.admit(&f) {
-		s.log.Error("too many outcomes to report, one is dropped")
+func (s *Service) reportAsync(f FinishReport) {
+	if !s.reports.add(&f) {
+		s.log.Error("too many outcome reports in flight; dropping one")
 		return
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.closed {
-		s.outbox.leave(f)
+		s.reports.remove(f)
 		return
 	}
 	s.wg.Go(func() {
-		defer s.outbox.leave(f)
-		s.deliver(f)
+		defer s.reports.remove(f)
+		s.deliverReport(f)
 	})
 }
 
-// deliver brings a report to the key's owner, whoever that is by then.
-func (s *Service) deliver(f FinishReport) {
-	ctx, cancel := context.WithTimeout(s.ctx, finishFor)
+// deliverReport retries until the current owner of the key accepts the report.
+func (s *Service) deliverReport(f FinishReport) {
+	ctx, cancel := context.WithTimeout(s.ctx, reportDeliveryTimeout)
 	defer cancel()
-	pause := finishPause
+	pause := reportRetryMin
 	for {
-		err := s.tell(ctx, f)
+		err := s.sendReport(ctx, f)
 		if err == nil {
 			return
 		}
 		if !sleep(ctx, jitter(pause)) {
-			s.log.Error("outcome not reported", "error", err.Error())
+			s.log.Error("could not deliver outcome to the owner of its key", "error", err.Error())
 			return
 		}
-		pause = min(2*pause, finishPauseMax)
+		pause = min(2*pause, reportRetryMax)
 	}
 }
 
-func (s *Service) tell(ctx context.Context, f FinishReport) error {
+func (s *Service) sendReport(ctx context.Context, f FinishReport) error {
 	owner, err := s.view.Load().owner(f.Key)
 	if err != nil {
 		return err
@@ -234,7 +238,7 @@
 	if owner.ID == s.self.ID {
 		return s.serveFinish(f)
 	}
-	ctx, cancel := context.WithTimeout(ctx, finishTimeout)
+	ctx, cancel := context.WithTimeout(ctx, reportCallTimeout)
 	defer cancel()
-	return s.links.finish(ctx, owner.ID, f)
+	return s.client.finish(ctx, owner.ID, f)
 }
--- a/internal/idempotency/errors.go
+++ b/internal/idempotency/errors.go
@@ -2,13 +2,13 @@
 
 import "fmt"
 
-// NotRunError says that nothing was claimed and the request did not run by
-// this attempt.
+// NotRunError means that nothing was claimed and the request did not run by this
+// attempt.
 type NotRunError struct {
-	// Cause is the end of the caller's context or the failure that made
-	// waiting on useless.
+	// Cause is the end of the caller's context, or the error that made retrying
+	// pointless.
 	Cause error
-	// Last is what the owner said last where the context ended.
+	// Last is the owner's last error if the context ended.
 	Last error
 }
 
@@ -16,50 +16,51 @@
 	if e.Last == nil {
 		return fmt.Sprintf("not run: %v", e.Cause)
 	}
-	return fmt.Sprintf("not run: %v, last: %v", e.Cause, e.Last)
+	return fmt.Sprintf("not run: %v, last error: %v", e.Cause, e.Last)
 }
 
 // Unwrap returns the cause.
 func (e *NotRunError) Unwrap() error { return e.Cause }
 
-// KeyError is a key that can't be taken.
+// KeyError means that the key has an invalid length.
 type KeyError struct{ Len int }
 
 func (e *KeyError) Error() string {
-	return fmt.Sprintf("idempotency key of %d bytes, need 1 to %d", e.Len, MaxKeyLen)
+	return fmt.Sprintf("idempotency key has %d bytes, want 1 to %d", e.Len, MaxKeyLen)
 }
 
-// NoOwnerError says that there is no member to own the key.
+// NoOwnerError means that there is no member to own the key.
 type NoOwnerError struct{}
 
 func (e *NoOwnerError) Error() string { return "no member owns the key" }
 
-// ChangingOwnerError says that the key's owner is just changing.
+// ChangingOwnerError means that the ownership of the key is being transferred.
 type ChangingOwnerError struct{ From, To string }
 
 func (e *ChangingOwnerError) Error() string {
 	return fmt.Sprintf("owner of the key is changing from %q to %q", e.From, e.To)
 }
 
-// NotOwnerError is the answer of a process that does not own the key, as far
-// as it knows.
+// NotOwnerError means that the process does not own the key in its current view.
 type NotOwnerError struct{ Self string }
 
 func (e *NotOwnerError) Error() string { return e.Self + " does not own the key" }
 
-// AbandonedError says that the attempt was given up by its asker.
+// AbandonedError means that the claimant has cancelled the attempt.
 type AbandonedError struct{}
 
-func (e *AbandonedError) Error() string { return "attempt was given up" }
+func (e *AbandonedError) Error() string { return "attempt was cancelled by its claimant" }
 
-// OverloadedError says that an owner has as much to do or to remember as it
-// may.
+// OverloadedError means that a limit on pending, waiting or held claims is
+// reached.
 type OverloadedError struct{ Limit int }
 
-func (e *OverloadedError) Error() string { return fmt.Sprintf("more than %d claims waiting", e.Limit) }
+func (e *OverloadedError) Error() string {
+	return fmt.Sprintf("limit of %d pending claims reached", e.Limit)
+}
 
-// LogUnavailableError says that the log can't be reached and no witness could
-// stand in for it.
+// LogUnavailableError means that the log is unavailable and no witness could hold
+// the claim instead.
 type LogUnavailableError struct{ Cause error }
 
 func (e *LogUnavailableError) Error() string {
@@ -69,29 +70,30 @@
 // Unwrap returns the cause.
 func (e *LogUnavailableError) Unwrap() error { return e.Cause }
 
-// NoWitnessError says that no member of another availability zone is there.
+// NoWitnessError means that there is no member in another availability zone.
 type NoWitnessError struct{}
 
-func (e *NoWitnessError) Error() string { return "no member of another zone" }
+func (e *NoWitnessError) Error() string { return "no member in another availability zone" }
 
-// UnprovenError says that the owner has not yet read the log up to its own
-// takeover, so that it may not grant by witness.
+// UnprovenError means that the owner has not yet read the log up to the change
+// that made it the owner, so that it must not grant claims through a witness.
 type UnprovenError struct{}
 
 func (e *UnprovenError) Error() string {
-	return "owner has not caught up since the last change of members"
+	return "owner has not caught up with the log since the last membership change"
 }
 
-// KnownKeyError is a witness's refusal: it knows of another attempt of a key.
+// KnownKeyError means that a witness refused a claim because it knows another
+// attempt of the key.
 type KnownKeyError struct{ Owner string }
 
 func (e *KnownKeyError) Error() string {
-	return fmt.Sprintf("another attempt of a key of %s is known", e.Owner)
+	return fmt.Sprintf("witness knows another attempt of a key owned by %s", e.Owner)
 }
 
-// DrainError says what was left when the time for handing over had passed.
+// DrainError reports what had not been handed over when Drain's context ended.
 type DrainError struct{ Finishes, Claims, Held int }
 
 func (e *DrainError) Error() string {
-	return fmt.Sprintf("not handed over: %d finishes, %d claims, %d held", e.Finishes, e.Claims, e.Held)
+	return fmt.Sprintf("not handed over: %d outcomes, %d claims, %d held claims", e.Finishes, e.Claims, e.Held)
 }
--- a/internal/idempotency/journal.go
+++ b/internal/idempotency/journal.go
@@ -8,98 +8,99 @@
 )
 
 const (
-	// appendRetry is the pause before an append is repeated. It bounds what an
-	// owner asks of a log that is down, and how late it sees the log return.
-	appendRetry = 250 * time.Millisecond
-	// minAppendInterval bounds an owner's appends where it is alone.
+	// appendRetryDelay is the pause before a failed append is retried. It bounds the
+	// load on a log that is down, and the delay until an owner notices its recovery.
+	appendRetryDelay = 250 * time.Millisecond
+	// minAppendInterval is the shortest interval between appends of a single owner.
 	minAppendInterval = 10 * time.Millisecond
 )
 
-// pendingClaim is a claim on its way to the log.
+// pendingClaim is a claim that has not been read back from the log.
 type pendingClaim struct {
 	ClaimRecord
-	// sent tells that it has been part of an append, drop that it is no longer
-	// to be.
-	sent bool
-	drop bool
+	// sent is set once the claim has been part of an append, dropped if it must not
+	// be appended any more.
+	sent    bool
+	dropped bool
 }
 
-// pendingFinish is a finish on its way to the log. It must follow its claim
-// there, so it waits until after has been sent.
+// pendingFinish is an outcome that waits to be appended. It must follow its claim
+// in the log, so it waits until claim has been sent.
 type pendingFinish struct {
 	FinishRecord
-	after *pendingClaim
+	claim *pendingClaim
 }
 
-// batch is one record on its way to the log and back.
+// batch is one record that is being appended and read back.
 type batch struct {
-	record   Append
-	claims   []*pendingClaim
-	finishes []FinishRecord
-	viewSeq  uint64
-	failed   bool
-	retryAt  time.Time
+	record      Append
+	claims      []*pendingClaim
+	finishes    []FinishRecord
+	viewVersion uint64
+	failed      bool
+	retryAt     time.Time
 }
 
-// journal does the group commit: one append in flight, batches that grow
-// instead of the rate.
+// journal implements group commit: only one append is in flight, so that under
+// load the batches grow instead of the append rate.
 type journal struct {
-	self  Member
-	count uint64
-	// flush goes before queue: claims that were granted while the log could
-	// not be reached.
-	flush      []*pendingClaim
-	queue      []*pendingClaim
-	finishes   []pendingFinish
-	inflight   *batch
-	awaiting   map[string]*batch
+	self        Member
+	recordCount uint64
+	// heldQueue holds claims that were granted through a witness. They are appended
+	// before those in claimQueue.
+	heldQueue   []*pendingClaim
+	claimQueue  []*pendingClaim
+	finishQueue []pendingFinish
+	inFlight    *batch
+	// unread holds the batches that have not been read back, by record ID.
+	unread     map[string]*batch
 	nextAppend time.Time
-	// claimsLast alternates claims and finishes while there are both.
-	claimsLast bool
+	// lastWasClaims makes batches of claims and of outcomes alternate.
+	lastWasClaims bool
 }
 
-func newJournal(self Member) journal { return journal{self: self, awaiting: map[string]*batch{}} }
+func newJournal(self Member) journal { return journal{self: self, unread: map[string]*batch{}} }
 
-// AppendDone takes the answer to an append. After any failure the record may
-// be in the log, so the same record is sent again until the log has answered
-// or the record has been read back.
+// AppendDone applies the result of an append. A failed append may still have
+// reached the log, so the same record is sent again until the log has answered or
+// the record has been read back.
 func (l *Ledger) AppendDone(now time.Time, id string, err error) {
 	j := &l.journal
-	if j.inflight != nil && j.inflight.record.ID == id {
+	if j.inFlight != nil && j.inFlight.record.ID == id {
 		if err == nil {
-			j.inflight = nil
+			j.inFlight = nil
 		} else {
-			j.inflight.failed, j.inflight.retryAt = true, now.Add(appendRetry)
+			j.inFlight.failed, j.inFlight.retryAt = true, now.Add(appendRetryDelay)
 		}
 	}
-	l.pump(now)
+	l.sendDue(now)
 }
 
-// folded returns this process's batch of that id, once.
-func (j *journal) folded(id string) *batch {
-	b := j.awaiting[id]
-	delete(j.awaiting, id)
-	if b != nil && j.inflight == b {
-		j.inflight = nil
+// takeUnread removes and returns this process's batch with that ID, or nil.
+func (j *journal) takeUnread(id string) *batch {
+	b := j.unread[id]
+	delete(j.unread, id)
+	if b != nil && j.inFlight == b {
+		j.inFlight = nil
 	}
 	return b
 }
 
-// readBack notes what reading an own record back proves: the log answers, and
-// everything before the record has been read. If it was written after the last
-// change of the members, no claim made under an earlier owner is missed.
-func (l *Ledger) readBack(b *batch) {
-	l.holder.stalled = false
-	if b.viewSeq == l.viewSeq {
-		l.proven = true
+// noteReadBack records that the log is available and has been read up to this
+// batch. If the batch was written after the last membership change, no claim made
+// through an earlier owner is missing.
+func (l *Ledger) noteReadBack(b *batch) {
+	l.held.logLate = false
+	if b.viewVersion == l.viewVersion {
+		l.caughtUp = true
 	}
 }
 
-// pump appends what is due and turns to the witness where the log is late.
-func (l *Ledger) pump(now time.Time) {
-	l.holdOverdue(now)
+// sendDue starts the appends that are due and calls witnesses if the log is late.
+func (l *Ledger) sendDue(now time.Time) {
+	l.callWitnesses(now)
 	j := &l.journal
-	if b := j.inflight; b != nil {
+	if b := j.inFlight; b != nil {
 		if b.failed && !now.Before(b.retryAt) {
 			b.failed = false
 			l.out.Appends = append(l.out.Appends, b.record)
@@ -111,7 +112,7 @@
 	}
 	if b := l.nextBatch(); b != nil {
 		j.nextAppend = now.Add(l.appendInterval())
-		l.send(b)
+		l.sendBatch(b)
 	}
 }
 
@@ -120,25 +121,25 @@
 	return max(minAppendInterval, time.Duration(share*float64(time.Second)))
 }
 
-func (l *Ledger) send(b *batch) {
+func (l *Ledger) sendBatch(b *batch) {
 	j := &l.journal
-	j.count++
-	b.viewSeq = l.viewSeq
-	b.record.ID = fmt.Sprintf("idem/%s/%s/%d", j.self.ID, j.self.BootID, j.count)
+	j.recordCount++
+	b.viewVersion = l.viewVersion
+	b.record.ID = fmt.Sprintf("idem/%s/%s/%d", j.self.ID, j.self.BootID, j.recordCount)
 	if b.record.Claims != nil {
 		b.record.Kind = KindClaims
 	} else {
 		b.record.Kind = KindFinishes
 	}
-	j.inflight, j.awaiting[b.record.ID] = b, b
+	j.inFlight, j.unread[b.record.ID] = b, b
 	l.out.Appends = append(l.out.Appends, b.record)
 }
 
-// nextBatch returns what to append next, or nil. Claims that may have run go
-// first, then claims and finishes in turn.
+// nextBatch returns the next batch to append, or nil. Claims that may have run go
+// first, then claims and outcomes alternate.
 func (l *Ledger) nextBatch() *batch {
 	j := &l.journal
-	if len(j.flush) == 0 && j.claimsLast {
+	if len(j.heldQueue) == 0 && j.lastWasClaims {
 		if b := j.finishBatch(); b != nil {
 			return b
 		}
@@ -149,20 +150,21 @@
 	if b := j.finishBatch(); b != nil {
 		return b
 	}
-	if l.needsFence() {
+	if l.needsEmptyRecord() {
 		return &batch{record: Append{Finishes: &FinishBatch{Owner: j.self.ID, OwnerBoot: j.self.BootID}}}
 	}
 	return nil
 }
 
-// needsFence tells whether an empty record is wanted, to read back after a
-// change of members where there is nothing else to write.
-func (l *Ledger) needsFence() bool {
-	if l.proven || l.view.changing() || !l.view.has(l.self.ID, l.self.BootID) {
+// needsEmptyRecord reports whether an empty record has to be appended. Reading it
+// back after a membership change proves that the log has been read up to there,
+// if there is nothing else to append.
+func (l *Ledger) needsEmptyRecord() bool {
+	if l.caughtUp || l.view.isChanging() || !l.view.hasMember(l.self.ID, l.self.BootID) {
 		return false
 	}
-	for _, b := range l.journal.awaiting {
-		if b.viewSeq == l.viewSeq {
+	for _, b := range l.journal.unread {
+		if b.viewVersion == l.viewVersion {
 			return false
 		}
 	}
@@ -171,21 +173,21 @@
 
 func (j *journal) claimBatch() *batch {
 	b := &batch{record: Append{Claims: &ClaimBatch{Owner: j.self.ID, OwnerBoot: j.self.BootID}}}
-	j.flush = b.fill(j.flush)
-	j.queue = b.fill(j.queue)
+	j.heldQueue = b.fill(j.heldQueue)
+	j.claimQueue = b.fill(j.claimQueue)
 	if len(b.claims) == 0 {
 		return nil
 	}
-	j.claimsLast = true
+	j.lastWasClaims = true
 	return b
 }
 
-// fill moves claims from queue into the batch and returns the rest.
+// fill moves claims from queue into the batch and returns the remaining ones.
 func (b *batch) fill(queue []*pendingClaim) []*pendingClaim {
 	for len(queue) > 0 && len(b.claims) < MaxBatch {
 		c := queue[0]
 		queue = queue[1:]
-		if c.drop {
+		if c.dropped {
 			continue
 		}
 		c.sent = true
@@ -198,12 +200,12 @@
 func (j *journal) finishBatch() *batch {
 	b := &batch{record: Append{Finishes: &FinishBatch{Owner: j.self.ID, OwnerBoot: j.self.BootID}}}
 	var rest []pendingFinish
-	for i, f := range j.finishes {
+	for i, f := range j.finishQueue {
 		if len(b.finishes) == MaxBatch {
-			rest = append(rest, j.finishes[i:]...)
+			rest = append(rest, j.finishQueue[i:]...)
 			break
 		}
-		if f.after != nil && !f.after.sent && !f.after.drop {
+		if f.claim != nil && !f.claim.sent && !f.claim.dropped {
 			rest = append(rest, f)
 			continue
 		}
@@ -212,49 +214,48 @@
 	if len(b.finishes) == 0 {
 		return nil
 	}
-	j.finishes = rest
+	j.finishQueue = rest
 	b.record.Finishes.Finishes = b.finishes
-	j.claimsLast = false
+	j.lastWasClaims = false
 	return b
 }
 
-// Resync is to be called after the table was replaced from a snapshot, as some
-// records were trimmed unread. Verdicts on this process's own may be among
-// them: what the table shows is taken as read back, and the rest is written
-// again. The fold tells repetitions by their attempt.
+// Resync must be called after the table was replaced from a snapshot because
+// unread records had been trimmed. The results of this process's own records may
+// be among those. Claims that are in the table count as read back; all others are
+// appended again, and the fold recognizes duplicates by their attempt.
 func (l *Ledger) Resync(now time.Time) {
 	j := &l.journal
-	l.viewSeq++
-	l.proven, j.inflight = false, nil
-	for _, id := range slices.Sorted(maps.Keys(j.awaiting)) {
-		b := j.awaiting[id]
-		delete(j.awaiting, id)
+	l.viewVersion++
+	l.caughtUp, j.inFlight = false, nil
+	for _, id := range slices.Sorted(maps.Keys(j.unread)) {
+		b := j.unread[id]
+		delete(j.unread, id)
 		for _, c := range b.claims {
 			l.resyncClaim(now, c)
 		}
 		for _, f := range b.finishes {
-			j.finishes = append(j.finishes, pendingFinish{FinishRecord: f})
+			j.finishQueue = append(j.finishQueue, pendingFinish{FinishRecord: f})
 		}
 	}
-	l.pump(now)
+	l.sendDue(now)
 }
 
 func (l *Ledger) resyncClaim(now time.Time, c *pendingClaim) {
 	e, ok := l.table.Lookup(c.Key)
 	if !ok {
 		c.sent = false
-		l.journal.queue = append(l.journal.queue, c)
+		l.journal.claimQueue = append(l.journal.claimQueue, c)
 		return
 	}
 	r := ClaimResult{Won: e.Attempt == c.Attempt && e.Status == StatusClaimed, Holder: e}
-	l.observe(ClaimBatch{Claims: []ClaimRecord{c.ClaimRecord}}, []ClaimResult{r})
-	l.claimFolded(now, c, r)
+	l.dropFolded(ClaimBatch{Claims: []ClaimRecord{c.ClaimRecord}}, []ClaimResult{r})
+	l.applyClaimResult(now, c, r)
 }
 
-func (j *journal) hasWork() bool { return len(j.flush)+len(j.queue)+len(j.finishes) > 0 }
+func (j *journal) hasQueued() bool { return len(j.heldQueue)+len(j.claimQueue)+len(j.finishQueue) > 0 }
 
-// Wake returns when Tick is next to be called; ok is false where nothing is
-// due.
+// Wake returns when Tick has to be called next. ok is false if nothing is due.
 func (l *Ledger) Wake() (at time.Time, ok bool) {
 	earlier := func(t time.Time) {
 		if !ok || t.Before(at) {
@@ -263,16 +264,16 @@
 	}
 	j := &l.journal
 	switch {
-	case j.inflight != nil && j.inflight.failed:
-		earlier(j.inflight.retryAt)
-	case j.inflight == nil && (j.hasWork() || l.needsFence()):
+	case j.inFlight != nil && j.inFlight.failed:
+		earlier(j.inFlight.retryAt)
+	case j.inFlight == nil && (j.hasQueued() || l.needsEmptyRecord()):
 		earlier(j.nextAppend)
 	}
-	if len(l.undecided) > 0 {
-		earlier(l.undecided[0].since.Add(holdAfter))
+	if len(l.undecidedClaims) > 0 {
+		earlier(l.undecidedClaims[0].since.Add(witnessDelay))
 	}
-	if len(l.grants) > 0 {
-		earlier(l.grants[0].since.Add(maxRun))
+	if len(l.grantedAttempts) > 0 {
+		earlier(l.grantedAttempts[0].since.Add(maxRunTime))
 	}
 	return at, ok
 }
--- a/internal/idempotency/links.go
+++ b/internal/idempotency/peer_client.go
@@ -13,8 +13,8 @@
 	kindWitness = "idem.witness"
 )
 
-// answerLimit bounds a message that carries an answer: MaxAnswerBytes counts
-// an overhead for each header, so this leaves room for the frame.
+// answerLimit bounds a message that carries an answer. MaxAnswerBytes includes an
+// overhead for each header, so this leaves room for the encoding.
 const answerLimit = MaxAnswerBytes + 16<<10
 
 type claimReply struct {
@@ -30,45 +30,45 @@
 	Claims []ClaimRecord `cbor:"1,keyasint"`
 }
 
-type done struct{}
+type emptyReply struct{}
 
-// links are the calls to other entries.
-type links interface {
+// entryClient calls other entries.
+type entryClient interface {
 	claim(ctx context.Context, to string, c Claim) (claimReply, error)
 	finish(ctx context.Context, to string, f FinishReport) error
 	hold(ctx context.Context, to string, claims []ClaimRecord) error
 }
 
-// peerLinks are links over a node.
-type peerLinks struct{ node *peer.Node }
+// peerClient implements entryClient over a peer node.
+type peerClient struct{ node *peer.Node }
 
-func (p peerLinks) claim(ctx context.Context, to string, c Claim) (claimReply, error) {
+func (p peerClient) claim(ctx context.Context, to string, c Claim) (claimReply, error) {
 	return peer.Call[Claim, claimReply](ctx, p.node, to, kindClaim, c, peer.MaxBytes(answerLimit))
 }
 
-func (p peerLinks) finish(ctx context.Context, to string, f FinishReport) error {
-	_, err := peer.Call[finishRequest, done](ctx, p.node, to, kindFinish, finishRequest{Report: f}, peer.MaxBytes(answerLimit))
+func (p peerClient) finish(ctx context.Context, to string, f FinishReport) error {
+	_, err := peer.Call[finishRequest, emptyReply](ctx, p.node, to, kindFinish, finishRequest{Report: f}, peer.MaxBytes(answerLimit))
 	return err
 }
 
-func (p peerLinks) hold(ctx context.Context, to string, claims []ClaimRecord) error {
-	_, err := peer.Call[holdRequest, done](ctx, p.node, to, kindWitness, holdRequest{Claims: claims})
+func (p peerClient) hold(ctx context.Context, to string, claims []ClaimRecord) error {
+	_, err := peer.Call[holdRequest, emptyReply](ctx, p.node, to, kindWitness, holdRequest{Claims: claims})
 	return err
 }
 
-// register serves the calls of other entries.
+// register registers the handlers for calls of other entries.
 func (s *Service) register(n *peer.Node) {
 	peer.Handle(n, kindClaim, func(ctx context.Context, from peer.Identity, c Claim) (claimReply, error) {
-		return s.serveClaim(ctx, member(from), c)
+		return s.serveClaim(ctx, memberOf(from), c)
 	}, peer.MaxBytes(answerLimit))
-	peer.Handle(n, kindFinish, func(_ context.Context, _ peer.Identity, r finishRequest) (done, error) {
-		return done{}, s.serveFinish(r.Report)
+	peer.Handle(n, kindFinish, func(_ context.Context, _ peer.Identity, r finishRequest) (emptyReply, error) {
+		return emptyReply{}, s.serveFinish(r.Report)
 	}, peer.MaxBytes(answerLimit))
-	peer.Handle(n, kindWitness, func(_ context.Context, from peer.Identity, r holdRequest) (done, error) {
-		return done{}, s.serveHold(member(from), r.Claims)
+	peer.Handle(n, kindWitness, func(_ context.Context, from peer.Identity, r holdRequest) (emptyReply, error) {
+		return emptyReply{}, s.serveHold(memberOf(from), r.Claims)
 	})
 }
 
-func member(id peer.Identity) Member {
+func memberOf(id peer.Identity) Member {
 	return Member{ID: id.ID, BootID: id.BootID, Zone: id.Zone}
 }
--- a/internal/idempotency/property_test.go
+++ b/internal/idempotency/property_test.go
@@ -16,26 +16,26 @@
 	attemptsPerKey = 4
 )
 
-// world is the sim with callers: attempts of a few keys, whose entries ask,
-// give up, dispatch and report.
-type world struct {
+// callerSim is the simulation with callers: attempts of a few keys whose entries
+// claim, cancel, dispatch and report.
+type callerSim struct {
 	*sim
-	attempts []*simAttempt
-	reports  []simReport
-	waiters  Waiter
-	froze    bool
-	// heldGrants counts what was dispatched on a witness's word.
-	heldGrants int
+	attempts  []*simAttempt
+	reports   []simReport
+	waiters   Waiter
+	hasFrozen bool
+	// witnessGrants counts the dispatches of attempts granted through a witness.
+	witnessGrants int
 }
 
 type simAttempt struct {
-	claim   ClaimRecord
-	entry   *simNode
-	waiters map[Waiter]*simNode
-	given   bool
-	heard   bool
-	ran     bool
-	notRun  bool
+	claim      ClaimRecord
+	entry      *simNode
+	waiters    map[Waiter]*simNode
+	reported   bool
+	asked      bool
+	dispatched bool
+	notRun     bool
 }
 
 type simReport struct {
@@ -43,34 +43,34 @@
 	outcome Outcome
 }
 
-// The caller sees a keyed request run at most once. Whatever the order of
-// claims, repetitions, lost answers, log outages, crashes, a freeze and
-// changes of members: while an attempt of a key has been dispatched and is not
-// proved not to have run, no other attempt of that key is dispatched.
+// A keyed request runs at most once under any order of claims, repetitions, lost
+// replies, log outages, crashes, a paused entry and membership changes: while a
+// dispatched attempt of a key is not proved not to have run, no other attempt of
+// that key is dispatched.
 func TestAtMostOnceInAnyInterleaving(t *testing.T) {
 	setFlag(t, "rapid.seed", propertySeed)
 	setFlag(t, "rapid.checks", propertyChecks)
 	setFlag(t, "rapid.steps", propertySteps)
 	setFlag(t, "rapid.nofailfile", "true")
-	dispatched, again, held := 0, 0, 0
+	dispatchedCount, notRunCount, witnessCount := 0, 0, 0
 	rapid.Check(t, func(t *rapid.T) {
-		w := &world{sim: newSim(
+		w := &callerSim{sim: newSim(
 			Member{"a", "1", "z1"}, Member{"b", "1", "z2"}, Member{"c", "1", "z2"}, Member{"d", "1", "z3"})}
 		w.run()
 		t.Repeat(w.actions())
-		w.check(t)
+		w.checkFoldsAgree(t)
 		for _, a := range w.attempts {
-			if a.ran {
-				dispatched++
+			if a.dispatched {
+				dispatchedCount++
 			}
 			if a.notRun {
-				again++
+				notRunCount++
 			}
 		}
-		held += w.heldGrants
+		witnessCount += w.witnessGrants
 	})
-	t.Logf("dispatched in all runs: %d, of which not run: %d, by witness: %d", dispatched, again, held)
-	if dispatched == 0 || again == 0 || held == 0 {
+	t.Logf("dispatched in all runs: %d, of which not run: %d, granted through a witness: %d", dispatchedCount, notRunCount, witnessCount)
+	if dispatchedCount == 0 || notRunCount == 0 || witnessCount == 0 {
 		t.Error("the property was not exercised")
 	}
 }
@@ -87,15 +87,15 @@
 	t.Cleanup(func() { _ = flag.Set(name, old) })
 }
 
-func (w *world) actions() map[string]func(*rapid.T) {
+func (w *callerSim) actions() map[string]func(*rapid.T) {
 	return map[string]func(*rapid.T){
 		"claim":  w.newClaim,
 		"claim2": w.newClaim,
-		"again":  func(t *rapid.T) { w.onAttempt(t, w.ask) },
+		"again":  func(t *rapid.T) { w.onAttempt(t, w.sendClaim) },
 		"giveUp": func(t *rapid.T) { w.onAttempt(t, w.giveUp) },
-		"reply":  w.deliver,
-		"reply2": w.deliver,
-		"finish": func(t *rapid.T) { w.onAttempt(t, w.finishRun) },
+		"reply":  w.deliverReply,
+		"reply2": w.deliverReply,
+		"finish": func(t *rapid.T) { w.onAttempt(t, w.finishAttempt) },
 		"report": w.deliverReport,
 		"append": func(t *rapid.T) {
 			w.onNode(t, func(n *simNode) { n.appendNext(rapid.Bool().Draw(t, "taken"), rapid.Bool().Draw(t, "answered")) })
@@ -113,29 +113,29 @@
 		"time": func(t *rapid.T) {
 			w.advance(time.Duration(rapid.IntRange(1, 1500).Draw(t, "ms")) * time.Millisecond)
 		},
-		"outage": func(*rapid.T) { w.down = !w.down },
+		"outage": func(*rapid.T) { w.logDown = !w.logDown },
 		"outageRun": func(*rapid.T) {
-			w.down = true
-			w.advance(holdAfter)
+			w.logDown = true
+			w.advance(witnessDelay)
 			w.runFor(3)
 		},
-		"back":      func(*rapid.T) { w.down = false },
-		"crash":     func(t *rapid.T) { w.seldom(t, w.crash) },
+		"back":      func(*rapid.T) { w.logDown = false },
+		"crash":     func(t *rapid.T) { w.onNodeRarely(t, w.crash) },
 		"loseOwner": w.loseOwner,
-		"freeze":    func(t *rapid.T) { w.seldom(t, w.freeze) },
-		"wake":      func(t *rapid.T) { w.wake(t) },
+		"freeze":    func(t *rapid.T) { w.onNodeRarely(t, w.freeze) },
+		"wake":      func(t *rapid.T) { w.unfreezeAll(t) },
 		"remove":    func(*rapid.T) { w.removeOne() },
-		"calm":      func(t *rapid.T) { w.down = false; w.runFor(20); w.check(t) },
+		"calm":      func(t *rapid.T) { w.logDown = false; w.runFor(20); w.checkFoldsAgree(t) },
 		"work":      func(*rapid.T) { w.runFor(3) },
-		"replies":   w.deliverAll,
+		"replies":   w.deliverAllReplies,
 	}
 }
 
-func (w *world) barrier(t *rapid.T) {
+func (w *callerSim) barrier(t *rapid.T) {
 	for _, n := range w.nodes {
 		n.ack()
 	}
-	w.onNode(t, (*simNode).settle)
+	w.onNode(t, (*simNode).endNextChange)
 }
 
 func foldAll(n *simNode) {
@@ -143,23 +143,23 @@
 	}
 }
 
-func (w *world) onNode(t *rapid.T, f func(*simNode)) {
+func (w *callerSim) onNode(t *rapid.T, f func(*simNode)) {
 	n := rapid.SampledFrom(w.nodes).Draw(t, "node")
-	if n.live() {
+	if n.isRunning() {
 		f(n)
 	}
 }
 
-// loseOwner takes down or freezes the owner of a key that an attempt has been
-// dispatched for, and has it removed if the log is there.
-func (w *world) loseOwner(t *rapid.T) {
+// loseOwner crashes or pauses the owner of a key that has been claimed, and
+// removes it from the members if the log is available.
+func (w *callerSim) loseOwner(t *rapid.T) {
 	if rapid.IntRange(0, 3).Draw(t, "chance") > 0 {
 		return
 	}
 	for i := len(w.attempts) - 1; i >= 0; i-- {
 		a := w.attempts[i]
 		owner, ok := ownerOf(a.claim.Key, w.members())
-		if !a.heard || !ok || !w.node(owner.ID).live() {
+		if !a.asked || !ok || !w.node(owner.ID).isRunning() {
 			continue
 		}
 		if rapid.Bool().Draw(t, "freeze") {
@@ -167,127 +167,129 @@
 		} else {
 			w.crash(w.node(owner.ID))
 		}
-		w.down = w.down && rapid.Bool().Draw(t, "stays down")
+		w.logDown = w.logDown && rapid.Bool().Draw(t, "stays down")
 		w.removeOne()
 		return
 	}
 }
 
-// seldom does f once in ten times: a run is to have some life before a fault.
-func (w *world) seldom(t *rapid.T, f func(*simNode)) {
+// onNodeRarely calls f in one of ten draws, so that a run makes progress before a
+// fault.
+func (w *callerSim) onNodeRarely(t *rapid.T, f func(*simNode)) {
 	if rapid.IntRange(0, 9).Draw(t, "chance") == 0 {
 		w.onNode(t, f)
 	}
 }
 
-func (w *world) onAttempt(t *rapid.T, f func(*rapid.T, *simAttempt)) {
+func (w *callerSim) onAttempt(t *rapid.T, f func(*rapid.T, *simAttempt)) {
 	if len(w.attempts) > 0 {
-		if a := rapid.SampledFrom(w.attempts).Draw(t, "attempt"); a.entry.live() {
+		if a := rapid.SampledFrom(w.attempts).Draw(t, "attempt"); a.entry.isRunning() {
 			f(t, a)
 		}
 	}
 }
 
-func (w *world) newClaim(t *rapid.T) {
+func (w *callerSim) newClaim(t *rapid.T) {
 	entry := rapid.SampledFrom(w.nodes).Draw(t, "entry")
-	if !entry.live() {
+	if !entry.isRunning() {
 		return
 	}
-	// Keys come and are left behind, so that there are always fresh ones and
-	// some that have a history.
+	// New keys are drawn throughout the run, so that there are always both unused
+	// keys and keys with a history.
 	key := len(w.attempts)/attemptsPerKey - rapid.IntRange(0, 1).Draw(t, "older")
 	c := Claim{Service: "s", Key: fmt.Sprint(key), Attempt: fmt.Sprint(len(w.attempts))}
 	a := &simAttempt{claim: c.record(), entry: entry, waiters: map[Waiter]*simNode{}}
 	w.attempts = append(w.attempts, a)
-	w.ask(t, a)
+	w.sendClaim(t, a)
 }
 
-// ask sends the attempt to its owner, as its entry sees it.
-func (w *world) ask(_ *rapid.T, a *simAttempt) {
-	if a.given || a.ran {
+// sendClaim sends the attempt's claim to the owner in the view of its entry.
+func (w *callerSim) sendClaim(_ *rapid.T, a *simAttempt) {
+	if a.reported || a.dispatched {
 		return
 	}
 	owner, err := a.entry.view.owner(a.claim.Key)
-	if err != nil || !w.node(owner.ID).live() {
+	if err != nil || !w.node(owner.ID).isRunning() {
 		return
 	}
 	w.waiters++
 	n := w.node(owner.ID)
-	a.waiters[w.waiters], a.heard = n, true
+	a.waiters[w.waiters], a.asked = n, true
 	n.claim(w.waiters, a.entry, a.claim)
 }
 
-func (w *world) giveUp(_ *rapid.T, a *simAttempt) {
-	if !a.given && !a.ran {
-		a.given = true
+func (w *callerSim) giveUp(_ *rapid.T, a *simAttempt) {
+	if !a.reported && !a.dispatched {
+		a.reported = true
 		w.reports = append(w.reports, simReport{a, OutcomeNotRun})
 	}
 }
 
-// deliver brings one reply to its entry, also one of a node that has crashed
-// or frozen since. A granted attempt is dispatched.
-func (w *world) deliver(t *rapid.T) {
+// deliverReply delivers one reply, even of a node that has crashed or been paused
+// since. A granted attempt is dispatched.
+func (w *callerSim) deliverReply(t *rapid.T) {
 	n := rapid.SampledFrom(w.nodes).Draw(t, "node")
 	if len(n.replies) > 0 {
-		w.deliverOne(t, n, rapid.IntRange(0, len(n.replies)-1).Draw(t, "reply"))
+		w.deliverReplyAt(t, n, rapid.IntRange(0, len(n.replies)-1).Draw(t, "reply"))
 	}
 }
 
-func (w *world) deliverAll(t *rapid.T) {
+func (w *callerSim) deliverAllReplies(t *rapid.T) {
 	for _, n := range w.nodes {
 		for len(n.replies) > 0 {
-			w.deliverOne(t, n, 0)
+			w.deliverReplyAt(t, n, 0)
 		}
 	}
 }
 
-func (w *world) deliverOne(t *rapid.T, n *simNode, i int) {
+func (w *callerSim) deliverReplyAt(t *rapid.T, n *simNode, i int) {
 	r := n.replies[i]
 	n.replies = append(n.replies[:i:i], n.replies[i+1:]...)
 	for _, a := range w.attempts {
-		if a.waiters[r.Waiter] == n && !a.given && !a.ran && a.entry.live() && r.Decision == DecisionRun {
+		if a.waiters[r.Waiter] == n && !a.reported && !a.dispatched && a.entry.isRunning() && r.Decision == DecisionRun {
 			w.dispatch(t, a)
 		}
 	}
 }
 
-func (w *world) dispatch(t *rapid.T, a *simAttempt) {
-	a.ran = true
+func (w *callerSim) dispatch(t *rapid.T, a *simAttempt) {
+	a.dispatched = true
 	for _, n := range w.nodes {
-		if h := n.ledger.holder.own[a.claim.Key]; h != nil && h.claim.Attempt == a.claim.Attempt {
-			w.heldGrants++
+		if h := n.ledger.held.asOwner[a.claim.Key]; h != nil && h.claim.Attempt == a.claim.Attempt {
+			w.witnessGrants++
 		}
 	}
 	for i, o := range w.attempts {
-		if o != a && o.claim.Key == a.claim.Key && o.ran && !o.notRun {
-			t.Fatalf("attempt %x runs, though attempt %d of its key has run", a.claim.Attempt, i)
+		if o != a && o.claim.Key == a.claim.Key && o.dispatched && !o.notRun {
+			t.Fatalf("attempt %x was dispatched although attempt %d of its key has run", a.claim.Attempt, i)
 		}
 	}
 }
 
-func (w *world) finishRun(t *rapid.T, a *simAttempt) {
-	if !a.ran || a.given {
+func (w *callerSim) finishAttempt(t *rapid.T, a *simAttempt) {
+	if !a.dispatched || a.reported {
 		return
 	}
-	a.given = true
+	a.reported = true
 	o := rapid.SampledFrom([]Outcome{OutcomeNotRun, OutcomeAnswered, OutcomeNotRun, OutcomeUnknown}).Draw(t, "outcome")
 	a.notRun = o == OutcomeNotRun
 	w.reports = append(w.reports, simReport{a, o})
 }
 
-// deliverReport brings a report to the key's owner, or repeats it later.
-func (w *world) deliverReport(t *rapid.T) {
+// deliverReport delivers a report to the key's owner and may keep it for another
+// delivery.
+func (w *callerSim) deliverReport(t *rapid.T) {
 	if len(w.reports) == 0 {
 		return
 	}
 	i := rapid.IntRange(0, len(w.reports)-1).Draw(t, "report")
 	r := w.reports[i]
 	owner, err := r.attempt.entry.view.owner(r.attempt.claim.Key)
-	if err != nil || !w.node(owner.ID).live() || !r.attempt.entry.live() {
+	if err != nil || !w.node(owner.ID).isRunning() || !r.attempt.entry.isRunning() {
 		return
 	}
 	n := w.node(owner.ID)
-	if n.ledger.mayGrant(r.attempt.claim.Key) == nil {
+	if n.ledger.checkOwnership(r.attempt.claim.Key) == nil {
 		n.finish(r.attempt.claim, r.outcome, &Answer{})
 	}
 	if rapid.Bool().Draw(t, "done") {
@@ -295,8 +297,8 @@
 	}
 }
 
-// crash takes down at most two of the four, for good.
-func (w *world) crash(n *simNode) {
+// crash stops a node for good, at most two of the four.
+func (w *callerSim) crash(n *simNode) {
 	down := 0
 	for _, o := range w.nodes {
 		if o.crashed {
@@ -306,14 +308,14 @@
 	n.crashed = n.crashed || down < 2
 }
 
-// freeze stops one node for a while; one freeze in a run.
-func (w *world) freeze(n *simNode) {
-	if !w.froze {
-		w.froze, n.frozen = true, true
+// freeze pauses a node, at most once in a run.
+func (w *callerSim) freeze(n *simNode) {
+	if !w.hasFrozen {
+		w.hasFrozen, n.frozen = true, true
 	}
 }
 
-func (w *world) wake(t *rapid.T) {
+func (w *callerSim) unfreezeAll(t *rapid.T) {
 	if rapid.IntRange(0, 3).Draw(t, "chance") > 0 {
 		return
 	}
@@ -322,25 +324,25 @@
 	}
 }
 
-// removeOne removes a crashed or frozen node from the members.
-func (w *world) removeOne() {
+// removeOne removes a crashed or paused node from the members.
+func (w *callerSim) removeOne() {
 	for _, n := range w.nodes {
-		if !n.live() && !n.gone {
+		if !n.isRunning() && !n.removed {
 			w.remove(n.self.ID, true)
 			return
 		}
 	}
 }
 
-// check compares the folds of those who have read equally far.
-func (w *world) check(t *rapid.T) {
+// checkFoldsAgree compares the states of nodes that have read equally far.
+func (w *callerSim) checkFoldsAgree(t *rapid.T) {
 	for _, n := range w.nodes[1:] {
 		first := w.nodes[0]
-		if n.folded != first.folded {
+		if n.readOffset != first.readOffset {
 			continue
 		}
 		if x, y := fmt.Sprint(n.state.Parts(10)), fmt.Sprint(first.state.Parts(10)); x != y {
-			t.Fatalf("fold differs at %d:\n%s\n%s", n.folded, x, y)
+			t.Fatalf("states differ at offset %d:\n%s\n%s", n.readOffset, x, y)
 		}
 	}
 }
--- a/internal/idempotency/records.go
+++ b/internal/idempotency/records.go
@@ -7,17 +7,17 @@
 	"cyclamenwheel/internal/fold"
 )
 
-// KeyHash stands for a service and a caller's key. It is cryptographic: with a
-// weaker hash one caller could choose a key that collides with another's and
-// have that one's charge refused.
+// KeyHash identifies a service and a caller's key. The hash is cryptographic: with
+// a weaker one, a caller could choose a key that collides with another caller's
+// and have that caller's request refused.
 type KeyHash [16]byte
 
-// AttemptHash stands for an attempt. Attempts are compared within one key
-// only, so eight bytes are enough.
+// AttemptHash identifies an attempt. Attempts are compared within one key only, so
+// eight bytes are enough.
 type AttemptHash [8]byte
 
-// HashKey returns the hash under which a key is kept. The length of the
-// service's name keeps "ab"+"c" and "a"+"bc" apart.
+// HashKey returns the hash of a service and a key. It includes the length of the
+// service name, so that "ab"+"c" and "a"+"bc" differ.
 func HashKey(service, key string) KeyHash {
 	h := sha256.New()
 	var length [8]byte
@@ -40,9 +40,9 @@
 	KindFinishes = "idem.finishes"
 )
 
-// MaxBatch bounds the claims or finishes of one record, which bounds the work
-// of one step of the fold. At 25 records a second it is 12,800 claims a second
-// for one owner, far beyond what the fleet's slots can run.
+// MaxBatch bounds the claims or finishes in one record, and so the time to fold
+// it. At 25 records per second this allows one owner 12,800 claims per second, far
+// more than the fleet's slots can run.
 const MaxBatch = 512
 
 // ClaimRecord is one claim in the log.
@@ -50,9 +50,8 @@
 	Key         KeyHash     `cbor:"1,keyasint"`
 	Fingerprint [16]byte    `cbor:"2,keyasint"`
 	Attempt     AttemptHash `cbor:"3,keyasint"`
-	// Held marks a claim that was granted on the word of the owner and a
-	// witness while the log could not be reached: its request may have run by
-	// the time this record is folded.
+	// Held marks a claim that was granted through a witness while the log was
+	// unavailable: its request may have run before this record is folded.
 	Held bool `cbor:"4,keyasint,omitempty"`
 }
 
@@ -67,67 +66,67 @@
 	Claims    []ClaimRecord `cbor:"3,keyasint"`
 }
 
-// FinishRecord tells what became of a claim.
+// FinishRecord is the outcome of a claim.
 type FinishRecord struct {
 	Key     KeyHash     `cbor:"1,keyasint"`
 	Attempt AttemptHash `cbor:"2,keyasint"`
 	Outcome Outcome     `cbor:"3,keyasint"`
 }
 
-// FinishBatch is a group commit of finishes. An empty one changes nothing; an
-// owner writes it to learn that it has read the log up to there.
+// FinishBatch is a group commit of finishes. An empty batch changes nothing; its
+// owner writes it to detect that it has read the log up to there.
 type FinishBatch struct {
 	Owner     string         `cbor:"1,keyasint"`
 	OwnerBoot string         `cbor:"2,keyasint"`
 	Finishes  []FinishRecord `cbor:"3,keyasint"`
 }
 
-// Reasons of this part of the fold.
+// Reasons for rejecting a batch.
 const (
-	// ReasonNotMember marks claims whose owner is not a member under that boot
-	// id at that offset: it was frozen or cut off while its place was taken.
+	// ReasonNotMember marks claims whose owner is not a member with that boot ID at
+	// that offset: it was paused or partitioned while another owner replaced it.
 	ReasonNotMember fold.Reason = "idempotency_owner_not_member"
 )
 
-// ClaimResult is the verdict on one claim.
+// ClaimResult is the result of folding one claim.
 type ClaimResult struct {
-	// Won tells that the claim's attempt holds the key.
+	// Won means that the claim's attempt holds the key.
 	Won bool
-	// Rejected tells that the claim does not count, as its author is not a
-	// member.
+	// Rejected means that the claim was ignored because its author is not a member.
 	Rejected bool
-	// Uncertain tells that the key's history was lost, so it may have run.
+	// Uncertain means that records of the key may be lost, so that the request may
+	// have run.
 	Uncertain bool
-	// Holder is what the fold knows of the key where the claim lost to it.
+	// Holder is the state of the key if another claim holds it.
 	Holder KeyState
 }
 
-// FinishResult is the verdict on one finish.
+// FinishResult is the result of folding one finish.
 type FinishResult struct {
-	// Applied tells that the finish's attempt held the key.
+	// Applied means that the finish's attempt held the key.
 	Applied bool
-	// Released tells that the key may be claimed again.
+	// Released means that the key may be claimed again.
 	Released bool
 }
 
-// Status is what the fold knows of a key.
+// Status is the state of a key in the fold.
 type Status uint8
 
 // Statuses of a key.
 const (
-	// StatusClaimed: an attempt holds it and has not finished.
+	// StatusClaimed: an attempt holds the key and has not finished.
 	StatusClaimed Status = iota + 1
 	// StatusFinished: the request has run.
 	StatusFinished
-	// StatusUnknown: it may have run.
+	// StatusUnknown: the request may have run.
 	StatusUnknown
-	// statusReleased: its attempt is proved not to have run, so the key is
-	// free for any other one. Kept so that a late repetition of the claim,
-	// such as a witness's, doesn't block the key again.
+	// statusReleased: the attempt provably did not run, so the key is free for any
+	// other attempt. The row is kept so that a late copy of the claim, such as a
+	// witness's, does not claim the key again.
 	statusReleased
 )
 
-// KeyState is what the fold knows of one key.
+// KeyState is the state of one key in the fold.
 type KeyState struct {
 	Fingerprint [16]byte
 	Attempt     AttemptHash
--- a/internal/idempotency/service_test.go
+++ b/internal/idempotency/service_test.go
@@ -22,8 +22,8 @@
 	"cyclamenwheel/internal/peer"
 )
 
-// settle bounds waits for a condition; no verdict depends on it.
-const settle = 20 * time.Second
+// waitTimeout bounds waits for a condition; no result depends on it.
+const waitTimeout = 20 * time.Second
 
 // fakeLog folds each record at once, for every entry in turn.
 type fakeLog struct {
@@ -62,12 +62,12 @@
 	return nil
 }
 
-var _ = Describe("services over links", func() {
+var _ = Describe("Services connected by peer calls", func() {
 	var log *fakeLog
 	var nodes []*peer.Node
 	c := Claim{Service: "settle", Key: "tab 7", Fingerprint: [16]byte{1}}
-	with := func(attempt string) Claim { c := c; c.Attempt = attempt; return c }
-	within := func(d time.Duration) context.Context {
+	claimBy := func(attempt string) Claim { c := c; c.Attempt = attempt; return c }
+	withTimeout := func(d time.Duration) context.Context {
 		ctx, cancel := context.WithTimeout(context.Background(), d)
 		DeferCleanup(cancel)
 		return ctx
@@ -81,7 +81,7 @@
 	BeforeEach(func() {
 		before := goleak.IgnoreCurrent()
 		DeferCleanup(func() {
-			Eventually(func() error { return goleak.Find(before) }).WithTimeout(settle).Should(Succeed())
+			Eventually(func() error { return goleak.Find(before) }).WithTimeout(waitTimeout).Should(Succeed())
 		})
 		log, nodes = &fakeLog{seen: map[string]bool{}, state: NewState()}, nil
 		sign := newSigner()
@@ -105,19 +105,19 @@
 			Expect(nodes[i].SetPeers(addrs)).To(Succeed())
 			s.SetView(view)
 		}
-		Eventually(func() bool { return log.entries[ownerIndex()].Status().Proven }).WithTimeout(settle).Should(BeTrue())
+		Eventually(func() bool { return log.entries[ownerIndex()].Status().Proven }).WithTimeout(waitTimeout).Should(BeTrue())
 	})
 
-	// One tab close reaches every entry at once, each three times. One of them
-	// dispatches; all get the same answer.
-	It("dispatches once and gives all the same answer", func() {
+	// Three entries receive the same request three times each, all at once. One of
+	// them dispatches it; all get the same answer.
+	It("dispatches once and gives every caller the same answer", func() {
 		var ran atomic.Int32
 		var wg sync.WaitGroup
 		for i := range 9 {
-			s, c := log.entries[i%3], with(string(rune('0'+i)))
+			s, c := log.entries[i%3], claimBy(string(rune('0'+i)))
 			wg.Go(func() {
 				defer GinkgoRecover()
-				d, a, err := s.Begin(within(settle), c)
+				d, a, err := s.Begin(withTimeout(waitTimeout), c)
 				Expect(err).NotTo(HaveOccurred())
 				if d == DecisionRun {
 					ran.Add(1)
@@ -131,61 +131,61 @@
 		wg.Wait()
 		Expect(ran.Load()).To(BeEquivalentTo(1))
 		for _, s := range log.entries {
-			Expect(s.Drain(within(settle))).To(Succeed())
+			Expect(s.Drain(withTimeout(waitTimeout))).To(Succeed())
 		}
 	})
 
-	// A caller gives up while another attempt runs, and that one turns out not
-	// to have run. The key is free for the next attempt.
-	It("refuses at the deadline and frees the key of who gave up", func() {
+	// A caller's deadline passes while another attempt runs, and that attempt turns
+	// out not to have run. The key is free for the next attempt.
+	It("refuses at the deadline and frees the key of an attempt that did not run", func() {
 		entry := log.entries[(ownerIndex()+1)%3]
-		Expect(first(entry.Begin(within(settle), with("1")))).To(Equal(DecisionRun))
-		_, _, err := entry.Begin(within(50*time.Millisecond), with("2"))
+		Expect(expectDecided(entry.Begin(withTimeout(waitTimeout), claimBy("1")))).To(Equal(DecisionRun))
+		_, _, err := entry.Begin(withTimeout(50*time.Millisecond), claimBy("2"))
 		Expect(err).To(BeAssignableToTypeOf(&NotRunError{}))
 		Expect(err).To(MatchError(context.DeadlineExceeded))
-		entry.Finish(with("1"), OutcomeNotRun, nil)
-		Expect(first(entry.Begin(within(settle), with("3")))).To(Equal(DecisionRun))
+		entry.Finish(claimBy("1"), OutcomeNotRun, nil)
+		Expect(expectDecided(entry.Begin(withTimeout(waitTimeout), claimBy("3")))).To(Equal(DecisionRun))
 	})
 
-	// The log is down: the claim is granted on a witness's word, and both write
-	// it when the log is back.
-	It("goes on by witness while the log is down", func() {
+	// The log is down. The claim is granted through a witness, and both append it
+	// after the outage.
+	It("grants through a witness while the log is down", func() {
 		log.down.Store(true)
 		owner := log.entries[ownerIndex()]
 		entry := log.entries[(ownerIndex()+1)%3]
-		Expect(first(entry.Begin(within(settle), with("1")))).To(Equal(DecisionRun))
+		Expect(expectDecided(entry.Begin(withTimeout(waitTimeout), claimBy("1")))).To(Equal(DecisionRun))
 		Expect(owner.Flushed()).To(BeFalse())
 		log.down.Store(false)
 		for _, s := range log.entries {
-			Eventually(s.Flushed).WithTimeout(settle).Should(BeTrue())
+			Eventually(s.Flushed).WithTimeout(waitTimeout).Should(BeTrue())
 		}
 		holder, _ := log.state.Lookup(HashKey(c.Service, c.Key))
 		Expect(holder.Attempt).To(Equal(HashAttempt("1")))
 	})
 
-	// The owner is killed while the log is down. Its keys are refused at once
-	// as not run, and no other entry takes them over.
-	It("refuses keys of an owner that can't be reached", func() {
+	// The owner crashes while the log is down. Its keys are refused at once as not
+	// run, and no other entry takes them over.
+	It("refuses keys of an unreachable owner", func() {
 		log.down.Store(true)
-		dead := ownerIndex()
-		log.entries[dead].Close()
-		Expect(nodes[dead].Close()).To(Succeed())
-		_, _, err := log.entries[(dead+1)%3].Begin(within(settle), with("1"))
+		closed := ownerIndex()
+		log.entries[closed].Close()
+		Expect(nodes[closed].Close()).To(Succeed())
+		_, _, err := log.entries[(closed+1)%3].Begin(withTimeout(waitTimeout), claimBy("1"))
 		Expect(err).To(BeAssignableToTypeOf(&NotRunError{}))
 		Expect(err).To(HaveField("Cause", BeAssignableToTypeOf(&peer.UnreachableError{})))
-		_, _, err = log.entries[(dead+1)%3].Begin(within(settle), Claim{})
+		_, _, err = log.entries[(closed+1)%3].Begin(withTimeout(waitTimeout), Claim{})
 		Expect(err).To(HaveField("Cause", BeAssignableToTypeOf(&KeyError{})))
 	})
 })
 
-func first(d Decision, _ *Answer, err error) Decision {
+func expectDecided(d Decision, _ *Answer, err error) Decision {
 	GinkgoHelper()
 	Expect(err).NotTo(HaveOccurred())
 	return d
 }
 
-// newSigner returns a function that makes a TLS configuration for a name, all
-// of one test authority.
+// newSigner returns a function that makes a TLS configuration for a name, signed
+// by one test CA.
 func newSigner() func(uri *url.URL) *tls.Config {
 	caKey, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	Expect(err).NotTo(HaveOccurred())
--- a/internal/idempotency/snapshot.go
+++ b/internal/idempotency/snapshot.go
@@ -9,7 +9,7 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// SnapshotError says that a snapshot can't be read.
+// SnapshotError means that a snapshot can't be decoded.
 type SnapshotError struct {
 	Detail string
 	Cause  error
@@ -22,11 +22,11 @@
 // Unwrap returns the cause.
 func (e *SnapshotError) Unwrap() error { return e.Cause }
 
-// Part is a piece of a snapshot. Keys are packed into one byte string: as a
-// CBOR map a million of them would cost twice the bytes and many times the
-// processor time, and exceed the decoder's limits.
+// Part is a part of a snapshot. Keys are packed into one byte string: as a CBOR map
+// a million keys would take twice the bytes and many times the CPU time, and
+// exceed the limits of the decoder.
 type Part struct {
-	// Owners are the names that the rows number.
+	// Owners are the names that the rows refer to by index.
 	Owners []string `cbor:"1,keyasint"`
 	// Rows are packed rows in the order of their claims.
 	Rows []byte `cbor:"2,keyasint"`
@@ -35,31 +35,31 @@
 	Uncertain []Uncertain `cbor:"4,keyasint,omitempty"`
 }
 
-// rowBytes is the size of a packed row: key, fingerprint, attempt, offset,
-// time, owner, status.
+// rowBytes is the size of a packed row: key, fingerprint, attempt, offset, time,
+// owner and status.
 const rowBytes = 16 + 16 + 8 + 8 + 8 + 4 + 1
 
-// allKeys is more keys than fit into memory.
-const allKeys = 1 << 40
+// unlimitedKeys is more than the number of keys that fit into memory.
+const unlimitedKeys = 1 << 40
 
-// Parts returns the state as pieces of at most maxKeys keys, at least one
-// piece. The same state gives the same bytes in every process that holds it.
+// Parts returns the state in one or more parts of at most maxKeys keys each. The
+// same state gives the same bytes in every process.
 func (s *State) Parts(maxKeys int) []Part {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
 	var parts []Part
 	var rows []byte
-	numbers := names{}
+	owners := nameTable{}
 	flush := func() {
-		parts = append(parts, Part{Owners: numbers.list, Rows: rows, NowMillis: s.now, Uncertain: slices.Clone(s.uncertain)})
-		rows, numbers = nil, names{}
+		parts = append(parts, Part{Owners: owners.list, Rows: rows, NowMillis: s.now, Uncertain: slices.Clone(s.uncertain)})
+		rows, owners = nil, nameTable{}
 	}
-	for _, e := range s.expiry[s.head:] {
-		r, ok := s.live(e.key)
+	for _, e := range s.expiry[s.expiryHead:] {
+		r, ok := s.unexpired(e.key)
 		if !ok || r.offset != e.offset {
 			continue
 		}
-		r.owner = numbers.of(s.owners.list[r.owner])
+		r.owner = owners.numberOf(s.owners.list[r.owner])
 		rows = packRow(rows, e.key, r)
 		if len(rows) >= maxKeys*rowBytes {
 			flush()
@@ -71,12 +71,12 @@
 	return parts
 }
 
-// RestoreState builds a state from all parts of a snapshot, in their order.
+// RestoreState builds a state from all parts of a snapshot, in order.
 func RestoreState(parts []Part) (*State, error) {
 	s := NewState()
 	for _, p := range parts {
 		if len(p.Rows)%rowBytes != 0 {
-			return nil, &SnapshotError{Detail: "torn row"}
+			return nil, &SnapshotError{Detail: "truncated row"}
 		}
 		s.now = max(s.now, p.NowMillis)
 		s.uncertain = p.Uncertain
@@ -92,11 +92,11 @@
 func (s *State) restoreRow(data []byte, owners []string) error {
 	key, r := unpackRow(data)
 	if int(r.owner) >= len(owners) || r.status < StatusClaimed || r.status > statusReleased {
-		return &SnapshotError{Detail: "bad row"}
+		return &SnapshotError{Detail: "invalid row"}
 	}
-	r.owner = s.owners.of(owners[r.owner])
+	r.owner = s.owners.numberOf(owners[r.owner])
 	s.rows[key] = r
-	s.expiry = append(s.expiry, expiring{key: key, offset: r.offset, timeMillis: r.timeMillis})
+	s.expiry = append(s.expiry, expiryEntry{key: key, offset: r.offset, timeMillis: r.timeMillis})
 	return nil
 }
 
@@ -123,11 +123,11 @@
 
 // MarshalCBOR encodes the whole state as one part.
 func (s *State) MarshalCBOR() ([]byte, error) {
-	data, err := cbor.Marshal(s.Parts(allKeys)[0])
-	return data, errors.Wrap(err, "idempotency state")
+	data, err := cbor.Marshal(s.Parts(unlimitedKeys)[0])
+	return data, errors.Wrap(err, "encode idempotency state")
 }
 
-// UnmarshalCBOR replaces the state by an encoded one.
+// UnmarshalCBOR replaces the state by the encoded one.
 func (s *State) UnmarshalCBOR(data []byte) error {
 	var p Part
 	if err := cbor.Unmarshal(data, &p); err != nil {
@@ -139,7 +139,7 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.rows, s.expiry, s.head = restored.rows, restored.expiry, 0
+	s.rows, s.expiry, s.expiryHead = restored.rows, restored.expiry, 0
 	s.now, s.owners, s.uncertain = restored.now, restored.owners, restored.uncertain
 	return nil
 }
--- a/internal/idempotency/state.go
+++ b/internal/idempotency/state.go
@@ -6,29 +6,30 @@
 	"cyclamenwheel/internal/fold"
 )
 
-// expireStep bounds how many old keys one record removes. It is more than one
-// record can add, so the table can't outgrow its retention, and small enough
-// that no record takes long to fold.
-const expireStep = 2 * MaxBatch
-
-// State is the keys in the fold. Apply is called by the one that folds, in log
-// order; the other methods may be called from anywhere at any time.
+// maxExpiredPerRecord bounds the expired keys that folding one record removes. It
+// is more than one record can add, so that the table does not outgrow its
+// retention, and small enough that no record takes long to fold.
+const maxExpiredPerRecord = 2 * MaxBatch
+
+// State is the table of keys in the fold. Only the goroutine that folds the log
+// may call the Apply methods, in log order; the other methods are safe for
+// concurrent use.
 type State struct {
 	mu   sync.RWMutex
 	rows map[KeyHash]row
-	// expiry lists the keys in the order of their claims, which is that of
-	// their expiry too, as the log's time never falls. head is its first
-	// element in use.
-	expiry []expiring
-	head   int
-	// now is the log time of the last record folded.
+	// expiry lists the keys in the order of their claims, which is also the order of
+	// their expiry because log time never decreases. expiryHead is the index of the
+	// first remaining element.
+	expiry     []expiryEntry
+	expiryHead int
+	// now is the log time of the last folded record.
 	now       int64
-	owners    names
+	owners    nameTable
 	uncertain []Uncertain
 }
 
-// row is a KeyState with its owner's name shared. With millions of keys kept for
-// a day its size is what this part of the system costs in memory.
+// row is a KeyState with its owner's name interned. Millions of keys are kept for
+// a day, so the size of a row determines the memory use of this package.
 type row struct {
 	fingerprint [16]byte
 	attempt     AttemptHash
@@ -38,21 +39,21 @@
 	status      Status
 }
 
-type expiring struct {
+type expiryEntry struct {
 	key    KeyHash
 	offset uint64
-	// timeMillis is kept here too, as the row may be gone.
+	// timeMillis is kept here as well because the row may have been removed.
 	timeMillis int64
 }
 
-// names gives each name a number. Names of owners long gone stay; a process
-// replaces its state from a snapshot far more often than they add up.
-type names struct {
+// nameTable assigns a number to each name. Names of former owners are kept; a
+// process replaces its state from a snapshot long before they add up.
+type nameTable struct {
 	list   []string
 	number map[string]uint32
 }
 
-func (n *names) of(name string) uint32 {
+func (n *nameTable) numberOf(name string) uint32 {
 	if i, ok := n.number[name]; ok {
 		return i
 	}
@@ -65,19 +66,19 @@
 	return i
 }
 
-// NewState returns a state without keys.
+// NewState returns an empty state.
 func NewState() *State { return &State{rows: map[KeyHash]row{}} }
 
-// Members tells the boot id of a member at the offset being folded.
+// Members returns the boot ID of a member at the offset that is being folded.
 type Members func(id string) (bootID string, ok bool)
 
-// ApplyClaims folds a batch of claims. The first claim of a key in log order
-// holds it; repeating the same attempt's claim changes nothing. The results
-// are in the order of the claims and nil where the batch was rejected.
+// ApplyClaims folds a batch of claims. The first claim of a key in log order holds
+// it; repeating the claim of the same attempt changes nothing. The results are in
+// the order of the claims and nil if the batch was rejected.
 //
-// A batch of an owner that is not a member is rejected but for its held
-// claims: those were granted before, and refusing to know of them would let
-// the key run twice. They grant nothing here.
+// If the owner is not a member, the batch is rejected except for its held claims.
+// Those were granted before, and ignoring them would let the request run twice.
+// Folding them does not grant anything.
 func (s *State) ApplyClaims(meta fold.Meta, b ClaimBatch, members Members) (fold.Verdict, []ClaimResult) {
 	if len(b.Claims) > MaxBatch {
 		return fold.Reject(fold.ReasonMalformed, "too many claims in one record"), nil
@@ -93,7 +94,7 @@
 	results := make([]ClaimResult, len(b.Claims))
 	for i, c := range b.Claims {
 		if member || c.Held {
-			results[i] = s.claim(meta, b.Owner, c)
+			results[i] = s.applyClaim(meta, b.Owner, c)
 		} else {
 			results[i] = ClaimResult{Rejected: true}
 		}
@@ -110,8 +111,8 @@
 	return false
 }
 
-func (s *State) claim(meta fold.Meta, owner string, c ClaimRecord) ClaimResult {
-	r, ok := s.live(c.Key)
+func (s *State) applyClaim(meta fold.Meta, owner string, c ClaimRecord) ClaimResult {
+	r, ok := s.unexpired(c.Key)
 	switch {
 	case !ok && !c.Held && s.isUncertain(c.Key):
 		return ClaimResult{Uncertain: true}
@@ -121,16 +122,16 @@
 	case r.attempt == c.Attempt:
 		return ClaimResult{Won: r.status == StatusClaimed, Holder: s.keyState(r)}
 	case c.Held:
-		s.pin(c, r)
+		s.markContested(c, r)
 	}
 	return ClaimResult{Holder: s.keyState(r)}
 }
 
-// pin settles a key for which two attempts hold a claim, one of them granted
-// while the log could not be reached. Membership and barrier make this
-// impossible short of a fault; if it happens, a later proof that one of the
-// two did not run must not release the key, as the other one may have.
-func (s *State) pin(c ClaimRecord, r row) {
+// markContested marks a key that two attempts claim, one of them granted through a
+// witness while the log was unavailable. Membership and barrier rule this out
+// short of a fault. If it happens, proof that one of the attempts did not run must
+// not release the key, because the other one may have run.
+func (s *State) markContested(c ClaimRecord, r row) {
 	if r.status == StatusFinished {
 		return
 	}
@@ -141,14 +142,14 @@
 func (s *State) insert(meta fold.Meta, owner string, c ClaimRecord) {
 	s.rows[c.Key] = row{
 		fingerprint: c.Fingerprint, attempt: c.Attempt, offset: meta.Offset,
-		timeMillis: meta.TimeMillis, owner: s.owners.of(owner), status: StatusClaimed,
+		timeMillis: meta.TimeMillis, owner: s.owners.numberOf(owner), status: StatusClaimed,
 	}
-	s.expiry = append(s.expiry, expiring{key: c.Key, offset: meta.Offset, timeMillis: meta.TimeMillis})
+	s.expiry = append(s.expiry, expiryEntry{key: c.Key, offset: meta.Offset, timeMillis: meta.TimeMillis})
 }
 
-// ApplyFinishes folds a batch of finishes. A finish counts whoever reports it:
-// it names the attempt, and what became of an attempt does not depend on who
-// is a member by then.
+// ApplyFinishes folds a batch of finishes. A finish is applied whoever reports it:
+// it names the attempt, and the outcome of an attempt does not depend on the
+// current members.
 func (s *State) ApplyFinishes(meta fold.Meta, b FinishBatch) (fold.Verdict, []FinishResult) {
 	if len(b.Finishes) > MaxBatch {
 		return fold.Reject(fold.ReasonMalformed, "too many finishes in one record"), nil
@@ -158,13 +159,13 @@
 	s.advance(meta.TimeMillis)
 	results := make([]FinishResult, len(b.Finishes))
 	for i, f := range b.Finishes {
-		results[i] = s.finish(f)
+		results[i] = s.applyFinish(f)
 	}
 	return fold.Accept(), results
 }
 
-func (s *State) finish(f FinishRecord) FinishResult {
-	r, ok := s.live(f.Key)
+func (s *State) applyFinish(f FinishRecord) FinishResult {
+	r, ok := s.unexpired(f.Key)
 	if !ok || r.attempt != f.Attempt || r.status != StatusClaimed {
 		return FinishResult{}
 	}
@@ -182,38 +183,38 @@
 	return FinishResult{Applied: true}
 }
 
-// advance moves log time and removes expired keys, at most expireStep.
+// advance sets the log time and removes at most maxExpiredPerRecord expired keys.
 func (s *State) advance(now int64) {
 	s.now = max(s.now, now)
-	for range expireStep {
-		if s.head == len(s.expiry) || !expired(s.expiry[s.head].timeMillis, s.now) {
+	for range maxExpiredPerRecord {
+		if s.expiryHead == len(s.expiry) || !expired(s.expiry[s.expiryHead].timeMillis, s.now) {
 			break
 		}
-		e := s.expiry[s.head]
-		s.head++
+		e := s.expiry[s.expiryHead]
+		s.expiryHead++
 		if r, ok := s.rows[e.key]; ok && r.offset == e.offset {
 			delete(s.rows, e.key)
 		}
 	}
-	s.trim()
+	s.compactExpiry()
 	s.expireUncertain()
 }
 
-// trim gives back the used part of the expiry list once it is the larger one,
-// so that each element is moved once on average.
-func (s *State) trim() {
-	if s.head > expireStep && s.head > len(s.expiry)/2 {
-		s.expiry = append([]expiring(nil), s.expiry[s.head:]...)
-		s.head = 0
+// compactExpiry frees the consumed part of the expiry list once it is larger than
+// the rest, so that each element is copied once on average.
+func (s *State) compactExpiry() {
+	if s.expiryHead > maxExpiredPerRecord && s.expiryHead > len(s.expiry)/2 {
+		s.expiry = append([]expiryEntry(nil), s.expiry[s.expiryHead:]...)
+		s.expiryHead = 0
 	}
 }
 
 func expired(claimed, now int64) bool { return now-claimed >= Retention.Milliseconds() }
 
-// live returns a key's row unless it has expired. A row that waits for its
-// removal counts as gone, so that the verdict depends on log time alone and
-// not on how far the removal has come.
-func (s *State) live(key KeyHash) (row, bool) {
+// unexpired returns the row of a key unless it has expired. An expired row that
+// has not been removed yet counts as absent, so that results depend on log time
+// only and not on the progress of the removal.
+func (s *State) unexpired(key KeyHash) (row, bool) {
 	r, ok := s.rows[key]
 	if !ok || expired(r.timeMillis, s.now) {
 		return row{}, false
@@ -228,18 +229,18 @@
 	}
 }
 
-// Lookup returns what the fold knows of a key; ok is false where it is free.
+// Lookup returns the state of a key. ok is false if the key is free.
 func (s *State) Lookup(key KeyHash) (KeyState, bool) {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
-	r, ok := s.live(key)
+	r, ok := s.unexpired(key)
 	if !ok || r.status == statusReleased {
 		return KeyState{}, false
 	}
 	return s.keyState(r), true
 }
 
-// Len is the number of keys held, for dumps and metrics.
+// Len returns the number of keys in the table.
 func (s *State) Len() int {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
--- a/internal/idempotency/state_test.go
+++ b/internal/idempotency/state_test.go
@@ -12,7 +12,7 @@
 	"cyclamenwheel/internal/fold"
 )
 
-var _ = Describe("the fold's keys", func() {
+var _ = Describe("The state of keys in the fold", func() {
 	var s *State
 	var meta fold.Meta
 	boots := map[string]string{"a": "1", "b": "1"}
@@ -38,15 +38,15 @@
 		s, meta = NewState(), fold.Meta{TimeMillis: 1_800_000_000_000}
 	})
 
-	It("gives a key to the first claim in log order, and again to the same attempt", func() {
+	It("grants a key to the first claim in log order and to later claims of the same attempt", func() {
 		_, results := apply("a", "1", claim(1, "x", false), claim(1, "y", false))
 		Expect(results[0].Won).To(BeTrue())
 		Expect(results[1]).To(And(HaveField("Won", false), HaveField("Holder.Owner", "a"), HaveField("Holder.Offset", uint64(1))))
 		Expect(won("b", "1", claim(1, "x", false))).To(BeTrue())
 	})
 
-	// An entry that was replaced while it was frozen sends its claims late.
-	It("rejects claims of who is not a member, or was under an earlier boot", func() {
+	// An entry that was replaced while it was paused appends its claims late.
+	It("rejects claims of non-members and of earlier incarnations", func() {
 		for _, author := range [][2]string{{"gone", "1"}, {"a", "0"}} {
 			v, results := apply(author[0], author[1], claim(1, "x", false))
 			Expect(v.Reason).To(Equal(ReasonNotMember))
@@ -57,9 +57,9 @@
 		Expect(v.Reason).To(Equal(fold.ReasonMalformed))
 	})
 
-	// The same entry sends what it had granted with a witness. That may have
-	// run, so the fold takes note of it, but of nothing else in the record.
-	It("takes held claims from anybody", func() {
+	// The same entry appends a claim that it had granted through a witness. That
+	// request may have run, so the fold records it, but nothing else of the batch.
+	It("applies held claims from non-members too", func() {
 		v, results := apply("gone", "1", claim(1, "x", true), claim(2, "x", false))
 		Expect(v.Accepted).To(BeTrue())
 		Expect(results[0].Won).To(BeTrue())
@@ -68,7 +68,7 @@
 		Expect(won("a", "1", claim(2, "y", false))).To(BeTrue())
 	})
 
-	It("releases a key for others, but not for a late copy of its claim", func() {
+	It("releases a key for other attempts, but not for a late copy of its claim", func() {
 		x, y := claim(1, "x", false), claim(1, "y", false)
 		Expect(won("a", "1", x)).To(BeTrue())
 		Expect(finish(y, OutcomeNotRun)).To(Equal(FinishResult{}))
@@ -91,8 +91,8 @@
 		Expect(won("a", "1", claim(1, "z", false))).To(BeFalse())
 	})
 
-	It("forgets a key by log time, in bounded steps and independent of them", func() {
-		const keys = 5 * expireStep
+	It("expires keys by log time, whatever the progress of the bounded removal", func() {
+		const keys = 5 * maxExpiredPerRecord
 		for i := range keys / MaxBatch {
 			var claims []ClaimRecord
 			for j := range MaxBatch {
@@ -108,14 +108,14 @@
 		Expect(won("a", "1", last)).To(BeFalse())
 		meta.TimeMillis += 2
 		Expect(won("a", "1", last)).To(BeTrue())
-		Expect(s.Len()).To(BeNumerically(">", keys-4*expireStep), "removed in steps")
+		Expect(s.Len()).To(BeNumerically(">", keys-4*maxExpiredPerRecord), "removed in steps")
 		for range 5 {
 			apply("a", "1")
 		}
 		Expect(s.Len()).To(Equal(1))
 	})
 
-	It("is the same after a snapshot in parts or as CBOR", func() {
+	It("is restored unchanged from snapshot parts and from CBOR", func() {
 		for k := range byte(50) {
 			Expect(won("a", "1", claim(k, "x", false))).To(BeTrue())
 		}
@@ -157,9 +157,9 @@
 		Expect(s.UncertainRanges()).To(BeEmpty())
 	})
 
-	It("keeps a key in few bytes", func() {
+	It("uses less than 256 bytes of memory per key", func() {
 		const keys = 400_000
-		before := heap()
+		before := heapBytes()
 		for i := 0; i < keys; i += MaxBatch {
 			claims := make([]ClaimRecord, MaxBatch)
 			for j := range claims {
@@ -167,32 +167,32 @@
 			}
 			apply("a", "1", claims...)
 		}
-		perKey := float64(heap()-before) / float64(s.Len())
+		perKey := float64(heapBytes()-before) / float64(s.Len())
 		GinkgoWriter.Printf("memory: %.0f bytes a key, %d bytes a key in a snapshot\n", perKey, rowBytes)
 		Expect(perKey).To(BeNumerically("<", 256))
 	})
 })
 
-func heap() uint64 {
+func heapBytes() uint64 {
 	runtime.GC()
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
 	return m.HeapAlloc
 }
 
-var _ = Describe("answers kept for replay", func() {
-	It("stay below a bound in bytes and end with the retention", func() {
+var _ = Describe("Answers cached for replay", func() {
+	It("stay within the byte limit and expire after Retention", func() {
 		at := time.Unix(0, 0)
-		a := newAnswers(10_000)
+		a := newAnswerCache(10_000)
 		for k := range byte(100) {
-			a.put(KeyHash{k}, ended{answer: &Answer{Body: make([]byte, 1000)}, at: at})
+			a.put(KeyHash{k}, finishedRequest{answer: &Answer{Body: make([]byte, 1000)}, finishedAt: at})
 			Expect(a.bytes).To(BeNumerically("<=", 10_000))
 		}
 		_, old := a.get(at, KeyHash{0})
 		_, recent := a.get(at, KeyHash{99})
 		_, late := a.get(at.Add(Retention), KeyHash{99})
 		Expect([]bool{old, recent, late}).To(Equal([]bool{false, true, false}))
-		a.put(KeyHash{1}, ended{answer: &Answer{Body: make([]byte, MaxAnswerBytes+1)}, at: at})
+		a.put(KeyHash{1}, finishedRequest{answer: &Answer{Body: make([]byte, MaxAnswerBytes+1)}, finishedAt: at})
 		kept, _ := a.get(at, KeyHash{1})
 		Expect(kept.answer).To(BeNil())
 	})
--- a/internal/idempotency/uncertain.go
+++ b/internal/idempotency/uncertain.go
@@ -14,29 +14,28 @@
 	Zone   string `cbor:"3,keyasint" json:"zone"`
 }
 
-// Uncertain marks the keys whose claims may have been lost: their owner and
-// its witness are both gone, and both may have held claims that never reached
-// the log. Such a key is refused as unknown unless the fold knows it.
+// Uncertain marks the keys whose claims may be lost: both the owner and the witness
+// are gone, and both may have held claims that never reached the log. Such a key
+// is refused as unknown unless it is in the fold.
 type Uncertain struct {
-	// Lost are the members that are gone.
+	// Lost are the IDs of the members that are gone.
 	Lost []string `cbor:"1,keyasint" json:"lost"`
 	// Members are those among which owner and witness were chosen.
 	Members []Member `cbor:"2,keyasint" json:"members"`
-	// SinceMillis is when the log stopped answering, for people.
+	// SinceMillis is when the log became unavailable, for information only.
 	SinceMillis int64 `cbor:"3,keyasint" json:"since_ms"`
-	// UntilMillis is the log time at which the mark ends.
+	// UntilMillis is the log time at which the mark expires.
 	UntilMillis int64 `cbor:"4,keyasint" json:"until_ms"`
 }
 
-// MarkUncertain is called by the fold where members are lost of which both the
-// owner and the witness of a key may have held unflushed claims, as known to
-// every reader at that offset. members are all members before the loss, the
-// lost ones included.
+// MarkUncertain is called by the fold when the lost members may include both the
+// owner and the witness of a key with unflushed claims, as every reader can tell
+// at that offset. members are all members before the loss, including the lost
+// ones.
 //
-// Only keys with both owner and witness among the lost are refused: with seven
-// members in four zones and two of them lost, one key in about 18. The mark
-// lasts as long as a key is remembered, since a lost claim would have been
-// remembered that long.
+// Only keys whose owner and witness are both lost are refused: with seven members
+// in four zones and two of them lost, about one key in 18. The mark lasts for
+// Retention, as long as a lost claim would have been remembered.
 func (s *State) MarkUncertain(meta fold.Meta, lost []string, members []Member, sinceMillis int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -47,14 +46,14 @@
 	})
 }
 
-// Uncertain tells whether a key's history may have been lost.
+// Uncertain reports whether records of the key may be lost.
 func (s *State) Uncertain(key KeyHash) bool {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
 	return s.isUncertain(key)
 }
 
-// UncertainRanges lists the marks in force, for dumps.
+// UncertainRanges returns the marks in force, for dumps.
 func (s *State) UncertainRanges() []Uncertain {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
@@ -85,17 +84,17 @@
 
 // ownerOf returns the member that owns a key.
 func ownerOf(key KeyHash, members []Member) (Member, bool) {
-	return pick(key, members, func(Member) bool { return true })
+	return highestRanked(key, members, func(Member) bool { return true })
 }
 
-// witnessOf returns the member that holds a key's claims beside its owner: the
-// first choice in another availability zone, so that the loss of one zone
-// doesn't take both.
+// witnessOf returns the member that holds a key's claims besides its owner: the
+// highest ranked one in another availability zone, so that the loss of one zone
+// does not take both.
 func witnessOf(key KeyHash, members []Member, owner Member) (Member, bool) {
-	return pick(key, members, func(m Member) bool { return m.Zone != owner.Zone })
+	return highestRanked(key, members, func(m Member) bool { return m.Zone != owner.Zone })
 }
 
-func pick(key KeyHash, members []Member, eligible func(Member) bool) (Member, bool) {
+func highestRanked(key KeyHash, members []Member, eligible func(Member) bool) (Member, bool) {
 	ids := make([]string, 0, len(members))
 	for _, m := range members {
 		if eligible(m) {
