--- a/internal/idempotency/held_claims.go
+++ b/internal/idempotency/held_claims.go
@@ -160,11 +160,11 @@
 	l.sendDue(now)
 }
 
-// HoldFor holds claims of another owner as its witness, either all or none. It
+// HoldAsWitness holds claims of another owner as its witness, either all or none. It
 // refuses an owner that, in this process's view, does not own a key or is about to
 // lose it: by acknowledging that change this process has promised to hold no
 // further claims for that owner.
-func (l *Ledger) HoldFor(now time.Time, owner Member, claims []ClaimRecord) error {
+func (l *Ledger) HoldAsWitness(now time.Time, owner Member, claims []ClaimRecord) error {
 	if len(l.held.asWitness)+len(claims) > maxHeldClaims {
 		return &OverloadedError{Limit: maxHeldClaims}
 	}
--- a/internal/idempotency/outage_test.go
+++ b/internal/idempotency/outage_test.go
@@ -68,9 +68,9 @@
 			fleet.logDown = false
 			fleet.remove(owner.self.ID, false)
 			witness.foldNext()
-			Expect(witness.ledger.HoldFor(fleet.now, owner.self, []ClaimRecord{testClaim})).To(BeAssignableToTypeOf(&NotOwnerError{}))
+			Expect(witness.ledger.HoldAsWitness(fleet.now, owner.self, []ClaimRecord{testClaim})).To(BeAssignableToTypeOf(&NotOwnerError{}))
 			older := Member{ID: owner.self.ID, BootID: "0"}
-			Expect(third.ledger.HoldFor(fleet.now, older, []ClaimRecord{testClaim})).To(BeAssignableToTypeOf(&NotOwnerError{}))
+			Expect(third.ledger.HoldAsWitness(fleet.now, older, []ClaimRecord{testClaim})).To(BeAssignableToTypeOf(&NotOwnerError{}))
 			Expect(witness.ledger.Flushed()).To(BeTrue())
 		})
 
--- a/internal/idempotency/service.go
+++ b/internal/idempotency/service.go
@@ -264,6 +264,6 @@
 
 func (s *Service) serveHold(owner Member, claims []ClaimRecord) error {
 	var err error
-	s.withLedger(func(l *Ledger, now time.Time) { err = l.HoldFor(now, owner, claims) })
+	s.withLedger(func(l *Ledger, now time.Time) { err = l.HoldAsWitness(now, owner, claims) })
 	return err
 }
--- a/internal/idempotency/sim_test.go
+++ b/internal/idempotency/sim_test.go
@@ -138,7 +138,7 @@
 	w := n.sim.node(h.Witness.ID)
 	err := error(&NoWitnessError{})
 	if delivered && w.isRunning() {
-		w.withLedger(func(l *Ledger) { err = l.HoldFor(n.sim.now, n.self, h.Claims) })
+		w.withLedger(func(l *Ledger) { err = l.HoldAsWitness(n.sim.now, n.self, h.Claims) })
 	}
 	if err == nil && !answered {
 		err = &NoWitnessError{}
