--- a/internal/idempotency/ledger.go
+++ b/internal/idempotency/ledger.go
@@ -326,9 +326,9 @@
 	}
 }
 
-// Gone removes a waiter that no longer listens. Its claim stays until the claimant
+// RemoveWaiter removes a waiter that no longer listens. Its claim stays until the claimant
 // cancels it, because the claimant may ask again.
-func (l *Ledger) Gone(w Waiter) {
+func (l *Ledger) RemoveWaiter(w Waiter) {
 	key, ok := l.waiterKeys[w]
 	if !ok {
 		return
--- a/internal/idempotency/service.go
+++ b/internal/idempotency/service.go
@@ -238,7 +238,7 @@
 	}
 	s.withLedger(func(l *Ledger, _ time.Time) {
 		delete(s.waiters, id)
-		l.Gone(id)
+		l.RemoveWaiter(id)
 	})
 	return claimReply{}, ctx.Err()
 }
