--- a/internal/idempotency/journal.go
+++ b/internal/idempotency/journal.go
@@ -255,8 +255,8 @@
 
 func (j *journal) hasQueued() bool { return len(j.heldQueue)+len(j.claimQueue)+len(j.finishQueue) > 0 }
 
-// Wake returns when Tick has to be called next. ok is false if nothing is due.
-func (l *Ledger) Wake() (at time.Time, ok bool) {
+// NextTick returns when Tick has to be called next. ok is false if nothing is due.
+func (l *Ledger) NextTick() (at time.Time, ok bool) {
 	earlier := func(t time.Time) {
 		if !ok || t.Before(at) {
 			at, ok = t, true
--- a/internal/idempotency/service.go
+++ b/internal/idempotency/service.go
@@ -131,7 +131,7 @@
 	defer timer.Stop()
 	for {
 		s.mu.Lock()
-		at, ok := s.ledger.Wake()
+		at, ok := s.ledger.NextTick()
 		s.mu.Unlock()
 		if ok {
 			timer.Reset(time.Until(at))
