--- a/internal/idempotency/ledger.go
+++ b/internal/idempotency/ledger.go
@@ -172,8 +172,8 @@
 	}
 }
 
-// Take returns the actions requested since the last call.
-func (l *Ledger) Take() Actions {
+// TakeActions returns the actions requested since the last call.
+func (l *Ledger) TakeActions() Actions {
 	out := l.out
 	l.out = Actions{}
 	return out
--- a/internal/idempotency/service.go
+++ b/internal/idempotency/service.go
@@ -103,7 +103,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	f(s.ledger, time.Now())
-	out := s.ledger.Take()
+	out := s.ledger.TakeActions()
 	for _, r := range out.Replies {
 		if ch := s.waiters[r.Waiter]; ch != nil {
 			delete(s.waiters, r.Waiter)
--- a/internal/idempotency/sim_test.go
+++ b/internal/idempotency/sim_test.go
@@ -81,7 +81,7 @@
 
 func (n *simNode) withLedger(f func(*Ledger)) {
 	f(n.ledger)
-	out := n.ledger.Take()
+	out := n.ledger.TakeActions()
 	n.appends = append(n.appends, out.Appends...)
 	n.holds = append(n.holds, out.Holds...)
 	n.replies = append(n.replies, out.Replies...)
