--- a/internal/idempotency/outcomes.go
+++ b/internal/idempotency/outcomes.go
@@ -272,7 +272,7 @@
 	l.decideAndRemove(k, func(ClaimRecord) Decision { return DecisionUnknown })
 }
 
-// Tick performs the actions that are due. Wake returns when to call it next.
+// Tick performs the actions that are due. NextTick returns when to call it next.
 func (l *Ledger) Tick(now time.Time) {
 	for len(l.grantedAttempts) > 0 {
 		g := l.grantedAttempts[0]
