--- a/internal/idempotency/service_test.go
+++ b/internal/idempotency/service_test.go
@@ -105,7 +105,7 @@
 			Expect(nodes[i].SetPeers(addrs)).To(Succeed())
 			s.SetView(view)
 		}
-		Eventually(func() bool { return log.entries[ownerIndex()].Status().Proven }).WithTimeout(waitTimeout).Should(BeTrue())
+		Eventually(func() bool { return log.entries[ownerIndex()].Status().CaughtUp }).WithTimeout(waitTimeout).Should(BeTrue())
 	})
 
 	// Three entries receive the same request three times each, all at once. One of
--- a/internal/idempotency/status.go
+++ b/internal/idempotency/status.go
@@ -25,10 +25,10 @@
 	QueuedClaims   int `json:"queued_claims"`
 	QueuedFinishes int `json:"queued_finishes"`
 	Awaiting       int `json:"awaiting"`
-	// LogLate is set while claims go to witnesses. Proven is set once this owner has
+	// LogLate is set while claims go to witnesses. CaughtUp is set once this owner has
 	// caught up with the log and may grant through a witness.
-	LogLate bool `json:"log_late"`
-	Proven  bool `json:"proven"`
+	LogLate  bool `json:"log_late"`
+	CaughtUp bool `json:"proven"`
 	// Reports counts the outcomes being delivered to owners.
 	Reports     int `json:"reports"`
 	Answers     int `json:"answers"`
@@ -48,7 +48,7 @@
 		View: l.view, Waiters: len(l.waiterKeys), Held: len(l.held.asOwner), Witness: len(l.held.asWitness),
 		QueuedClaims:   len(l.journal.heldQueue) + len(l.journal.claimQueue),
 		QueuedFinishes: len(l.journal.finishQueue), Awaiting: len(l.journal.unread),
-		LogLate: l.held.logLate, Proven: l.caughtUp,
+		LogLate: l.held.logLate, CaughtUp: l.caughtUp,
 		Answers: l.answers.lru.Len(), AnswerBytes: l.answers.bytes,
 	}
 	for _, k := range l.activeKeys {
--- a/test/keys/suite_test.go
+++ b/test/keys/suite_test.go
@@ -67,7 +67,7 @@
 		g.Expect(err).NotTo(HaveOccurred())
 		g.Expect(st.View.Members).To(HaveLen(owners), e.ID)
 		g.Expect(st.View.Pending).To(BeNil(), e.ID)
-		g.Expect(st.Proven).To(BeTrue(), e.ID)
+		g.Expect(st.CaughtUp).To(BeTrue(), e.ID)
 	}, harness.Patience, harness.Poll).Should(Succeed())
 }
 
