--- a/internal/maintenance/baseline.go
+++ b/internal/maintenance/baseline.go
@@ -7,29 +7,29 @@
 	"cyclamenwheel/internal/pools"
 )
 
-// Decider decides drains. Waves is the one in use; FixedBatches exists to be
-// measured beside it.
+// Decider decides drains. Production code uses Waves; FixedBatches is the
+// baseline that measurements compare it with.
 type Decider interface {
 	Decide(in Input) Decision
 }
 
-// Waves is Decide.
+// Waves implements Decider with Decide.
 type Waves struct{}
 
 // Decide implements Decider.
 func (Waves) Decide(in Input) Decision { return Decide(in) }
 
-// FixedBatches is the baseline: it drains a fixed number over all pools in the
-// order of ids, whatever domain they are in, and begins the next batch when all
-// of the last are back. It holds the budget, as the fold would refuse it
-// otherwise, but neither starts small nor halts.
+// FixedBatches drains batches of a fixed size over all pools in order of
+// instance id, regardless of failure domains, and begins the next batch when
+// the previous one has returned. It respects the budget, because the fold would
+// reject the drain otherwise, but has no growing window and never halts.
 type FixedBatches struct {
 	Size int
 }
 
 // Decide implements Decider.
 func (f FixedBatches) Decide(in Input) Decision {
-	w := newWave(in)
+	w := newWaveRound(in)
 	if w.draining > 0 {
 		return w.decision()
 	}
@@ -41,9 +41,9 @@
 	for _, inst := range pending {
 		p := w.byName[inst.Pool]
 		if w.draining < f.Size && p.serving > p.budget && !p.spec.Maintenance.Paused {
-			w.begin(p, inst)
+			w.beginDrain(p, inst)
 		}
 	}
-	w.needSpares()
+	w.requestSpares()
 	return w.decision()
 }
--- a/internal/maintenance/decide_property_test.go
+++ b/internal/maintenance/decide_property_test.go
@@ -11,10 +11,10 @@
 	"cyclamenwheel/internal/pools"
 )
 
-// chaos is a fleet of several pools in which drains end, fail or hang, and
-// instances are lost, as rapid draws it.
-func chaos(t *rapid.T) *bench {
-	b := &bench{}
+// randomFleet returns a fleet of three pools whose sizes, budgets and revisions
+// are drawn by rapid.
+func randomFleet(t *rapid.T) *testFleet {
+	b := &testFleet{}
 	b.in.Manifest = &manifest.Manifest{Buffer: manifest.Buffer{
 		WaveParallel: rapid.IntRange(1, 8).Draw(t, "parallel"),
 	}}
@@ -37,27 +37,29 @@
 	return b
 }
 
-// shake ends some drains, loses some instances and brings some back.
-func (b *bench) shake(t *rapid.T) {
+// applyRandomOutcomes completes some drains, fails some instances and returns
+// some failed ones to service.
+func (b *testFleet) applyRandomOutcomes(t *rapid.T) {
 	revisions := map[string]int{}
 	for _, p := range b.in.Manifest.Pools {
 		revisions[p.Name] = p.Maintenance.Revision
 	}
 	for _, inst := range b.in.Instances {
-		fate := rapid.IntRange(0, 9).Draw(t, "fate")
+		outcome := rapid.IntRange(0, 9).Draw(t, "fate")
 		switch {
-		case fate == 0:
+		case outcome == 0:
 			inst.Phase = pools.PhaseDown
-		case fate < 6 && inst.Phase == pools.PhaseDraining:
+		case outcome < 6 && inst.Phase == pools.PhaseDraining:
 			inst.Phase, inst.Revision = pools.PhaseServing, revisions[inst.Pool]
-		case fate < 3 && inst.Phase == pools.PhaseDown:
+		case outcome < 3 && inst.Phase == pools.PhaseDown:
 			inst.Phase, inst.Revision = pools.PhaseServing, revisions[inst.Pool]
 		}
 	}
 }
 
-// check holds every drain against the rules, as the fold counts.
-func (b *bench) check(t *rapid.T, d maintenance.Decision) {
+// checkLimits checks that the drains keep the budgets, the maximum number of
+// concurrent drains and the restriction to one zone.
+func (b *testFleet) checkLimits(t *rapid.T, d maintenance.Decision) {
 	budget := pools.Budget(b.in.Manifest)
 	serving := pools.Serving(b.in.Instances)
 	draining := 0
@@ -74,13 +76,13 @@
 	if len(d.Drains) > 0 && draining > b.in.Manifest.Buffer.WaveParallel {
 		t.Fatalf("%d draining", draining)
 	}
-	// An instance that hangs is as good as lost and holds no zone.
-	if zones := b.zonesDraining(d.State); len(d.Drains) > 0 && len(zones) > 1 {
+	// An instance that is stuck counts as lost and doesn't occupy its zone.
+	if zones := b.drainingZones(d.State); len(d.Drains) > 0 && len(zones) > 1 {
 		t.Fatalf("drains in %v", zones)
 	}
 }
 
-func (b *bench) zonesDraining(state maintenance.WaveState) map[string]bool {
+func (b *testFleet) drainingZones(state maintenance.WaveState) map[string]bool {
 	zones := map[string]bool{}
 	for _, inst := range b.in.Instances {
 		if _, failed := state.Failed[inst.ID]; inst.Phase == pools.PhaseDraining && !failed {
@@ -90,28 +92,28 @@
 	return zones
 }
 
-var _ = Describe("Any wave", func() {
-	// Instances are lost, drains hang and the planner that remembers the wave is
-	// replaced, all while waves run in several pools. What callers must never
-	// see is a pool below its budget by the system's own doing.
-	It("keeps the budgets, the bound and the one zone", func() {
+var _ = Describe("Deciding drains in random fleets", func() {
+	// Load: waves in several pools while instances are lost, drains get stuck
+	// and a new planner starts without the wave state. Drains must never take a
+	// pool below its budget.
+	It("keeps to the budgets, the drain limit and one zone", func() {
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
-			b := chaos(t)
+			b := randomFleet(t)
 			for range 30 {
 				if rapid.IntRange(0, 9).Draw(t, "newPlanner") == 0 {
 					b.in.State = maintenance.WaveState{}
 				}
 				d := b.round()
-				b.check(t, d)
-				b.shake(t)
+				b.checkLimits(t, d)
+				b.applyRandomOutcomes(t)
 				b.now += rapid.Int64Range(0, 200_000).Draw(t, "pause")
 			}
 		})
 	})
 
-	It("ends, where every instance comes back and there is headroom", func() {
+	It("finishes every wave if all instances return and there is headroom", func() {
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
-			b := chaos(t)
+			b := randomFleet(t)
 			for i := range b.in.Manifest.Services {
 				s := &b.in.Manifest.Services[i]
 				s.MinAvailable = min(s.MinAvailable, b.in.Manifest.Pools[i].Instances.Count-1)
@@ -130,7 +132,7 @@
 			for i, p := range b.in.Manifest.Pools {
 				for _, inst := range b.in.Instances {
 					if inst.Pool == p.Name && inst.Revision < b.in.Manifest.Pools[i].Maintenance.Revision {
-						t.Fatalf("%s left behind", inst.ID)
+						t.Fatalf("%s was not brought to the revision", inst.ID)
 					}
 				}
 			}
--- a/internal/maintenance/decide_test.go
+++ b/internal/maintenance/decide_test.go
@@ -11,20 +11,20 @@
 	"cyclamenwheel/internal/pools"
 )
 
-// bench is a fleet whose drains a spec ends as it likes.
-type bench struct {
+// testFleet is a fleet in which the spec controls the outcome of each drain.
+type testFleet struct {
 	in  maintenance.Input
 	now int64
 }
 
-func newBench(n, zones, least, parallel int) *bench {
-	b := &bench{}
+func newTestFleet(n, zones, minAvailable, parallel int) *testFleet {
+	b := &testFleet{}
 	b.in.Manifest = &manifest.Manifest{
 		Pools: []manifest.Pool{{
 			Name: "a", Instances: manifest.Selection{Count: n},
 			Maintenance: manifest.Maintenance{Revision: 1},
 		}},
-		Services: []manifest.Service{{Name: "s", Pool: "a", MinAvailable: least}},
+		Services: []manifest.Service{{Name: "s", Pool: "a", MinAvailable: minAvailable}},
 		Buffer:   manifest.Buffer{WaveParallel: parallel},
 	}
 	for i := range n {
@@ -37,19 +37,19 @@
 	return b
 }
 
-// round decides, and begins the drains.
-func (b *bench) round() maintenance.Decision {
+// round makes one decision and begins its drains.
+func (b *testFleet) round() maintenance.Decision {
 	b.now += 1000
 	b.in.NowMillis = b.now
 	d := maintenance.Decide(b.in)
 	b.in.State = d.State
 	for _, drain := range d.Drains {
-		b.get(drain.Instance).Phase = pools.PhaseDraining
+		b.instance(drain.Instance).Phase = pools.PhaseDraining
 	}
 	return d
 }
 
-func (b *bench) get(id string) *pools.Instance {
+func (b *testFleet) instance(id string) *pools.Instance {
 	for _, inst := range b.in.Instances {
 		if inst.ID == id {
 			return inst
@@ -58,8 +58,8 @@
 	return nil
 }
 
-// bring all draining instances back, with the revision.
-func (b *bench) bringBack() {
+// completeDrains returns all draining instances to service with the revision.
+func (b *testFleet) completeDrains() {
 	for _, inst := range b.in.Instances {
 		if inst.Phase == pools.PhaseDraining {
 			inst.Phase, inst.Revision = pools.PhaseServing, b.in.Manifest.Pools[0].Maintenance.Revision
@@ -67,8 +67,8 @@
 	}
 }
 
-// wave runs rounds until nothing is left to do, and returns the sizes.
-func (b *bench) wave() []int {
+// runWave runs rounds until the wave is finished and returns the batch sizes.
+func (b *testFleet) runWave() []int {
 	var sizes []int
 	for range 100 {
 		d := b.round()
@@ -79,25 +79,25 @@
 			break
 		}
 		b.round()
-		b.bringBack()
+		b.completeDrains()
 	}
 	return sizes
 }
 
 var _ = Describe("Deciding drains", func() {
-	It("starts with one and doubles while instances come back, zone by zone", func() {
-		b := newBench(16, 2, 4, 8)
-		Expect(b.wave()).To(Equal([]int{1, 2, 4, 1, 8}))
+	It("starts with one drain and doubles the batch as instances return, zone by zone", func() {
+		b := newTestFleet(16, 2, 4, 8)
+		Expect(b.runWave()).To(Equal([]int{1, 2, 4, 1, 8}))
 	})
 
-	// A revision leaves the first instance that gets it unable to start. Callers
-	// see one endpoint less and nothing else: the wave halts there, until the
-	// operator publishes a higher revision.
-	It("halts at the first instance that is lost, until the next revision", func() {
-		b := newBench(16, 2, 4, 8)
+	// The first instance with a new revision fails to start. The wave must halt,
+	// so that one endpoint is lost, until the operator publishes a higher
+	// revision.
+	It("halts after the first lost instance until the next revision", func() {
+		b := newTestFleet(16, 2, 4, 8)
 		first := b.round().Drains[0].Instance
 		b.round()
-		b.get(first).Phase = pools.PhaseDown
+		b.instance(first).Phase = pools.PhaseDown
 		d := b.round()
 		Expect(d.Drains).To(BeEmpty())
 		Expect(d.Halts).To(ConsistOf(maintenance.Halt{Pool: "a", Reason: maintenance.HaltLost, Instance: first}))
@@ -105,56 +105,57 @@
 		Expect(b.round().Drains).To(HaveLen(1))
 	})
 
-	It("halts on one that is not back in time, and resumes when it is", func() {
-		b := newBench(16, 2, 4, 8)
+	It("halts when an instance does not return in time, and resumes when it does", func() {
+		b := newTestFleet(16, 2, 4, 8)
 		b.round()
 		b.round()
 		b.now += maintenance.DefaultReturnLimit.Milliseconds() + 1
 		Expect(b.round().Halts[0].Reason).To(Equal(maintenance.HaltNotBack))
-		b.bringBack()
+		b.completeDrains()
 		Expect(b.round().Drains).To(HaveLen(1))
 	})
 
-	It("counts instances lost and moves begun against the budget", func() {
-		b := newBench(8, 1, 6, 8)
-		b.get("a007").Phase = pools.PhaseDown
+	It("counts lost instances and moves in progress against the budget", func() {
+		b := newTestFleet(8, 1, 6, 8)
+		b.instance("a007").Phase = pools.PhaseDown
 		b.in.Reserved = map[string]int{"a": 1}
 		Expect(b.round().Halts).To(ConsistOf(maintenance.Halt{Pool: "a", Reason: maintenance.HaltBudget}))
 		b.in.Reserved = nil
 		Expect(b.round().Drains).To(HaveLen(1))
 	})
 
-	It("stays inside one rack until a drain has come back, and for the two after", func() {
-		b := newBench(16, 2, 4, 8)
+	It("stays in one rack for the first drain and the two after it", func() {
+		b := newTestFleet(16, 2, 4, 8)
 		b.round()
 		b.round()
-		b.bringBack()
+		b.completeDrains()
 		d := b.round()
 		Expect(d.Drains).To(HaveLen(2))
-		Expect(b.get(d.Drains[0].Instance).Rack).To(Equal(b.get(d.Drains[1].Instance).Rack))
-		b = newBench(16, 2, 4, 8)
+		Expect(b.instance(d.Drains[0].Instance).Rack).To(Equal(b.instance(d.Drains[1].Instance).Rack))
+		b = newTestFleet(16, 2, 4, 8)
 		b.in.State.Pools = map[string]maintenance.PoolWave{"a": {Revision: 1, Window: 2}}
 		for _, inst := range b.in.Instances[1:4] {
 			inst.Revision = 1
 		}
-		Expect(b.round().Drains).To(HaveLen(1), "one is left in the first rack")
+		Expect(b.round().Drains).To(HaveLen(1), "one instance is left in the first rack")
 	})
 
-	// The platform reports a drain as done, and the instance serves the old
-	// revision. Going on would take the whole pool through a wave for nothing.
-	It("halts on one that is back without the revision", func() {
-		b := newBench(16, 2, 4, 8)
+	// The platform reports a drain as done but the instance serves with the old
+	// revision. Continuing would drain the whole pool to no effect.
+	It("halts when an instance returns without the revision", func() {
+		b := newTestFleet(16, 2, 4, 8)
 		first := b.round().Drains[0].Instance
 		b.round()
-		b.get(first).Phase = pools.PhaseServing
+		b.instance(first).Phase = pools.PhaseServing
 		Expect(b.round().Halts).To(ConsistOf(
 			maintenance.Halt{Pool: "a", Reason: maintenance.HaltBadReturn, Instance: first}))
 	})
 
-	// Waves of two pools lose an instance each. Whatever the pools share, such as
-	// an image or a power feed, is the likely cause; a third pool would be next.
-	It("halts all pools once the waves of two have failed", func() {
-		b := newBench(16, 2, 4, 8)
+	// The waves of two pools each lose an instance. The likely cause is something
+	// that pools share, such as an image or a power feed, so a third pool would
+	// be affected as well.
+	It("halts the waves of all pools once those of two have failed", func() {
+		b := newTestFleet(16, 2, 4, 8)
 		b.in.State.Failed = map[string]maintenance.Failure{
 			"x": {Pool: "b", Revision: 1, Reason: maintenance.HaltLost},
 			"y": {Pool: "c", Revision: 1, Reason: maintenance.HaltLost},
@@ -167,8 +168,8 @@
 		Expect(b.round().Halts).To(ConsistOf(maintenance.Halt{Pool: "a", Reason: maintenance.HaltOtherPools}))
 	})
 
-	It("asks for a spare where the budget is the count, for as long as the wave lasts", func() {
-		b := newBench(4, 1, 4, 2)
+	It("requests a spare while the wave lasts if the budget equals the count", func() {
+		b := newTestFleet(4, 1, 4, 2)
 		d := b.round()
 		Expect(d.Drains).To(BeEmpty())
 		Expect(maintenance.Extra(b.in)).To(Equal(map[string]int{"a": 1}))
--- a/internal/maintenance/maintenance_suite_test.go
+++ b/internal/maintenance/maintenance_suite_test.go
@@ -11,7 +11,7 @@
 
 func TestMaintenance(t *testing.T) {
 	RegisterFailHandler(Fail)
-	// Properties draw the same cases on every run.
+	// Property tests draw the same cases in every run.
 	Expect(flag.Set("rapid.seed", "1")).To(Succeed())
 	Expect(flag.Set("rapid.nofailfile", "true")).To(Succeed())
 	RunSpecs(t, "Maintenance")
--- a/internal/maintenance/state.go
+++ b/internal/maintenance/state.go
@@ -1,29 +1,32 @@
-// Package maintenance decides when the instances of a pool are drained and
-// rebooted into the maintenance revision that the manifest names.
+// Package maintenance decides which instances are drained and rebooted into the
+// maintenance revision that the manifest sets for their pool. The input is the
+// manifest, the instances in the fold, the moves decided in the same round and
+// the wave state of the previous round. The planner calls it once per round.
 package maintenance
 
 import "maps"
 
-// WaveState is what the planner remembers of the waves in progress. All else
-// is read from the fold. It may be lost: a new planner starts small again.
+// WaveState is the part of the waves' progress that is kept in the planner's
+// memory; everything else is read from the fold. It may be lost: a new planner
+// starts again with the smallest window.
 type WaveState struct {
 	Pools map[string]PoolWave `json:"pools"`
-	// Draining holds the drains that have not been seen to end, by instance.
+	// Draining holds the drains in progress, by instance.
 	Draining map[string]Drained `json:"draining"`
-	// Failed holds the drains that ended badly or not in time, by instance.
+	// Failed holds the drains that failed or timed out, by instance.
 	Failed map[string]Failure `json:"failed"`
 }
 
-// PoolWave is how far one pool's wave has got.
+// PoolWave is the progress of one pool's wave.
 type PoolWave struct {
 	Revision int `json:"revision"`
-	// Window is how many instances may be drained at a time.
+	// Window is the maximum number of concurrent drains.
 	Window int `json:"window"`
-	// Returned counts the instances that came back well.
+	// Returned counts the instances that returned with the revision.
 	Returned int `json:"returned"`
 }
 
-// Drained is a drain whose end has not been seen.
+// Drained is a drain in progress.
 type Drained struct {
 	Pool     string `json:"pool"`
 	Revision int    `json:"revision"`
@@ -31,14 +34,14 @@
 	SeenMillis int64 `json:"seen_ms"`
 }
 
-// Failure is a drain that ended badly.
+// Failure is a failed drain.
 type Failure struct {
 	Pool     string     `json:"pool"`
 	Revision int        `json:"revision"`
 	Reason   HaltReason `json:"reason"`
 }
 
-// clone copies a state so that Decide leaves its input alone.
+// clone copies the state, so that Decide doesn't modify its input.
 func (s WaveState) clone() WaveState {
 	c := WaveState{
 		Pools:    maps.Clone(s.Pools),
--- a/internal/maintenance/wave.go
+++ b/internal/maintenance/wave.go
@@ -10,58 +10,58 @@
 	"cyclamenwheel/internal/pools"
 )
 
-// poolWork is one pool's part of the round.
-type poolWork struct {
-	spec     *manifest.Pool
-	budget   int
-	serving  int
-	members  int
-	draining int
-	pending  []*pools.Instance
-	halt     HaltReason
-	cause    string
-	// rack is the one that the first drains of the wave are inside of.
-	rack string
+// poolRound is the working state of one pool in one round.
+type poolRound struct {
+	spec         *manifest.Pool
+	budget       int
+	serving      int
+	members      int
+	draining     int
+	pending      []*pools.Instance
+	halt         HaltReason
+	haltInstance string
+	// drainingRack is the rack that drains stay in while the window is small.
+	drainingRack string
 }
 
-// wave is the working state of one round.
-type wave struct {
+// waveRound is the working state of one round.
+type waveRound struct {
 	in     Input
 	state  WaveState
 	byID   map[string]*pools.Instance
-	pools  []*poolWork
-	byName map[string]*poolWork
-	// zones counts drains under way by zone, those that failed left out.
+	pools  []*poolRound
+	byName map[string]*poolRound
+	// zones and racks count drains in progress, without failed ones.
 	zones    map[string]int
 	racks    map[string]int
 	draining int
 	out      Decision
 }
 
-func newWave(in Input) *wave {
-	w := &wave{
+func newWaveRound(in Input) *waveRound {
+	w := &waveRound{
 		in:     in,
 		state:  in.State.clone(),
 		byID:   make(map[string]*pools.Instance, len(in.Instances)),
-		byName: map[string]*poolWork{},
+		byName: map[string]*poolRound{},
 		zones:  map[string]int{},
 		racks:  map[string]int{},
 	}
 	budget := pools.Budget(in.Manifest)
 	for i := range in.Manifest.Pools {
 		spec := &in.Manifest.Pools[i]
-		p := &poolWork{spec: spec, budget: budget[spec.Name], serving: -in.Reserved[spec.Name]}
+		p := &poolRound{spec: spec, budget: budget[spec.Name], serving: -in.Reserved[spec.Name]}
 		w.pools = append(w.pools, p)
 		w.byName[spec.Name] = p
 	}
 	for _, inst := range in.Instances {
 		w.byID[inst.ID] = inst
-		w.tally(inst)
+		w.countInstance(inst)
 	}
 	return w
 }
 
-func (w *wave) tally(inst *pools.Instance) {
+func (w *waveRound) countInstance(inst *pools.Instance) {
 	if inst.Phase == pools.PhaseDraining {
 		w.draining++
 	}
@@ -81,10 +81,9 @@
 	}
 }
 
-// observe compares the drains that the planner remembers with the fold: which
-// came back, which didn't, and which it doesn't know because another planner
-// began them.
-func (w *wave) observe() {
+// updateState compares the recorded drains with the fold. It finds drains that
+// succeeded or failed, and records drains that another planner began.
+func (w *waveRound) updateState() {
 	for _, p := range w.pools {
 		name, revision := p.spec.Name, p.spec.Maintenance.Revision
 		if pw := w.state.Pools[name]; pw.Revision != revision || pw.Window == 0 {
@@ -92,49 +91,49 @@
 		}
 	}
 	for _, id := range sortedKeys(w.state.Draining) {
-		w.observeDrained(id, w.state.Draining[id])
+		w.updateRecordedDrain(id, w.state.Draining[id])
 	}
 	for id, f := range w.state.Failed {
 		inst := w.byID[id]
 		stuck := inst != nil && inst.Phase == pools.PhaseDraining
-		// A stuck instance is kept in mind even under a higher revision: taken
-		// for a fresh drain, it would halt that revision's wave as well.
-		if w.recovered(id, f) && !stuck {
+		// The failure of a stuck instance is kept even after a higher revision:
+		// recorded as a new drain, it would halt that revision's wave as well.
+		if w.failureCleared(id, f) && !stuck {
 			delete(w.state.Failed, id)
 		}
 	}
 	for _, inst := range w.in.Instances {
 		if inst.Phase == pools.PhaseDraining {
-			w.observeDraining(inst)
+			w.recordDraining(inst)
 		}
 	}
 }
 
-// observeDrained settles a drain that was under way in the round before.
-func (w *wave) observeDrained(id string, d Drained) {
+// updateRecordedDrain checks whether a drain of the previous round has ended.
+func (w *waveRound) updateRecordedDrain(id string, d Drained) {
 	inst := w.byID[id]
 	switch {
 	case inst == nil || inst.Phase == pools.PhaseDown:
-		w.fail(id, d, HaltLost)
+		w.recordFailure(id, d, HaltLost)
 	case inst.Phase == pools.PhaseDraining:
 		if w.in.NowMillis-d.SeenMillis > w.in.returnLimit().Milliseconds() {
-			w.fail(id, d, HaltNotBack)
+			w.recordFailure(id, d, HaltNotBack)
 		}
 	case inst.Phase == pools.PhaseServing && inst.Revision < d.Revision:
-		w.fail(id, d, HaltBadReturn)
+		w.recordFailure(id, d, HaltBadReturn)
 	default:
-		w.succeed(id, d)
+		w.recordReturn(id, d)
 	}
 }
 
-func (w *wave) fail(id string, d Drained, reason HaltReason) {
+func (w *waveRound) recordFailure(id string, d Drained, reason HaltReason) {
 	delete(w.state.Draining, id)
 	w.state.Failed[id] = Failure{Pool: d.Pool, Revision: d.Revision, Reason: reason}
 }
 
-// succeed widens the window by one for each return, which doubles the number
-// drained from one round trip to the next.
-func (w *wave) succeed(id string, d Drained) {
+// recordReturn widens the window by one for each returned instance, which
+// doubles the number of drains with each batch.
+func (w *waveRound) recordReturn(id string, d Drained) {
 	delete(w.state.Draining, id)
 	pw := w.state.Pools[d.Pool]
 	if pw.Revision == d.Revision {
@@ -144,10 +143,10 @@
 	}
 }
 
-// recovered tells whether a failure no longer stands: the instance serves with
-// the revision, or the operator has published a higher one or taken the pool
-// away.
-func (w *wave) recovered(id string, f Failure) bool {
+// failureCleared reports whether a failure no longer counts: the instance
+// serves with the revision, or the operator has published a higher revision or
+// removed the pool.
+func (w *waveRound) failureCleared(id string, f Failure) bool {
 	p := w.byName[f.Pool]
 	if p == nil || p.spec.Maintenance.Revision > f.Revision {
 		return true
@@ -156,11 +155,11 @@
 	return inst != nil && inst.Phase == pools.PhaseServing && inst.Revision >= f.Revision
 }
 
-func (w *wave) observeDraining(inst *pools.Instance) {
+func (w *waveRound) recordDraining(inst *pools.Instance) {
 	if _, failed := w.state.Failed[inst.ID]; failed {
 		return
 	}
-	if _, known := w.state.Draining[inst.ID]; !known {
+	if _, recorded := w.state.Draining[inst.ID]; !recorded {
 		revision := 0
 		if p := w.byName[inst.Pool]; p != nil {
 			revision = p.spec.Maintenance.Revision
@@ -170,29 +169,29 @@
 	w.zones[inst.Zone]++
 	w.racks[rackOf(inst)]++
 	if p := w.byName[inst.Pool]; p != nil {
-		p.rack = rackOf(inst)
+		p.drainingRack = rackOf(inst)
 	}
 }
 
 func rackOf(inst *pools.Instance) string { return inst.Zone + "/" + inst.Rack }
 
-// halts marks the pools whose wave must not go on.
-func (w *wave) halts() {
+// markHalts marks the pools whose waves must not continue.
+func (w *waveRound) markHalts() {
 	failed := map[string]bool{}
 	for _, id := range sortedKeys(w.state.Failed) {
 		f := w.state.Failed[id]
-		if w.recovered(id, f) {
+		if w.failureCleared(id, f) {
 			continue
 		}
 		failed[f.Pool] = true
 		if p := w.byName[f.Pool]; p != nil && p.halt == "" {
-			p.halt, p.cause = f.Reason, id
+			p.halt, p.haltInstance = f.Reason, id
 		}
 	}
 	for _, p := range w.pools {
 		switch {
 		case p.spec.Maintenance.Paused:
-			p.halt, p.cause = HaltPaused, ""
+			p.halt, p.haltInstance = HaltPaused, ""
 		case p.halt == "" && len(failed) >= haltAllAfter:
 			p.halt = HaltOtherPools
 		case p.halt == "" && len(p.spec.Instances.IDs) > 0 && len(p.spec.Instances.IDs) <= p.budget:
@@ -201,30 +200,30 @@
 	}
 }
 
-// drain begins drains zone by zone, rack by rack, where every limit allows it.
-func (w *wave) drain() {
+// beginDrains begins drains within the limits, one zone and rack after another.
+func (w *waveRound) beginDrains() {
 	for _, inst := range w.candidates() {
 		p := w.byName[inst.Pool]
 		if p.halt != "" {
 			continue
 		}
 		if reason, ok := w.mayDrain(p, inst); !ok {
-			w.out.note(p, reason)
+			w.out.addHalt(p, reason)
 			continue
 		}
-		w.begin(p, inst)
+		w.beginDrain(p, inst)
 	}
 	for _, p := range w.pools {
 		if p.halt != "" && len(p.pending)+p.draining > 0 {
-			w.out.Halts = append(w.out.Halts, Halt{Pool: p.spec.Name, Reason: p.halt, Instance: p.cause})
+			w.out.Halts = append(w.out.Halts, Halt{Pool: p.spec.Name, Reason: p.halt, Instance: p.haltInstance})
 		}
 	}
 }
 
-// candidates are in the order in which they are to be drained: the zone and
-// the racks where drains are under way first, so that one domain is finished
-// before the next is touched.
-func (w *wave) candidates() []*pools.Instance {
+// candidates returns the instances to drain in order: those in zones and racks
+// with drains in progress come first, so that one failure domain is finished
+// before the next begins.
+func (w *waveRound) candidates() []*pools.Instance {
 	var all []*pools.Instance
 	for _, p := range w.pools {
 		if p.halt == "" {
@@ -242,7 +241,7 @@
 	return all
 }
 
-func (w *wave) mayDrain(p *poolWork, inst *pools.Instance) (HaltReason, bool) {
+func (w *waveRound) mayDrain(p *poolRound, inst *pools.Instance) (HaltReason, bool) {
 	window := w.state.Pools[p.spec.Name].Window
 	switch {
 	case w.draining >= w.in.parallel():
@@ -253,20 +252,20 @@
 		return HaltOtherDomain, false
 	case p.draining >= window:
 		return "", false
-	case window <= rackWindow && p.rack != "" && p.rack != rackOf(inst):
+	case window <= rackWindow && p.drainingRack != "" && p.drainingRack != rackOf(inst):
 		return HaltOtherDomain, false
 	}
 	return "", true
 }
 
-func (w *wave) begin(p *poolWork, inst *pools.Instance) {
+func (w *waveRound) beginDrain(p *poolRound, inst *pools.Instance) {
 	revision := p.spec.Maintenance.Revision
 	p.serving--
 	p.draining++
-	p.rack = rackOf(inst)
+	p.drainingRack = rackOf(inst)
 	w.draining++
 	w.zones[inst.Zone]++
-	w.racks[p.rack]++
+	w.racks[p.drainingRack]++
 	w.out.Drains = append(w.out.Drains, Drain{
 		Instance: inst.ID, Pool: inst.Pool, Revision: revision,
 		Detail: fmt.Sprintf("revision %d to %d, %d of %d in window, %d serving, budget %d",
@@ -274,8 +273,9 @@
 	})
 }
 
-// note keeps the first reason for which a pool begins no further drain.
-func (d *Decision) note(p *poolWork, reason HaltReason) {
+// addHalt records the reason why a pool begins no further drain, unless one is
+// recorded already.
+func (d *Decision) addHalt(p *poolRound, reason HaltReason) {
 	if reason == "" {
 		return
 	}
@@ -287,31 +287,33 @@
 	d.Halts = append(d.Halts, Halt{Pool: p.spec.Name, Reason: reason})
 }
 
-// needSpares asks for spares where a pool's count is its budget, so that a
-// drain can never begin. The need stands until the pool's wave is finished, so
-// that the spare isn't released and taken in again for each instance.
+// requestSpares requests spares for pools whose budget equals their count, as
+// no drain could begin there otherwise. The request stands until the pool's
+// wave is finished, so that the spare isn't released and requested again for
+// each instance.
 //
-// Limits: waves hold no more spares than they may drain instances, as more
-// would be taken from what the loss of a domain needs and wait idle. Pools
-// whose turn hasn't come get theirs from those that have finished. Beyond the
-// one without which nothing moves, spares are lent as far as the planner
-// allows: they buy a faster wave. They come after the need of every pool, or a
-// growing window would take back the spare that another pool just got.
-func (w *wave) needSpares() {
-	left, lent := w.in.parallel(), w.in.Limits.WaveSpares
+// Limits: waves hold at most as many spares as concurrent drains are allowed,
+// since more would be idle and missing after the loss of a failure domain.
+// Pools later in the order get their spares when earlier pools have finished.
+// Each pool first gets the one spare without which it can't drain. Further
+// spares, up to Limits.WaveSpares, make waves faster; they are assigned only
+// after every pool has its first one, as a growing window would otherwise take
+// back the spare that another pool has just received.
+func (w *waveRound) requestSpares() {
+	sparesLeft, extraLeft := w.in.parallel(), w.in.Limits.WaveSpares
 	counts := make([]int, len(w.pools))
 	for i, p := range w.pools {
-		if w.mayHoldSpares(p) {
-			counts[i] = min(max(0, 1-p.slack()), left)
-			left -= counts[i]
+		if w.canHoldSpares(p) {
+			counts[i] = min(max(0, 1-p.headroom()), sparesLeft)
+			sparesLeft -= counts[i]
 		}
 	}
 	for i, p := range w.pools {
-		if w.mayHoldSpares(p) {
-			useful := min(len(p.pending)+p.draining, w.state.Pools[p.spec.Name].Window) - p.slack() - counts[i]
-			more := min(max(0, useful), lent, left)
+		if w.canHoldSpares(p) {
+			useful := min(len(p.pending)+p.draining, w.state.Pools[p.spec.Name].Window) - p.headroom() - counts[i]
+			more := min(max(0, useful), extraLeft, sparesLeft)
 			counts[i] += more
-			left, lent = left-more, lent-more
+			sparesLeft, extraLeft = sparesLeft-more, extraLeft-more
 		}
 		if counts[i] > 0 {
 			w.out.NeedSpare = append(w.out.NeedSpare, NeedSpare{Pool: p.spec.Name, Count: counts[i]})
@@ -319,15 +321,16 @@
 	}
 }
 
-// mayHoldSpares: a pool that lists its instances by id can't hold others.
-func (w *wave) mayHoldSpares(p *poolWork) bool {
+// canHoldSpares reports whether the pool has an unfinished wave that may use
+// spares. A pool that lists its instances by id can't hold others.
+func (w *waveRound) canHoldSpares(p *poolRound) bool {
 	return len(p.pending)+p.draining > 0 && p.halt == "" && len(p.spec.Instances.IDs) == 0
 }
 
-// slack is how many instances the pool has above its budget when it is full.
-func (p *poolWork) slack() int { return p.spec.Instances.Count - p.budget }
+// headroom returns how many instances above its budget the full pool has.
+func (p *poolRound) headroom() int { return p.spec.Instances.Count - p.budget }
 
-func (w *wave) decision() Decision {
+func (w *waveRound) decision() Decision {
 	w.out.State = w.state
 	return w.out
 }
