--- a/internal/fleetlog/apply.go
+++ b/internal/fleetlog/apply.go
@@ -13,21 +13,21 @@
 	"cyclamenwheel/internal/pools"
 )
 
-// Applied is one record with the verdict on it.
+// Applied is a record after the fold, with its verdict.
 type Applied struct {
 	Offset  uint64
 	Record  Record
 	Verdict fold.Verdict
-	// Keys is set for records of idempotency keys.
+	// Keys is set for records about idempotency keys.
 	Keys *KeysApplied
-	// Entries is set where the record changed the members: the entries from
-	// this offset on.
+	// Entries is set if the record changed the members; it lists the entries
+	// that are members from this offset on.
 	Entries []idempotency.Member
 }
 
-// Apply folds the next record of the log. entry.Offset must be s.Offset+1; the
-// Replica sees to that. Apply is deterministic: it reads no clock, and nothing
-// but s and entry.
+// Apply folds the next record of the log. entry.Offset must be s.Offset+1, which
+// Replica guarantees. Apply is deterministic: the result depends only on s and
+// entry, and it reads no clock.
 func (s *State) Apply(entry platform.LogRecord) Applied {
 	s.Offset = entry.Offset
 	s.TimeMillis = max(s.TimeMillis, entry.TimeMillis)
@@ -45,77 +45,78 @@
 	if s.Members.Version == s.Offset {
 		out.Entries = s.Entries()
 	}
-	s.count(rec.Kind, out.Verdict.Reason)
+	s.countVerdict(rec.Kind, out.Verdict.Reason)
 	return out
 }
 
-// count keeps the totals that dumps show. Kinds that are not known share one
-// row, or any writer could make every process's state grow.
-func (s *State) count(k Kind, reason fold.Reason) {
+// countVerdict updates the totals shown in dumps. Unknown kinds share one row;
+// otherwise any writer could make the state of every process grow.
+func (s *State) countVerdict(k Kind, reason fold.Reason) {
 	if !k.Known() {
 		k = "unknown"
 	}
 	s.Counts[string(k)+"/"+string(reason)]++
 }
 
-// dispatch hands the record to the part of the state that owns its kind.
+// dispatch applies the record to the part of the state that handles its kind.
 func (s *State) dispatch(m fold.Meta, rec Record, out *Applied) fold.Verdict {
-	if needsPlanner(rec.Kind) && !s.Lease.Current(m.Epoch) {
+	if requiresPlannerLease(rec.Kind) && !s.Lease.Current(m.Epoch) {
 		return fold.Reject(fold.ReasonStaleEpoch, "holder is "+s.Lease.Holder)
 	}
 	switch rec.Kind {
 	case KindPublish:
-		return apply(rec, func(b manifest.Publish) fold.Verdict { return s.applyPublish(m, b) })
+		return applyBody(rec, func(b manifest.Publish) fold.Verdict { return s.applyPublish(m, b) })
 	case KindLeaseClaim:
-		return apply(rec, func(b planlease.Claim) fold.Verdict { return s.Lease.ApplyClaim(m, b) })
+		return applyBody(rec, func(b planlease.Claim) fold.Verdict { return s.Lease.ApplyClaim(m, b) })
 	case KindLeaseRenew:
-		return apply(rec, func(b planlease.Renew) fold.Verdict { return s.Lease.ApplyRenew(m, b) })
+		return applyBody(rec, func(b planlease.Renew) fold.Verdict { return s.Lease.ApplyRenew(m, b) })
 	case KindLeaseRelease:
-		return apply(rec, func(b planlease.Release) fold.Verdict { return s.Lease.ApplyRelease(m, b) })
+		return applyBody(rec, func(b planlease.Release) fold.Verdict { return s.Lease.ApplyRelease(m, b) })
 	case KindJoin:
-		return apply(rec, func(b membership.Join) fold.Verdict { return s.applyJoin(m, b) })
+		return applyBody(rec, func(b membership.Join) fold.Verdict { return s.applyJoin(m, b) })
 	case KindLeave:
-		return apply(rec, func(b membership.Leave) fold.Verdict { return s.applyLeave(m, b) })
+		return applyBody(rec, func(b membership.Leave) fold.Verdict { return s.applyLeave(m, b) })
 	case KindSeen:
-		return apply(rec, func(b pools.Seen) fold.Verdict { return s.Pools.ApplySeen(m, b) })
+		return applyBody(rec, func(b pools.Seen) fold.Verdict { return s.Pools.ApplySeen(m, b) })
 	case KindDown:
-		return apply(rec, func(b pools.Down) fold.Verdict { return s.Pools.ApplyDown(m, b) })
+		return applyBody(rec, func(b pools.Down) fold.Verdict { return s.Pools.ApplyDown(m, b) })
 	case KindForget:
-		return apply(rec, func(b pools.Forget) fold.Verdict { return s.Pools.ApplyForget(m, b) })
+		return applyBody(rec, func(b pools.Forget) fold.Verdict { return s.Pools.ApplyForget(m, b) })
 	case KindBegin:
-		return apply(rec, func(b pools.Begin) fold.Verdict { return s.Pools.ApplyBegin(m, b, &s.Manifest) })
+		return applyBody(rec, func(b pools.Begin) fold.Verdict { return s.Pools.ApplyBegin(m, b, &s.Manifest) })
 	case KindCommit:
-		return apply(rec, func(b pools.Commit) fold.Verdict { return s.Pools.ApplyCommit(m, b) })
+		return applyBody(rec, func(b pools.Commit) fold.Verdict { return s.Pools.ApplyCommit(m, b) })
 	case KindTasks:
-		return apply(rec, func(b placement.Tasks) fold.Verdict {
+		return applyBody(rec, func(b placement.Tasks) fold.Verdict {
 			return s.Tasks.Apply(m, b, s.Manifest.Current(), s.Pools.Instances)
 		})
 	case KindKeyClaim:
-		return apply(rec, func(b idempotency.ClaimBatch) (v fold.Verdict) {
+		return applyBody(rec, func(b idempotency.ClaimBatch) (v fold.Verdict) {
 			v, out.Keys = s.applyClaims(m, b)
 			return v
 		})
 	case KindKeyFinish:
-		return apply(rec, func(b idempotency.FinishBatch) (v fold.Verdict) {
+		return applyBody(rec, func(b idempotency.FinishBatch) (v fold.Verdict) {
 			v, out.Keys = s.applyFinishes(m, b)
 			return v
 		})
 	case KindMark:
-		return apply(rec, func(b Mark) fold.Verdict { return s.applyMark(m, b) })
+		return applyBody(rec, func(b Mark) fold.Verdict { return s.applyMark(m, b) })
 	case KindPart:
-		// Parts are read by processes that start; they change no state.
+		// Parts are read by starting processes; they change no state.
 		return fold.Accept()
 	}
 	return fold.Reject(ReasonUnknownKind, string(rec.Kind))
 }
 
-// ReasonUnknownKind marks a record of a kind that this version does not know.
+// ReasonUnknownKind marks a record of a kind that this version doesn't support.
 const ReasonUnknownKind fold.Reason = "unknown_kind"
 
-// needsPlanner lists the kinds that only the holder of the planner lease may
-// write. Checking it in the fold is what stops a planner that was frozen past
-// its lease: it may append, but nothing of it takes effect.
-func needsPlanner(k Kind) bool {
+// requiresPlannerLease reports whether only the holder of the planner lease may
+// write records of this kind. The check in the fold fences a planner that was
+// paused until its lease expired: it can still append, but its records have no
+// effect.
+func requiresPlannerLease(k Kind) bool {
 	switch k {
 	case KindSeen, KindDown, KindForget, KindBegin, KindCommit, KindTasks:
 		return true
@@ -123,7 +124,7 @@
 	return false
 }
 
-func apply[T any](rec Record, f func(T) fold.Verdict) fold.Verdict {
+func applyBody[T any](rec Record, f func(T) fold.Verdict) fold.Verdict {
 	body, v := decodeBody[T](rec)
 	if !v.Accepted {
 		return v
@@ -142,24 +143,25 @@
 func (s *State) applyJoin(m fold.Meta, b membership.Join) fold.Verdict {
 	before := s.Entries()
 	v, lost := s.Members.ApplyJoin(m, b)
-	s.memberLost(m, lost, before)
+	s.handleMemberLoss(m, lost, before)
 	return v
 }
 
 func (s *State) applyLeave(m fold.Meta, b membership.Leave) fold.Verdict {
 	before := s.Entries()
 	v, lost := s.Members.ApplyLeave(m, b, s.Lease.Current(m.Epoch))
-	s.memberLost(m, lost, before)
+	s.handleMemberLoss(m, lost, before)
 	return v
 }
 
-// memberLost is told of a process that ended without a graceful leave.
-func (s *State) memberLost(m fold.Meta, lost *membership.Lost, before []idempotency.Member) {
+// handleMemberLoss records the loss of an entry that ended without leaving
+// gracefully; lost is nil if no member was lost.
+func (s *State) handleMemberLoss(m fold.Meta, lost *membership.Lost, before []idempotency.Member) {
 	if lost == nil {
 		return
 	}
 	wasEntry := func(e idempotency.Member) bool { return e.ID == lost.ID }
 	if slices.ContainsFunc(before, wasEntry) {
-		s.entryLost(m, lost.ID, before)
+		s.recordEntryLoss(m, lost.ID, before)
 	}
 }
--- a/internal/fleetlog/apply_test.go
+++ b/internal/fleetlog/apply_test.go
@@ -11,14 +11,14 @@
 	"cyclamenwheel/internal/pools"
 )
 
-var _ = Describe("the fold", func() {
-	var t *trace
-	BeforeEach(func() { t = newTrace() })
+var _ = Describe("Applying records to the state", func() {
+	var t *memoryLog
+	BeforeEach(func() { t = newMemoryLog() })
 
-	// Two operators publish on the same generation. Both appends succeed, in
-	// some order; the second one in the log is told who won and changes
-	// nothing, because its author decided on what is no longer in force.
-	It("lets one of two racing manifests win", func() {
+	// Two operators publish based on the same generation and both appends
+	// succeed. The second record must be rejected with the name of the other
+	// operator, because it is based on a manifest that is no longer in force.
+	It("accepts one of two concurrent manifests", func() {
 		Expect(t.publish(0, map[string][2]int{"a": {3, 1}}).Accepted).To(BeTrue())
 		v := t.publish(0, map[string][2]int{"a": {9, 1}})
 		Expect(v.Reason).To(Equal(manifest.ReasonConflict))
@@ -27,9 +27,9 @@
 		Expect(t.state.Manifest.Current().Pools[0].Instances.Count).To(Equal(3))
 	})
 
-	// The answer of an append is lost and the writer repeats it. The caller
-	// sees one publication: the second copy carries the same id.
-	It("folds a repeated append once", func() {
+	// The response to an append is lost and the writer retries with the same
+	// record id. The manifest must be published once.
+	It("applies a repeated append once", func() {
 		rec, err := fleetlog.NewRecord(fleetlog.KindPublish, "operator", 0,
 			manifest.Publish{Raw: manifestOf(map[string][2]int{"a": {1, 1}})})
 		Expect(err).NotTo(HaveOccurred())
@@ -38,34 +38,34 @@
 		Expect(t.state.Manifest.Generation).To(Equal(uint64(1)))
 	})
 
-	// A planner is frozen past its lease. Its successor claims the next epoch;
-	// when the first one wakes it still appends the drain it had planned, and
-	// two drains would cost the pool one instance more than its budget. The
-	// record of the old epoch is refused by every reader.
-	It("refuses records of a planner that was frozen past its lease", func() {
-		old := t.claim("p1")
+	// A planner is paused until its lease expires and a successor claims the
+	// next epoch. After it resumes, the first planner appends the drain that it
+	// had planned; with the successor's drain that would exceed the budget. The
+	// record of the old epoch must be rejected.
+	It("rejects records of a planner that was paused until its lease expired", func() {
+		old := t.claimLease("p1")
 		t.publish(0, map[string][2]int{"a": {3, 2}})
-		t.fleet(old, "a", 3)
-		fresh := t.claim("p2")
+		t.addInstances(old, "a", 3)
+		fresh := t.claimLease("p2")
 		Expect(t.write("p2", fresh, fleetlog.KindBegin, begin("a-0", "a", "a")).Accepted).To(BeTrue())
 		v := t.write("p1", old, fleetlog.KindBegin, begin("a-1", "a", "a"))
 		Expect(v.Reason).To(Equal(fold.ReasonStaleEpoch))
 		Expect(t.state.Pools.Available("a")).To(Equal(2))
 	})
 
-	It("gives the lease to the first of two claims of the same epoch", func() {
-		t.claim("p1")
+	It("grants the lease to the first of two claims of the same epoch", func() {
+		t.claimLease("p1")
 		v := t.write("p2", 0, fleetlog.KindLeaseClaim, planlease.Claim{Follows: 0, Holder: "p2", BootID: "b1"})
 		Expect(v.Reason).To(Equal(planlease.ReasonLostRace))
 		Expect(t.state.Lease.Holder).To(Equal("p1"))
 	})
 
-	// Instances are lost during a wave. The loss takes what the wave still
-	// had to spend, so the next drain is refused until one is back.
-	It("counts losses against the budget of later drains", func() {
-		e := t.claim("p1")
+	// An instance is lost during a wave, which uses up the pool's headroom. The
+	// next drain must be rejected until an instance has returned.
+	It("counts lost instances against the budget of later drains", func() {
+		e := t.claimLease("p1")
 		t.publish(0, map[string][2]int{"a": {4, 2}})
-		t.fleet(e, "a", 4)
+		t.addInstances(e, "a", 4)
 		Expect(t.write("p1", e, fleetlog.KindDown, pools.Down{Instances: []string{"a-3"}, Why: "test"}).Accepted).To(BeTrue())
 		Expect(t.write("p1", e, fleetlog.KindBegin, begin("a-0", "a", "a")).Accepted).To(BeTrue())
 		v := t.write("p1", e, fleetlog.KindBegin, begin("a-1", "a", "a"))
@@ -75,9 +75,9 @@
 	})
 
 	It("keeps an instance in its old pool until the move commits", func() {
-		e := t.claim("p1")
+		e := t.claimLease("p1")
 		t.publish(0, map[string][2]int{"a": {2, 1}, "b": {1, 1}})
-		t.fleet(e, "a", 3)
+		t.addInstances(e, "a", 3)
 		Expect(t.write("p1", e, fleetlog.KindBegin, begin("a-0", "a", "b")).Accepted).To(BeTrue())
 		in := t.state.Pools.Instances["a-0"]
 		Expect(in.Pool).To(Equal("a"))
@@ -88,13 +88,13 @@
 		Expect(in.Revision).To(Equal(1))
 	})
 
-	// An instance dies in the middle of a move. Whether the platform moved it
-	// is known only when it is back: by the operation it names.
-	DescribeTable("settles a move that a loss interrupted",
+	// An instance goes down during a move. Whether the platform has moved it is
+	// known only after it returns, from the operation in its facts.
+	DescribeTable("resolves a move that was interrupted by a loss",
 		func(operation, pool string, phase pools.Phase) {
-			e := t.claim("p1")
+			e := t.claimLease("p1")
 			t.publish(0, map[string][2]int{"a": {2, 1}, "b": {1, 1}})
-			t.fleet(e, "a", 3)
+			t.addInstances(e, "a", 3)
 			t.write("p1", e, fleetlog.KindBegin, begin("a-0", "a", "b"))
 			t.write("p1", e, fleetlog.KindDown, pools.Down{Instances: []string{"a-0"}})
 			t.write("p1", e, fleetlog.KindSeen, pools.Seen{Facts: []pools.Fact{{ID: "a-0", BootID: "b9", Operation: operation}}})
@@ -102,15 +102,15 @@
 			Expect(in.Pool).To(Equal(pool))
 			Expect(in.Phase).To(Equal(phase))
 		},
-		Entry("done by the platform", "op-a-0", "b", pools.PhaseServing),
-		Entry("not done yet", "", "a", pools.PhaseMoving),
+		Entry("completed by the platform", "op-a-0", "b", pools.PhaseServing),
+		Entry("not completed yet", "", "a", pools.PhaseMoving),
 	)
 
-	// A new planner's instance list lags behind the one that its predecessor
-	// read. Folding the older facts would bring a boot id back that has ended,
-	// and requests would be held from a healthy instance.
-	It("refuses facts from an older instance list", func() {
-		e := t.claim("p1")
+	// The instance list that a new planner reads is older than the one its
+	// predecessor read. Applying the older facts would restore the boot id of an
+	// ended boot, and a healthy instance would get no requests.
+	It("rejects facts from an older instance list", func() {
+		e := t.claimLease("p1")
 		t.write("p1", e, fleetlog.KindSeen, pools.Seen{List: 7, Facts: []pools.Fact{{ID: "x", BootID: "b2"}}})
 		v := t.write("p1", e, fleetlog.KindSeen, pools.Seen{List: 6, Facts: []pools.Fact{{ID: "x", BootID: "b1"}}})
 		Expect(v.Reason).To(Equal(pools.ReasonOldFacts))
--- a/internal/fleetlog/fuzz_test.go
+++ b/internal/fleetlog/fuzz_test.go
@@ -9,19 +9,19 @@
 	"cyclamenwheel/internal/platform"
 )
 
-// FuzzApply feeds the fold with arbitrary bytes after a real history. Whoever
-// can append to the log can write anything: no record may stop a process, and
-// a record that is refused must not change what is in force.
+// FuzzApply applies arbitrary bytes to a state with a realistic history. Every
+// writer can append anything to the log, so no record may crash a process, and
+// a rejected record must not change the manifest or the members.
 func FuzzApply(f *testing.F) {
 	RegisterTestingT(f)
-	for _, rec := range written().records {
+	for _, rec := range newLogWithSnapshot().records {
 		f.Add(rec.Data)
 	}
 	f.Add([]byte{})
 	f.Fuzz(func(t *testing.T, data []byte) {
 		g := NewWithT(t)
 		RegisterTestingT(t)
-		tr := written()
+		tr := newLogWithSnapshot()
 		generation, members := tr.state.Manifest.Generation, tr.state.Members.Version
 		a := tr.state.Apply(platform.LogRecord{Offset: tr.state.Offset + 1, TimeMillis: 1, Data: data})
 		if !a.Verdict.Accepted {
@@ -31,6 +31,6 @@
 		encoded, err := tr.state.Encode()
 		g.Expect(err).NotTo(HaveOccurred())
 		_, err = fleetlog.DecodeState(encoded)
-		g.Expect(err).NotTo(HaveOccurred(), "a state must survive its own snapshot")
+		g.Expect(err).NotTo(HaveOccurred(), "a state must decode from its own snapshot")
 	})
 }
--- a/internal/fleetlog/keys.go
+++ b/internal/fleetlog/keys.go
@@ -8,7 +8,8 @@
 	"cyclamenwheel/internal/membership"
 )
 
-// KeysApplied is what a record of keys did, for the entry that owns them.
+// KeysApplied holds the effect of a record about idempotency keys, for the
+// entry that owns the keys.
 type KeysApplied struct {
 	Claims        *idempotency.ClaimBatch
 	ClaimResults  []idempotency.ClaimResult
@@ -16,59 +17,61 @@
 	FinishResults []idempotency.FinishResult
 }
 
-// keyGuard finds out where claims may have been lost. During an outage of the
-// log a claim is held by its owner and one witness; when the log is back each
-// journals what it holds before anything else. Claims are lost only if both
-// are gone before that.
-type keyGuard struct {
+// lossTracker detects which key claims may have been lost. During an outage of
+// the log a claim is held in memory by its owner and one witness; both append
+// their claims to the log first when it is available again. A claim is lost
+// only if both processes end before that.
+type lossTracker struct {
 	// Fences holds the offset of each entry's newest record of finishes. An
-	// entry writes one only when it has nothing held left to journal.
+	// entry writes such a record only after it has appended all claims that it
+	// held.
 	Fences map[string]uint64 `cbor:"1,keyasint"`
-	Losses []loss            `cbor:"2,keyasint"`
+	Losses []entryLoss       `cbor:"2,keyasint"`
 }
 
-// loss is an entry that went without a graceful leave.
-type loss struct {
+// entryLoss records an entry that ended without leaving gracefully.
+type entryLoss struct {
 	Member     string               `cbor:"1,keyasint"`
 	Offset     uint64               `cbor:"2,keyasint"`
 	TimeMillis int64                `cbor:"3,keyasint"`
-	Before     []idempotency.Member `cbor:"4,keyasint"` // entries before it went
+	Before     []idempotency.Member `cbor:"4,keyasint"` // entries before the loss
 }
 
-// lost notes a loss. If an entry lost earlier may have had the new one as its
-// witness, or the other way round, and the new one has written no fence since,
-// the keys between them are marked as uncertain: they are refused as unknown
-// rather than run a second time.
-func (s *State) entryLost(m fold.Meta, id string, before []idempotency.Member) {
+// recordEntryLoss records the loss of an entry. If an entry lost earlier may
+// have been the owner or the witness of claims held with this one, and this one
+// has written no fence since, the keys shared by the two are marked uncertain:
+// requests with them are refused with an unknown outcome instead of being run a
+// second time.
+func (s *State) recordEntryLoss(m fold.Meta, id string, before []idempotency.Member) {
 	g := &s.Guard
-	g.expire(m.TimeMillis)
+	g.dropExpired(m.TimeMillis)
 	for _, l := range g.Losses {
 		if l.Member != id && g.Fences[id] < l.Offset {
 			s.Keys.MarkUncertain(m, []string{l.Member, id}, l.Before, l.TimeMillis)
 		}
 	}
-	g.Losses = append(g.Losses, loss{Member: id, Offset: m.Offset, TimeMillis: m.TimeMillis, Before: before})
+	g.Losses = append(g.Losses, entryLoss{Member: id, Offset: m.Offset, TimeMillis: m.TimeMillis, Before: before})
 	delete(g.Fences, id)
 }
 
-func (g *keyGuard) expire(nowMillis int64) {
-	keep := g.Losses[:0]
+func (g *lossTracker) dropExpired(nowMillis int64) {
+	kept := g.Losses[:0]
 	for _, l := range g.Losses {
 		if nowMillis-l.TimeMillis < idempotency.Retention.Milliseconds() {
-			keep = append(keep, l)
+			kept = append(kept, l)
 		}
 	}
-	g.Losses = keep
+	g.Losses = kept
 }
 
 func (s *State) applyClaims(m fold.Meta, b idempotency.ClaimBatch) (fold.Verdict, *KeysApplied) {
-	v, results := s.Keys.ApplyClaims(m, b, s.bootOf)
+	v, results := s.Keys.ApplyClaims(m, b, s.entryBootID)
 	return v, &KeysApplied{Claims: &b, ClaimResults: results}
 }
 
 func (s *State) applyFinishes(m fold.Meta, b idempotency.FinishBatch) (fold.Verdict, *KeysApplied) {
 	v, results := s.Keys.ApplyFinishes(m, b)
-	if boot, member := s.bootOf(b.Owner); v.Accepted && member && boot == b.OwnerBoot {
+	if boot, member := s.entryBootID(b.Owner); v.Accepted && member && boot == b.OwnerBoot {
 		if s.Guard.Fences == nil {
 			s.Guard.Fences = make(map[string]uint64)
 		}
@@ -77,12 +80,12 @@
 	return v, &KeysApplied{Finishes: &b, FinishResults: results}
 }
 
-func (s *State) bootOf(id string) (string, bool) {
+func (s *State) entryBootID(id string) (string, bool) {
 	m, ok := s.Members.Members[id]
 	return m.BootID, ok && m.Role == membership.RoleEntry
 }
 
-// Entries returns the entries in the form that keys are owned by, by id.
+// Entries returns the member entries as possible owners of keys, sorted by id.
 func (s *State) Entries() []idempotency.Member {
 	var out []idempotency.Member
 	for _, m := range s.Members.WithRole(membership.RoleEntry) {
@@ -91,8 +94,8 @@
 	return out
 }
 
-// NamedID is the record id of a name that its author keeps unique. A
-// repetition under the same name is folded once.
+// NamedID derives a record id from a name that its author keeps unique. Records
+// appended repeatedly under the same name are applied once.
 func NamedID(name string) ID {
 	sum := sha256.Sum256([]byte(name))
 	return ID(sum[:16])
--- a/internal/fleetlog/memory_log_test.go
+++ b/internal/fleetlog/memory_log_test.go
@@ -14,22 +14,22 @@
 	"cyclamenwheel/internal/pools"
 )
 
-// trace is a log in memory with the fold over it.
-type trace struct {
+// memoryLog is an in-memory log together with the state folded from it.
+type memoryLog struct {
 	records []platform.LogRecord
 	state   *fleetlog.State
 }
 
-func newTrace() *trace { return &trace{state: fleetlog.NewState()} }
+func newMemoryLog() *memoryLog { return &memoryLog{state: fleetlog.NewState()} }
 
 // write appends a record and returns the verdict on it.
-func (t *trace) write(author string, epoch uint64, kind fleetlog.Kind, body any) fold.Verdict {
+func (t *memoryLog) write(author string, epoch uint64, kind fleetlog.Kind, body any) fold.Verdict {
 	rec, err := fleetlog.NewRecord(kind, author, epoch, body)
 	Expect(err).NotTo(HaveOccurred())
 	return t.append(rec)
 }
 
-func (t *trace) append(rec fleetlog.Record) fold.Verdict {
+func (t *memoryLog) append(rec fleetlog.Record) fold.Verdict {
 	data, err := rec.Encode()
 	Expect(err).NotTo(HaveOccurred())
 	entry := platform.LogRecord{Offset: uint64(len(t.records) + 1), TimeMillis: int64(1000 + len(t.records)), Data: data}
@@ -37,16 +37,16 @@
 	return t.state.Apply(entry).Verdict
 }
 
-// claim gives the lease to holder and returns its epoch.
-func (t *trace) claim(holder string) uint64 {
+// claimLease claims the planner lease for holder and returns its epoch.
+func (t *memoryLog) claimLease(holder string) uint64 {
 	v := t.write(holder, 0, fleetlog.KindLeaseClaim,
 		planlease.Claim{Follows: t.state.Lease.Epoch, Renewed: t.state.Lease.Renewed, Holder: holder, BootID: "b1"})
 	Expect(v.Accepted).To(BeTrue())
 	return t.state.Lease.Epoch
 }
 
-// publish puts a manifest of pools in force: name to count and budget.
-func (t *trace) publish(basedOn uint64, pools map[string][2]int) fold.Verdict {
+// publish publishes a manifest; pools maps names to count and budget.
+func (t *memoryLog) publish(basedOn uint64, pools map[string][2]int) fold.Verdict {
 	return t.write("operator", 0, fleetlog.KindPublish,
 		manifest.Publish{BasedOn: basedOn, Raw: manifestOf(pools), Operator: "operator"})
 }
@@ -65,8 +65,8 @@
 	return raw
 }
 
-// fleet makes n instances known, all in pool.
-func (t *trace) fleet(epoch uint64, pool string, n int) {
+// addInstances records n instances in pool.
+func (t *memoryLog) addInstances(epoch uint64, pool string, n int) {
 	var facts []pools.Fact
 	for i := range n {
 		facts = append(facts, pools.Fact{ID: fmt.Sprintf("%s-%d", pool, i), BootID: "b1", Pool: pool, Zone: "z", Rack: "r"})
--- a/internal/fleetlog/record.go
+++ b/internal/fleetlog/record.go
@@ -1,10 +1,13 @@
-// Package fleetlog holds the one ordered log that all processes agree through:
-// the records, the deterministic fold over them, snapshots of the fold, and
-// what reads and writes the log.
+// Package fleetlog replicates the fleet's state through one ordered log: it
+// defines the records, folds them deterministically into a State, and reads and
+// writes records and snapshots. Its input is the records of the platform's log,
+// which arrive from the log itself or from peers. Every node runs a Replica and
+// a Tail; the planner, the entries and the operator tools read the folded state
+// and append records.
 //
 // The platform's log has no conditional append. Whether a record takes effect
-// is decided by the fold at the record's place in the log, by the same rule in
-// every process; a writer acts only after it has read its own record back as
+// is decided by the fold at the record's offset, by the same rule in every
+// process; a writer acts only after it has read its own record back as
 // accepted.
 package fleetlog
 
@@ -18,7 +21,7 @@
 	"cyclamenwheel/internal/idempotency"
 )
 
-// Kind names a record's type. Values are part of the log's format.
+// Kind is a record's type. Values are part of the log's format.
 type Kind string
 
 // Kinds of records.
@@ -41,7 +44,7 @@
 	KindPart         Kind = "snapshot.part"
 )
 
-// Known reports whether this version folds the kind.
+// Known reports whether this version supports the kind.
 func (k Kind) Known() bool {
 	switch k {
 	case KindPublish, KindLeaseClaim, KindLeaseRenew, KindLeaseRelease, KindJoin, KindLeave,
@@ -52,7 +55,7 @@
 	return false
 }
 
-// ID identifies a record. A repeated append carries the same id and is folded
+// ID identifies a record. A repeated append carries the same id and is applied
 // once.
 type ID [16]byte
 
@@ -66,36 +69,36 @@
 	return id
 }
 
-// Record is the envelope of everything in the log.
+// Record is the envelope of all log entries.
 type Record struct {
 	ID     ID     `cbor:"1,keyasint"`
 	Kind   Kind   `cbor:"2,keyasint"`
 	Author string `cbor:"3,keyasint"`
-	// Epoch is the planner epoch under which the author wrote, 0 for others.
+	// Epoch is the epoch of the author's planner lease, 0 for other authors.
 	Epoch uint64          `cbor:"4,keyasint,omitempty"`
 	Body  cbor.RawMessage `cbor:"5,keyasint"`
 }
 
-// Limits of a record; a reader checks them before it decodes.
+// Limits of a record, checked before it is decoded.
 const (
-	// MaxRecordBytes bounds a record: a manifest of MaxBytes and its envelope.
+	// MaxRecordBytes allows a manifest of manifest.MaxBytes and its envelope.
 	MaxRecordBytes = 1<<20 + 4096
 	// maxElements bounds arrays and maps inside one record.
 	maxElements = 1 << 17
-	// maxNesting is deeper than any of our messages.
+	// maxNesting is more than the nesting of any record or snapshot.
 	maxNesting = 16
 )
 
 var (
-	encMode = mustEnc()
-	decMode = mustDec(maxElements)
+	encMode = mustEncMode()
+	decMode = mustDecMode(maxElements)
 	// stateDecMode reads snapshots, whose maps grow with the fleet.
-	stateDecMode = mustDec(maxStateElements)
+	stateDecMode = mustDecMode(maxStateElements)
 )
 
-// Core deterministic encoding: two processes with equal states write equal
-// snapshots, so that a hash tells whether they diverged.
-func mustEnc() cbor.EncMode {
+// mustEncMode returns the core deterministic encoding: equal states have equal
+// snapshots, so that comparing hashes shows whether two processes diverged.
+func mustEncMode() cbor.EncMode {
 	m, err := cbor.CoreDetEncOptions().EncMode()
 	if err != nil {
 		panic(err)
@@ -103,7 +106,7 @@
 	return m
 }
 
-func mustDec(elements int) cbor.DecMode {
+func mustDecMode(elements int) cbor.DecMode {
 	m, err := cbor.DecOptions{
 		MaxArrayElements: elements, MaxMapPairs: elements, MaxNestedLevels: maxNesting,
 		DupMapKey: cbor.DupMapKeyEnforcedAPF,
@@ -114,7 +117,8 @@
 	return m
 }
 
-// MalformedError says that bytes from the log or a peer do not decode.
+// MalformedError reports that a value can't be encoded, or that bytes from the
+// log or a peer can't be decoded.
 type MalformedError struct {
 	What  string
 	Cause error
@@ -125,14 +129,14 @@
 // Unwrap returns the cause.
 func (e *MalformedError) Unwrap() error { return e.Cause }
 
-// TooLargeError says that a record is larger than the log's readers accept.
+// TooLargeError reports that a record exceeds the size that readers accept.
 type TooLargeError struct{ Size, Limit int }
 
 func (e *TooLargeError) Error() string {
-	return fmt.Sprintf("record of %d bytes is over the limit of %d", e.Size, e.Limit)
+	return fmt.Sprintf("record of %d bytes exceeds the limit of %d", e.Size, e.Limit)
 }
 
-// NewRecord wraps a body under a fresh id.
+// NewRecord encodes body into a record with a new random id.
 func NewRecord(kind Kind, author string, epoch uint64, body any) (Record, error) {
 	raw, err := encMode.Marshal(body)
 	if err != nil {
--- a/internal/fleetlog/replica.go
+++ b/internal/fleetlog/replica.go
@@ -6,40 +6,41 @@
 	"cyclamenwheel/internal/platform"
 )
 
-// Replica is one process's copy of the fold. Records reach it from the log and
-// from peers, repeated, late or with gaps; it folds each offset once and in
-// order, and its state never goes back.
+// Replica is one process's copy of the folded state. Records arrive from the
+// log and from peers, possibly repeated, late or with gaps; each offset is
+// applied once and in order, and the state never reverts to an older one.
 //
-// It is a pure state machine: no I/O, no clock, one goroutine.
+// It is a pure state machine without I/O or clock, for use by one goroutine.
 type Replica struct {
 	state *State
-	// cold is set until a starting point is known: offset 1, or a snapshot.
-	cold    bool
-	pending []platform.LogRecord // cold only: records after the newest snapshot mark
-	asm     assembler
-
-	// markHash is the hash of the own state at the newest mark, encoded the
-	// bytes there until somebody has written them to the log.
-	markOffset uint64
-	markHash   [32]byte
-	encoded    []byte
-
-	// Diverged counts snapshots that did not match the own state.
+	// bootstrapping is set until the replica has a starting state: the empty
+	// state before offset 1, or a snapshot.
+	bootstrapping bool
+	pending       []platform.LogRecord // contiguous records buffered while bootstrapping
+	snapshotParts assembler
+
+	// markHash is the hash of the replica's state at the newest mark. markedState
+	// is the encoded state there, until some process has written it to the log.
+	markOffset  uint64
+	markHash    [32]byte
+	markedState []byte
+
+	// Diverged counts snapshot parts that did not match the replica's state.
 	Diverged int
 }
 
-// NewReplica returns a replica that knows nothing yet.
-func NewReplica() *Replica { return &Replica{state: NewState(), cold: true} }
+// NewReplica returns a replica without a starting state.
+func NewReplica() *Replica { return &Replica{state: NewState(), bootstrapping: true} }
 
 // State returns the folded state. It belongs to the replica's goroutine.
 func (r *Replica) State() *State { return r.state }
 
-// Cold reports whether the replica still lacks a starting point.
-func (r *Replica) Cold() bool { return r.cold }
+// Cold reports whether the replica still lacks a starting state.
+func (r *Replica) Cold() bool { return r.bootstrapping }
 
-// Next is the offset that the replica needs next.
+// Next returns the offset that the replica needs next, 0 for any.
 func (r *Replica) Next() uint64 {
-	if r.cold {
+	if r.bootstrapping {
 		if n := len(r.pending); n > 0 {
 			return r.pending[n-1].Offset + 1
 		}
@@ -48,12 +49,12 @@
 	return r.state.Offset + 1
 }
 
-// Ingest takes records in offset order and returns those it folded. Offsets
-// already folded are passed over; at a gap it stops, and Next tells what is
-// missing.
+// Ingest applies records, given in offset order, and returns those applied. It
+// skips offsets already applied and stops at a gap; Next then returns the first
+// missing offset.
 func (r *Replica) Ingest(records []platform.LogRecord) []Applied {
-	if r.cold {
-		return r.ingestCold(records)
+	if r.bootstrapping {
+		return r.ingestBootstrapping(records)
 	}
 	var out []Applied
 	for _, rec := range records {
@@ -63,34 +64,34 @@
 		if rec.Offset != r.state.Offset+1 {
 			break
 		}
-		out = append(out, r.fold(rec))
+		out = append(out, r.applyRecord(rec))
 	}
 	return out
 }
 
-func (r *Replica) fold(rec platform.LogRecord) Applied {
+func (r *Replica) applyRecord(rec platform.LogRecord) Applied {
 	a := r.state.Apply(rec)
 	switch {
 	case a.Record.Kind == KindMark && a.Verdict.Accepted:
-		r.takeMark()
+		r.recordMark()
 	case a.Record.Kind == KindPart:
-		r.checkPart(a.Record)
+		r.verifyPart(a.Record)
 	}
 	return a
 }
 
-func (r *Replica) takeMark() {
+func (r *Replica) recordMark() {
 	encoded, err := r.state.Encode()
 	if err != nil {
 		return
 	}
-	r.markOffset, r.markHash, r.encoded = r.state.Offset, sha256.Sum256(encoded), encoded
+	r.markOffset, r.markHash, r.markedState = r.state.Offset, sha256.Sum256(encoded), encoded
 }
 
-// checkPart compares a snapshot with the own state at the same offset. A
-// difference means that two builds fold differently: operators must know
-// before a process starts from it.
-func (r *Replica) checkPart(rec Record) {
+// verifyPart compares a snapshot with the replica's state at the same offset. A
+// difference means that two builds fold the log differently; operators must
+// learn of it before a process starts from that snapshot.
+func (r *Replica) verifyPart(rec Record) {
 	p, v := decodeBody[Part](rec)
 	if !v.Accepted || p.Replaces != r.markOffset {
 		return
@@ -98,36 +99,36 @@
 	if p.Hash != r.markHash {
 		r.Diverged++
 	}
-	r.encoded = nil
+	r.markedState = nil
 }
 
-// MarkedState returns the encoded state at the newest mark, for its author to
-// write; nil when it has been written.
-func (r *Replica) MarkedState() (encoded []byte, replaces uint64) {
-	return r.encoded, r.markOffset
+// MarkedState returns the encoded state at the newest mark, for the mark's
+// author to write to the log; nil if a part of it has been written.
+func (r *Replica) MarkedState() (encoded []byte, markOffset uint64) {
+	return r.markedState, r.markOffset
 }
 
-func (r *Replica) ingestCold(records []platform.LogRecord) []Applied {
+func (r *Replica) ingestBootstrapping(records []platform.LogRecord) []Applied {
 	for _, rec := range records {
-		if !r.keep(rec) {
+		if !r.bufferRecord(rec) {
 			continue
 		}
-		if st := r.startingPoint(rec); st != nil {
-			out := r.warm(st)
-			return append(out, r.Ingest(after(records, rec.Offset))...)
+		if st := r.startingState(rec); st != nil {
+			out := r.startFrom(st)
+			return append(out, r.Ingest(recordsAfter(records, rec.Offset))...)
 		}
 	}
 	return nil
 }
 
-// keep adds rec to the records kept, if it is the next one. A record from
-// before them starts the collection anew: what was kept then lacks a beginning
-// that turns out to be there.
-func (r *Replica) keep(rec platform.LogRecord) bool {
+// bufferRecord appends rec to the buffered records if it is the next one. A
+// record from before the buffered ones restarts the buffer, since records that
+// were assumed to be unavailable can be read after all.
+func (r *Replica) bufferRecord(rec platform.LogRecord) bool {
 	n := len(r.pending)
 	switch {
 	case n > 0 && rec.Offset < r.pending[0].Offset:
-		r.pending, r.asm = nil, assembler{}
+		r.pending, r.snapshotParts = nil, assembler{}
 	case n > 0 && rec.Offset != r.pending[n-1].Offset+1:
 		return false
 	}
@@ -135,9 +136,9 @@
 	return true
 }
 
-// startingPoint returns the state that the kept records can be folded onto,
-// once rec has made one known.
-func (r *Replica) startingPoint(rec platform.LogRecord) *State {
+// startingState returns the state from which the buffered records can be
+// applied, if rec is the first record of the log or completes a snapshot.
+func (r *Replica) startingState(rec platform.LogRecord) *State {
 	if rec.Offset == 1 && r.state.Offset == 0 {
 		return NewState()
 	}
@@ -145,14 +146,14 @@
 	if !ok {
 		return nil
 	}
-	st := r.asm.add(p)
+	st := r.snapshotParts.add(p)
 	if st == nil || st.Offset+1 < r.pending[0].Offset || st.Offset <= r.state.Offset {
 		return nil
 	}
 	return st
 }
 
-func after(records []platform.LogRecord, offset uint64) []platform.LogRecord {
+func recordsAfter(records []platform.LogRecord, offset uint64) []platform.LogRecord {
 	for i, rec := range records {
 		if rec.Offset > offset {
 			return records[i:]
@@ -161,30 +162,30 @@
 	return nil
 }
 
-// warm starts from st and folds what has been kept since.
-func (r *Replica) warm(st *State) []Applied {
+// startFrom sets the state to st and applies the buffered records after it.
+func (r *Replica) startFrom(st *State) []Applied {
 	pending := r.pending
-	r.state, r.cold, r.pending, r.asm = st, false, nil, assembler{}
+	r.state, r.bootstrapping, r.pending, r.snapshotParts = st, false, nil, assembler{}
 	return r.Ingest(pending)
 }
 
-// Install takes a state from a peer or a later snapshot if it is newer than
-// the own one; it reports whether it did. An older state is refused, because a
-// generation once in force must not revert.
+// Install replaces the state with st, from a peer or a later snapshot, if st is
+// newer, and reports whether it did. An older state is refused, because a
+// manifest generation that was in force must not be reverted.
 func (r *Replica) Install(st *State) bool {
 	if st == nil || st.Offset <= r.state.Offset {
 		return false
 	}
 	pending := r.pending
-	r.state, r.cold, r.pending, r.asm = st, false, nil, assembler{}
-	r.markOffset, r.encoded = 0, nil
+	r.state, r.bootstrapping, r.pending, r.snapshotParts = st, false, nil, assembler{}
+	r.markOffset, r.markedState = 0, nil
 	r.Ingest(pending)
 	return true
 }
 
-// Restart is told that the log is trimmed past Next: this process was paused
-// for longer than records are kept. The state stays as it is for readers, and
-// the replica looks for a later snapshot to go on from.
+// Restart makes the replica wait for a later snapshot to continue from. It is
+// called when the log has been trimmed past Next, because this process was
+// paused for longer than records are kept. The old state stays readable.
 func (r *Replica) Restart() {
-	r.cold, r.pending, r.asm = true, nil, assembler{}
+	r.bootstrapping, r.pending, r.snapshotParts = true, nil, assembler{}
 }
--- a/internal/fleetlog/replica_test.go
+++ b/internal/fleetlog/replica_test.go
@@ -8,13 +8,14 @@
 	"cyclamenwheel/internal/fleetlog"
 )
 
-// written returns a log with some history, a snapshot and what follows it.
-func written() *trace {
-	t := newTrace()
+// newLogWithSnapshot returns a log that contains a snapshot, with records before
+// its mark, between mark and part, and after the part.
+func newLogWithSnapshot() *memoryLog {
+	t := newMemoryLog()
 	author := fleetlog.NewReplica()
-	e := t.claim("p1")
+	e := t.claimLease("p1")
 	t.publish(0, map[string][2]int{"a": {3, 2}})
-	t.fleet(e, "a", 4)
+	t.addInstances(e, "a", 4)
 	t.write("p1", 0, fleetlog.KindMark, fleetlog.Mark{Wanted: 3})
 	author.Ingest(t.records)
 	encoded, at := author.MarkedState()
@@ -27,7 +28,7 @@
 	return t
 }
 
-func hashOf(s *fleetlog.State) string {
+func encodedState(s *fleetlog.State) string {
 	data, err := s.Encode()
 	Expect(err).NotTo(HaveOccurred())
 	return string(data)
@@ -35,29 +36,29 @@
 
 var _ = Describe("a replica", func() {
 	// The log has been trimmed up to the snapshot. A process that starts now
-	// must come to the same state as one that saw every record.
-	It("starts from a snapshot to the same state", func() {
-		t := written()
+	// must reach the same state as one that read every record.
+	It("reaches the same state when it starts from a snapshot", func() {
+		t := newLogWithSnapshot()
 		late := fleetlog.NewReplica()
 		late.Ingest(t.records[4:])
 		Expect(late.Cold()).To(BeFalse())
-		Expect(hashOf(late.State())).To(Equal(hashOf(t.state)))
+		Expect(encodedState(late.State())).To(Equal(encodedState(t.state)))
 	})
 
-	// The records between a snapshot's mark and its parts are trimmed: the
-	// snapshot can't be folded on, and a state with a hole must not be used.
-	It("does not start where records after the mark are missing", func() {
-		t := written()
+	// The records between a snapshot's mark and its parts have been trimmed. The
+	// later records can't be applied to the snapshot, so it must not be used.
+	It("does not start from a snapshot if records after the mark are missing", func() {
+		t := newLogWithSnapshot()
 		late := fleetlog.NewReplica()
 		late.Ingest(t.records[5:])
 		Expect(late.Cold()).To(BeTrue())
 	})
 
 	It("counts a snapshot that differs from its own state", func() {
-		t := written()
+		t := newLogWithSnapshot()
 		r := fleetlog.NewReplica()
 		r.Ingest(t.records[:4])
-		t2 := newTrace()
+		t2 := newMemoryLog()
 		t2.records = t.records[:5]
 		bad := fleetlog.Split([]byte("not this state"), 4)[0]
 		t2.write("p1", 0, fleetlog.KindPart, bad)
@@ -65,11 +66,11 @@
 		Expect(r.Diverged).To(Equal(1))
 	})
 
-	// Records reach a process from the log and from peers: repeated, late and
-	// with gaps. Whatever the order of delivery, it ends in the one state.
-	It("comes to one state whatever the delivery", func() {
-		t := written()
-		want := hashOf(t.state)
+	// Records reach a process from the log and from peers, repeated, late and
+	// with gaps. The final state must not depend on the order of delivery.
+	It("reaches the same state for any order of delivery", func() {
+		t := newLogWithSnapshot()
+		want := encodedState(t.state)
 		rapid.Check(GinkgoT(), func(rt *rapid.T) {
 			r := fleetlog.NewReplica()
 			for range 20 {
@@ -78,47 +79,48 @@
 				before := r.State().Offset
 				r.Ingest(t.records[from:to])
 				if r.State().Offset < before {
-					rt.Fatalf("state went back from %d to %d", before, r.State().Offset)
+					rt.Fatalf("state reverted from offset %d to %d", before, r.State().Offset)
 				}
 			}
 			r.Ingest(t.records)
-			if got := hashOf(r.State()); got != want {
-				rt.Fatalf("state differs after delivery in pieces")
+			if got := encodedState(r.State()); got != want {
+				rt.Fatalf("state differs after delivery in several ranges")
 			}
 		})
 	})
 
-	// Found by the property above: a page of late records arrives first, then
-	// the log from its beginning. The beginning must not be passed over.
-	It("starts from the beginning where that turns up late", func() {
-		t := written()
+	// Later records arrive first, then the log from its beginning. The replica
+	// must not skip the beginning as already seen.
+	It("starts from the first record when later records arrive before it", func() {
+		t := newLogWithSnapshot()
 		r := fleetlog.NewReplica()
 		r.Ingest(t.records[5:])
 		r.Ingest(t.records)
 		Expect(r.Cold()).To(BeFalse())
-		Expect(hashOf(r.State())).To(Equal(hashOf(t.state)))
+		Expect(encodedState(r.State())).To(Equal(encodedState(t.state)))
 	})
 
-	// A process was paused for longer than records are kept, and the peer it
-	// asks is older than itself. A generation in force must not revert.
-	It("never takes an older state", func() {
-		t := written()
+	// A process was paused for longer than records are kept, and the state of
+	// the peer it asks is older than its own. The manifest generation in force
+	// must not be reverted.
+	It("refuses to install an older state", func() {
+		t := newLogWithSnapshot()
 		r := fleetlog.NewReplica()
 		r.Ingest(t.records)
-		old := newTrace()
-		old.claim("p1")
+		old := newMemoryLog()
+		old.claimLease("p1")
 		Expect(r.Install(old.state)).To(BeFalse())
 		Expect(r.State().Manifest.Generation).To(Equal(uint64(1)))
 	})
 
-	It("goes on from a later snapshot after the log was trimmed past it", func() {
-		t := written()
+	It("continues from a later snapshot after the log was trimmed past its state", func() {
+		t := newLogWithSnapshot()
 		r := fleetlog.NewReplica()
 		r.Ingest(t.records[:2])
 		r.Restart()
 		Expect(r.State().Manifest.Generation).To(Equal(uint64(1)))
 		r.Ingest(t.records[4:])
 		Expect(r.Cold()).To(BeFalse())
-		Expect(hashOf(r.State())).To(Equal(hashOf(t.state)))
+		Expect(encodedState(r.State())).To(Equal(encodedState(t.state)))
 	})
 })
--- a/internal/fleetlog/snapshot.go
+++ b/internal/fleetlog/snapshot.go
@@ -8,21 +8,21 @@
 	"cyclamenwheel/internal/platform"
 )
 
-// partBytes is the size of one snapshot part. It keeps a record well under
-// MaxRecordBytes and a log read short, however large the fleet.
+// partBytes is the size of one snapshot part. It keeps records well under
+// MaxRecordBytes and log reads short for any fleet size.
 const partBytes = 256 << 10
 
-// Mark announces a snapshot of the state at the mark's own offset. Every
-// process takes the hash of its own state there, so that a snapshot written
-// afterwards can be checked by all of them.
+// Mark announces a snapshot of the state at the mark's offset. Every process
+// records the hash of its state there and compares it with the snapshot that is
+// written afterwards.
 type Mark struct {
-	// Wanted is the offset that the writer had folded when it asked.
+	// Wanted is the offset that the writer had applied when it wrote the mark.
 	Wanted uint64 `cbor:"1,keyasint"`
 }
 
 // Part is one piece of a snapshot.
 type Part struct {
-	// Replaces is the mark's offset: a reader that loads the snapshot goes on
+	// Replaces is the mark's offset: a reader that loads the snapshot continues
 	// with the record after it.
 	Replaces uint64 `cbor:"1,keyasint"`
 	Index    int    `cbor:"2,keyasint"`
@@ -32,23 +32,23 @@
 	Data []byte   `cbor:"5,keyasint"`
 }
 
-// snapshotMark is the newest mark, as folded.
+// snapshotMark is the newest accepted mark.
 type snapshotMark struct {
 	Offset     uint64 `cbor:"1,keyasint" json:"offset"`
 	TimeMillis int64  `cbor:"2,keyasint" json:"time_ms"`
 	Author     string `cbor:"3,keyasint" json:"author"`
 }
 
-// markSpacing is the least number of records between marks; a mark costs every
-// process one encoding of its state.
-const markSpacing = 16
+// minMarkSpacing is the minimum number of records between marks; each mark makes
+// every process encode its state once.
+const minMarkSpacing = 16
 
-// ReasonTooSoon marks a mark that follows another too closely: several
-// processes found at once that a snapshot is due.
+// ReasonTooSoon rejects a mark that follows another too closely, as happens when
+// several processes find at the same time that a snapshot is due.
 const ReasonTooSoon fold.Reason = "too_soon"
 
 func (s *State) applyMark(m fold.Meta, b Mark) fold.Verdict {
-	if s.Snapshot.Offset != 0 && m.Offset < s.Snapshot.Offset+markSpacing {
+	if s.Snapshot.Offset != 0 && m.Offset < s.Snapshot.Offset+minMarkSpacing {
 		return fold.Reject(ReasonTooSoon, "by "+s.Snapshot.Author)
 	}
 	if b.Wanted < s.Snapshot.Offset {
@@ -58,7 +58,7 @@
 	return fold.Accept()
 }
 
-// Encode returns the whole state. Equal states give equal bytes.
+// Encode returns the encoded state. Equal states have equal encodings.
 func (s *State) Encode() ([]byte, error) {
 	data, err := encMode.Marshal(s)
 	if err != nil {
@@ -67,11 +67,11 @@
 	return data, nil
 }
 
-// maxStateElements bounds arrays and maps of a snapshot: claims of a day are
-// the longest.
+// maxStateElements bounds arrays and maps of a snapshot. The largest ones hold
+// the key claims of a day.
 const maxStateElements = 1 << 24
 
-// DecodeState reads what Encode wrote.
+// DecodeState decodes a state encoded by State.Encode.
 func DecodeState(data []byte) (*State, error) {
 	s := NewState()
 	if err := stateDecMode.Unmarshal(data, s); err != nil {
@@ -86,61 +86,61 @@
 	return s, nil
 }
 
-// Split cuts an encoded state into parts.
-func Split(encoded []byte, replaces uint64) []Part {
+// Split divides an encoded state into snapshot parts.
+func Split(encoded []byte, markOffset uint64) []Part {
 	hash := sha256.Sum256(encoded)
 	count := max(1, (len(encoded)+partBytes-1)/partBytes)
 	parts := make([]Part, 0, count)
 	for i := range count {
 		end := min(len(encoded), (i+1)*partBytes)
 		parts = append(parts, Part{
-			Replaces: replaces, Index: i, Count: count, Hash: hash, Data: encoded[i*partBytes : end],
+			Replaces: markOffset, Index: i, Count: count, Hash: hash, Data: encoded[i*partBytes : end],
 		})
 	}
 	return parts
 }
 
-// assembly collects the parts of one snapshot, in whatever order.
+// assembly collects the parts of one snapshot, in any order.
 type assembly struct {
-	hash  [32]byte
-	parts [][]byte
-	have  int
+	hash     [32]byte
+	parts    [][]byte
+	received int
 }
 
-// assembler finds complete snapshots among records.
+// assembler assembles snapshots from parts found among records.
 type assembler struct {
-	open map[uint64]*assembly
+	incomplete map[uint64]*assembly
 }
 
-// add takes a part and returns the state once its snapshot is complete and its
-// hash is right.
+// add adds a part and returns the state if its snapshot is now complete and the
+// hash matches.
 func (a *assembler) add(p Part) *State {
 	if p.Count <= 0 || p.Count > maxParts || p.Index < 0 || p.Index >= p.Count {
 		return nil
 	}
-	if a.open == nil {
-		a.open = make(map[uint64]*assembly)
+	if a.incomplete == nil {
+		a.incomplete = make(map[uint64]*assembly)
 	}
-	as, ok := a.open[p.Replaces]
+	as, ok := a.incomplete[p.Replaces]
 	if !ok || as.hash != p.Hash || len(as.parts) != p.Count {
 		as = &assembly{hash: p.Hash, parts: make([][]byte, p.Count)}
-		a.open[p.Replaces] = as
+		a.incomplete[p.Replaces] = as
 	}
 	if as.parts[p.Index] == nil {
 		as.parts[p.Index] = p.Data
-		as.have++
+		as.received++
 	}
-	if as.have < p.Count {
+	if as.received < p.Count {
 		return nil
 	}
-	delete(a.open, p.Replaces)
-	return as.state(p.Replaces)
+	delete(a.incomplete, p.Replaces)
+	return as.decode(p.Replaces)
 }
 
-// maxParts bounds a snapshot to 256 MiB.
+// maxParts limits a snapshot to 256 MiB.
 const maxParts = 1024
 
-func (as *assembly) state(replaces uint64) *State {
+func (as *assembly) decode(markOffset uint64) *State {
 	var all []byte
 	for _, p := range as.parts {
 		all = append(all, p...)
@@ -149,13 +149,13 @@
 		return nil
 	}
 	st, err := DecodeState(all)
-	if err != nil || st.Offset != replaces {
+	if err != nil || st.Offset != markOffset {
 		return nil
 	}
 	return st
 }
 
-// decodePart returns the part that a log record carries, if it is one.
+// decodePart returns the snapshot part in a log record, if it contains one.
 func decodePart(entry platform.LogRecord) (Part, bool) {
 	rec, err := DecodeRecord(entry.Data)
 	if err != nil || rec.Kind != KindPart {
--- a/internal/fleetlog/state.go
+++ b/internal/fleetlog/state.go
@@ -9,16 +9,16 @@
 	"cyclamenwheel/internal/pools"
 )
 
-// dedupeWindow is how many offsets back a repeated append is recognised by its
-// id. A writer gives a record up long before several hundred appends a second
-// have filled the window (8192 records are about 20 s of the log at its
-// ceiling); a repetition later than that is refused by the rule of its kind,
-// since what it was based on has passed.
+// dedupeWindow is the number of offsets within which a repeated append is
+// detected by its record id. 8192 records are about 20 s at the log's maximum of
+// several hundred appends per second, and writers stop retrying long before
+// that. A later repetition is rejected by the rules of its kind, since the state
+// that it was based on has changed.
 const dedupeWindow = 8192
 
-// State is everything that the fold knows. It belongs to one goroutine.
+// State is the complete folded state. It belongs to one goroutine.
 type State struct {
-	// Offset is the newest record folded, TimeMillis its append time.
+	// Offset is the newest record applied; TimeMillis is the newest append time.
 	Offset     uint64           `cbor:"1,keyasint" json:"offset"`
 	TimeMillis int64            `cbor:"2,keyasint" json:"time_ms"`
 	Manifest   manifest.State   `cbor:"3,keyasint" json:"manifest"`
@@ -26,9 +26,9 @@
 	Members    membership.State `cbor:"5,keyasint" json:"members"`
 	Pools      pools.State      `cbor:"6,keyasint" json:"pools"`
 	Tasks      placement.State  `cbor:"7,keyasint" json:"tasks"`
-	// Keys are the idempotency keys, Guard what tells where some were lost.
+	// Keys holds the idempotency keys; Guard detects which may have been lost.
 	Keys     *idempotency.State `cbor:"8,keyasint" json:"-"`
-	Guard    keyGuard           `cbor:"12,keyasint" json:"key_guard"`
+	Guard    lossTracker        `cbor:"12,keyasint" json:"key_guard"`
 	Recent   recentIDs          `cbor:"9,keyasint" json:"-"`
 	Snapshot snapshotMark       `cbor:"10,keyasint" json:"snapshot"`
 	Counts   map[string]uint64  `cbor:"11,keyasint" json:"verdicts"`
@@ -37,8 +37,8 @@
 // NewState returns the state before the first record.
 func NewState() *State { return &State{Counts: make(map[string]uint64), Keys: idempotency.NewState()} }
 
-// recentIDs remembers the ids of the newest records. Order holds them oldest
-// first with their offsets.
+// recentIDs holds the ids of the newest records. Order lists them with their
+// offsets, oldest first.
 type recentIDs struct {
 	Order []recentID `cbor:"1,keyasint"`
 
@@ -50,7 +50,7 @@
 	Offset uint64 `cbor:"2,keyasint"`
 }
 
-// add reports whether id is new, and remembers it.
+// add reports whether id is new, and records it if so.
 func (r *recentIDs) add(id ID, offset uint64) bool {
 	if r.index == nil {
 		r.index = make(map[ID]struct{}, len(r.Order))
--- a/internal/fleetlog/tail.go
+++ b/internal/fleetlog/tail.go
@@ -10,29 +10,29 @@
 	"cyclamenwheel/internal/platform"
 )
 
-// Limits of a read of the log.
+// Limits of reads of the log.
 const (
-	readMax  = 512
-	readWait = 5 * time.Second
-	// readRetryMax bounds the pause after a failed read: it is the time by
-	// which a process may notice late that the log is back.
-	readRetryMax = 500 * time.Millisecond
+	maxReadRecords = 512
+	longPollWait   = 5 * time.Second
+	// maxReadRetryDelay bounds the delay after a failed read, and thereby how
+	// late a process notices that the log is available again.
+	maxReadRetryDelay = 500 * time.Millisecond
 )
 
-// Page is what the tail hands to the control loop.
+// Page is the result of one read, which the tail delivers to the control loop.
 type Page struct {
 	Records []platform.LogRecord
-	// Head is the newest offset in the log when it was read.
+	// Head is the newest offset in the log at the time of the read.
 	Head uint64
-	// Trimmed is set where the records wanted are no longer kept; Records then
-	// start at the oldest kept.
+	// Trimmed is set if the records to read next have been trimmed; Records then
+	// start at the oldest record kept.
 	Trimmed bool
-	// Err is set where the read failed.
+	// Err is set if the read failed.
 	Err error
 }
 
-// Tail follows the log for one process: one long poll at a time, so that a
-// process costs the log service one open request.
+// Tail reads new records of the log for one process. It has one long poll in
+// flight at a time, so that a process costs the log service one open request.
 type Tail struct {
 	log  platform.Log
 	next atomic.Uint64
@@ -45,8 +45,8 @@
 	return t
 }
 
-// Advance tells the tail that records before next are known already, by way of
-// a peer or a snapshot.
+// Advance makes the tail skip the records before next, which the process has
+// received from a peer or as part of a snapshot.
 func (t *Tail) Advance(next uint64) {
 	for {
 		cur := t.next.Load()
@@ -58,32 +58,33 @@
 
 // Run delivers pages until ctx ends.
 func (t *Tail) Run(ctx context.Context, deliver func(Page)) {
-	pause := appendRetryMin
+	retryDelay := minAppendRetryDelay
 	trimmed := false
-	// The first read does not wait: on an empty log it would be readWait before
-	// a starting process knows that there is nothing to fold.
+	// The first read does not wait: on an empty log, a starting process would
+	// otherwise find out only after longPollWait that there are no records.
 	wait := time.Duration(0)
 	for ctx.Err() == nil {
 		from := t.next.Load()
-		page, err := t.log.Read(ctx, from, readMax, wait)
-		var gone *platform.TrimmedError
+		page, err := t.log.Read(ctx, from, maxReadRecords, wait)
+		var trimmedErr *platform.TrimmedError
 		switch {
-		case errors.As(err, &gone):
+		case errors.As(err, &trimmedErr):
 			trimmed = true
-			t.Advance(gone.First)
+			t.Advance(trimmedErr.First)
 			continue
 		case err != nil:
 			deliver(Page{Err: err})
-			sleepJittered(ctx, pause)
-			pause = min(2*pause, readRetryMax)
+			sleepJittered(ctx, retryDelay)
+			retryDelay = min(2*retryDelay, maxReadRetryDelay)
 			continue
 		}
-		pause, wait = appendRetryMin, readWait
+		retryDelay, wait = minAppendRetryDelay, longPollWait
 		if n := len(page.Records); n > 0 {
 			t.Advance(page.Records[n-1].Offset + 1)
 		}
 		deliver(Page{Records: page.Records, Head: page.Head, Trimmed: trimmed})
-		// A page without records does not show the gap yet.
+		// Trimmed stays set until it is delivered with the first records after
+		// the gap.
 		trimmed = trimmed && len(page.Records) == 0
 	}
 }
--- a/internal/fleetlog/tail_test.go
+++ b/internal/fleetlog/tail_test.go
@@ -10,8 +10,7 @@
 	"cyclamenwheel/internal/platform"
 )
 
-// emptyLog keeps reads waiting for as long as they ask, as a log without new
-// records does.
+// emptyLog is a log without records: every read waits for its full wait time.
 type emptyLog struct{ platform.Log }
 
 func (emptyLog) Read(ctx context.Context, from uint64, _ int, wait time.Duration) (platform.LogPage, error) {
@@ -22,11 +21,10 @@
 	return platform.LogPage{First: 1, Head: 0}, ctx.Err()
 }
 
-// A process starts on a log that holds nothing yet. It may join once it knows
-// the head; were its first read to wait for a record, it would learn that the
-// log is empty only at the end of the wait, and a new deployment would stand
-// still for so long.
-func TestTailTellsTheHeadOfAnEmptyLogAtOnce(t *testing.T) {
+// A process starts on an empty log and can join only when it has received the
+// head. If its first read waited for a record, a new deployment would be delayed
+// by a full long poll.
+func TestTailReportsHeadOfEmptyLogWithoutWaiting(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
@@ -44,8 +42,8 @@
 	})
 }
 
-// trimmedLog has trimmed everything that it held; the next record comes only
-// after a read has waited in vain.
+// trimmedLog has trimmed all of its records; the next record arrives only after
+// a read has returned an empty page.
 type trimmedLog struct {
 	platform.Log
 	reads int
@@ -63,10 +61,10 @@
 	return platform.LogPage{Records: []platform.LogRecord{{Offset: first}}, First: first, Head: first}, nil
 }
 
-// A process wakes after its records have been trimmed, at a moment when the
-// log holds none at all. It must still learn that there is a gap when the next
-// record comes; otherwise it waits for ever for the records before that one.
-func TestTailTellsOfTrimmedRecordsWithTheNextOne(t *testing.T) {
+// A process resumes after its next records have been trimmed, while the log
+// holds no records at all. The gap must be reported with the next record;
+// otherwise the process waits forever for the records before that one.
+func TestTailReportsTrimmedRecordsWithNextRecord(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	fleetlog.NewTail(&trimmedLog{}).Run(ctx, func(p fleetlog.Page) {
@@ -74,7 +72,7 @@
 			return
 		}
 		if !p.Trimmed {
-			t.Error("the first record after the gap does not tell of it")
+			t.Error("the page with the first record after the gap is not marked as trimmed")
 		}
 		cancel()
 	})
--- a/internal/fleetlog/writer.go
+++ b/internal/fleetlog/writer.go
@@ -10,24 +10,24 @@
 	"cyclamenwheel/internal/platform"
 )
 
-// Retry timing of appends. A lost answer is followed by the same record again:
-// its id makes the repetition harmless, and waiting longer than a second would
-// show in the roll-out time.
+// Backoff between appends of a record. After a lost response the same record is
+// appended again, which is harmless because of its id. Delays above one second
+// would noticeably lengthen rollouts.
 const (
-	appendRetryMin = 20 * time.Millisecond
-	appendRetryMax = time.Second
+	minAppendRetryDelay = 20 * time.Millisecond
+	maxAppendRetryDelay = time.Second
 )
 
-// AppendUntil appends rec until the log has it for certain or ctx ends. Every
-// try carries the same record id, so the fold takes the first and passes over
-// the others. uncertain tells, with an error, whether some try may have
-// reached the log.
+// AppendUntil retries the append of rec until it is confirmed or rejected, or
+// ctx ends. Every attempt carries the same record id, so the fold applies the
+// first and skips the others. If err is not nil, uncertain reports whether some
+// attempt may have reached the log.
 func AppendUntil(ctx context.Context, log platform.Log, rec Record) (uncertain bool, err error) {
 	data, err := rec.Encode()
 	if err != nil {
 		return false, err
 	}
-	pause := appendRetryMin
+	retryDelay := minAppendRetryDelay
 	for {
 		_, err = log.Append(ctx, data)
 		if err == nil {
@@ -39,15 +39,16 @@
 		if errors.As(err, &rejected) {
 			return uncertain, err
 		}
-		if !sleepJittered(ctx, pause) {
+		if !sleepJittered(ctx, retryDelay) {
 			return uncertain, errors.Wrapf(err, "append %s", rec.Kind)
 		}
-		pause = min(2*pause, appendRetryMax)
+		retryDelay = min(2*retryDelay, maxAppendRetryDelay)
 	}
 }
 
-// sleepJittered waits up to d (full jitter, so that processes that lost the
-// log together do not come back together); false when ctx ended first.
+// sleepJittered waits for a random time up to d; it returns false if ctx ended
+// first. Full jitter keeps processes that lost the log at the same time from
+// retrying at the same time.
 func sleepJittered(ctx context.Context, d time.Duration) bool {
 	t := time.NewTimer(rand.N(d) + time.Millisecond)
 	defer t.Stop()
