--- a/internal/fold/fold.go
+++ b/internal/fold/fold.go
@@ -1,64 +1,67 @@
-// Package fold holds the few types that every part of the fold shares: where a
-// record stands in the log, and the verdict on it.
+// Package fold defines the types shared by all parts of the fold, which applies
+// the records of the log to the replicated state: a record's metadata, and the
+// verdict whether it took effect. Each part of the state (manifest, lease,
+// members, pools, tasks, idempotency keys) gets a Meta with a record's body and
+// returns a Verdict. Package fleetlog calls them, for each record in log order.
 //
-// The fold is deterministic. Given the same records in the same order, every
-// process reaches the same state and the same verdicts, so the rule of an
-// invariant lives here and not in whoever wrote the record.
+// The fold is deterministic: given the same records in the same order, every
+// process reaches the same state and the same verdicts. Invariants are therefore
+// enforced by the fold and not by the writers of records.
 package fold
 
 // Reason is the machine-readable cause of a verdict. Values are stable: they
 // appear in dumps, in explain and in metrics.
 type Reason string
 
-// Reasons that more than one part of the fold gives. Each part adds its own.
+// Reasons used by more than one part of the fold. Each part adds its own.
 const (
 	// ReasonOK marks an accepted record.
 	ReasonOK Reason = "ok"
-	// ReasonDuplicate marks a record whose id has been folded already: an
-	// append whose answer was lost and that was therefore sent again.
+	// ReasonDuplicate marks a record whose id has been applied already: the
+	// response to an append was lost and the writer retried.
 	ReasonDuplicate Reason = "duplicate"
-	// ReasonStaleEpoch marks a planner record of an epoch that is not the
-	// current one: its author was paused past its lease.
+	// ReasonStaleEpoch marks a planner record whose epoch is not the current
+	// one: its author was paused until its lease expired.
 	ReasonStaleEpoch Reason = "stale_epoch"
-	// ReasonMalformed marks a record that does not decode.
+	// ReasonMalformed marks a record that can't be decoded.
 	ReasonMalformed Reason = "malformed"
-	// ReasonUnknownInstance marks a record about an instance that the fold
-	// does not know.
+	// ReasonUnknownInstance marks a record about an instance that is not in the
+	// folded state.
 	ReasonUnknownInstance Reason = "unknown_instance"
-	// ReasonWrongPhase marks a record that the present phase of its subject
-	// does not allow, such as a commit of a move that never began.
+	// ReasonWrongPhase marks a record that the current phase of its instance
+	// does not allow, such as a commit of a move that has not begun.
 	ReasonWrongPhase Reason = "wrong_phase"
-	// ReasonOverBudget marks a drain or move that would leave a service with
-	// less than its availability budget.
+	// ReasonOverBudget marks a drain or move that would take a service below its
+	// availability budget.
 	ReasonOverBudget Reason = "over_budget"
 )
 
-// Verdict is what the fold says of one record.
+// Verdict is the result of applying a record.
 type Verdict struct {
 	Accepted bool   `json:"accepted"`
 	Reason   Reason `json:"reason"`
-	// Detail is for people; nothing is decided by it.
+	// Detail is for display only; no decision depends on it.
 	Detail string `json:"detail,omitempty"`
 }
 
-// Accept is the verdict on a record that took effect.
+// Accept returns the verdict for a record that took effect.
 func Accept() Verdict { return Verdict{Accepted: true, Reason: ReasonOK} }
 
-// Reject is the verdict on a record that changed nothing.
+// Reject returns the verdict for a record that was not applied.
 func Reject(reason Reason, detail string) Verdict {
 	return Verdict{Reason: reason, Detail: detail}
 }
 
-// Meta tells where a record stands and who wrote it.
+// Meta holds a record's position in the log and its author.
 type Meta struct {
-	// Offset is the record's place in the log.
+	// Offset is the record's position in the log.
 	Offset uint64
-	// TimeMillis is the log service's own append time in Unix milliseconds. It
-	// is part of the log, hence the same for every reader; the fold reads no
-	// other clock.
+	// TimeMillis is the append time set by the log service, in Unix milliseconds.
+	// It is part of the log and hence the same for every reader; the fold reads
+	// no other clock.
 	TimeMillis int64
 	// Author is the id of the process that wrote the record.
 	Author string
-	// Epoch is the planner epoch the author wrote under; 0 for others.
+	// Epoch is the epoch of the author's planner lease, 0 for other authors.
 	Epoch uint64
 }
