--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -1,6 +1,9 @@
-// Package entry is the control side of cyclamen-entry: it turns the fold, the
-// instance list and the shares of slots into the route table that traffic
-// reads, and tells peers what it has let go of.
+// Package entry is the control side of cyclamen-entry: it decides which
+// endpoints its traffic path may use, and with how many slots each. Its input is
+// the folded state, the instance list, and the slot shares that other entries
+// send in heartbeats; its output is the route table, its own shares, and the
+// offset that it acknowledges. Package daemon creates an Entry, whose hooks the
+// node calls in its control goroutine.
 package entry
 
 import (
@@ -20,34 +23,34 @@
 	"cyclamenwheel/internal/slots"
 )
 
-// Traffic is what the control side needs of the traffic path.
+// Traffic is the part of the traffic path that the control side uses.
 type Traffic interface {
-	// InFlight counts this entry's requests in flight to an instance. Once it
-	// has returned, every later pick uses the newest route table.
+	// InFlight counts this entry's requests in flight to an instance. After it
+	// returns, endpoints are chosen from the newest route table only.
 	InFlight(instance string) int
-	// InFlightAll is InFlight of every instance that has any.
+	// InFlightAll returns InFlight for each instance with requests in flight.
 	InFlightAll() map[string]int
-	// Demand is the most requests in flight or waiting for a pool at a time
-	// since the last call.
+	// Demand returns the maximum number of concurrent requests for a pool, in
+	// flight or waiting, since the last call.
 	Demand(pool string) int
-	// Active counts callers' requests under way.
+	// Active counts callers' requests in progress.
 	Active() int
-	// RoutesChanged has waiting requests look at the newest table.
+	// RoutesChanged makes waiting requests check the newest route table.
 	RoutesChanged()
 }
 
-// Claims is what the control side needs of the idempotency keys.
+// Claims is the part of the idempotency keys that the control side uses.
 type Claims interface {
-	// OnApplied is told of every folded record, in order.
+	// OnApplied receives every applied record, in order.
 	OnApplied(batch []fleetlog.Applied)
-	// AllAcked is told that all entries have acknowledged the newest members.
+	// AllAcked is called when all entries have acknowledged the newest members.
 	AllAcked()
-	// AckLimit bounds what may be acknowledged of the offsets up to offset.
+	// AckLimit returns the highest offset, at most offset, that may be
+	// acknowledged.
 	AckLimit(offset uint64) uint64
 }
 
-// encMode sorts maps, so that the receiver can tell by the bytes whether
-// anything is new.
+// encMode sorts maps, so that receivers can detect a change by comparing bytes.
 var encMode = mustEncMode()
 
 func mustEncMode() cbor.EncMode {
@@ -67,62 +70,64 @@
 	log     *slog.Logger
 	table   atomic.Pointer[dispatch.RouteTable]
 
-	limits    map[string]int // requests that may be in flight, by instance
+	limits    map[string]int // maximum requests in flight, by instance
 	lastRound time.Duration
-	// byPool are the serving instances as of the last round.
+	// byPool holds the serving instances as of the last round.
 	byPool map[string][]*pools.Instance
-	// shares holds each entry's last word on slots, as it came.
-	shares map[string][]byte
-	// settled: the last round found no demand and changed nothing, and nothing
-	// has come in since that could make the next one differ.
-	settled bool
-
-	wasMember   bool
-	members     uint64 // membership version given to the sharer
-	ackedByAll  uint64
-	poolVersion uint64
-	generation  uint64
-	dirty       bool
-	leaving     []string // instances that get no new work
-	busy        []string // those of them with requests in flight from here
-	ready       func() []string
-}
-
-// New returns the control side of the entry that node runs.
+	// receivedShares holds the newest encoded slot shares from each entry.
+	receivedShares map[string][]byte
+	// idle is set if the last round found no demand and changed nothing, and no
+	// different shares have arrived since.
+	idle bool
+
+	wasMember           bool
+	membersVersion      uint64 // membership version set in the sharer
+	ackedMembersVersion uint64 // membership version that all entries have acknowledged
+	poolVersion         uint64
+	generation          uint64
+	dirty               bool
+	notServing          []string        // instances that get no new requests
+	busyNotServing      []string        // those with requests from this entry in flight
+	notReady            func() []string // reasons why the process is not ready
+}
+
+// New returns the control side of the entry that runs as node n.
 func New(n *node.Node, log *slog.Logger) *Entry {
 	return &Entry{
 		node: n, log: log, sharer: slots.NewSharer(sharerName(n.Self())),
-		shares: make(map[string][]byte),
+		receivedShares: make(map[string][]byte),
 	}
 }
 
-// sharerName is unique to a start of an entry: a restarted one does not know
-// what its predecessor had lent.
+// sharerName returns a name that is unique to one start of an entry, because a
+// restarted entry doesn't have the slot loans of its previous start.
 func sharerName(m membership.Member) string { return m.ID + "@" + m.BootID }
 
-// roundEvery is how often slots are divided anew while nothing changes. A
-// burst that one entry meets reaches the slots of the others within this and
-// one heartbeat; more often costs processor time in every entry.
-const roundEvery = 100 * time.Millisecond
+// roundInterval is the interval at which slots are divided again while nothing
+// else changes. An entry with a burst of requests gets slots of other entries
+// within this interval plus one heartbeat; a shorter interval costs CPU time in
+// every entry.
+const roundInterval = 100 * time.Millisecond
 
-// Attach joins the traffic path; before Run.
-func (e *Entry) Attach(t Traffic, c Claims, ready func() []string) {
-	e.traffic, e.claims, e.ready = t, c, ready
+// Attach sets the traffic path, the key claims and the readiness check. It must
+// be called before the node runs.
+func (e *Entry) Attach(t Traffic, c Claims, notReady func() []string) {
+	e.traffic, e.claims, e.notReady = t, c, notReady
 }
 
-// Routes returns the table in force, nil while there is none. Any goroutine
-// may call it.
+// Routes returns the current route table, or nil if there is none yet. Any
+// goroutine may call it.
 func (e *Entry) Routes() *dispatch.RouteTable { return e.table.Load() }
 
-// Applied implements node.Hooks. The new table is in place when it returns, so
-// that the offset acknowledged afterwards is true.
+// Applied implements node.Hooks. The new route table is in use when it returns,
+// so the offset may be acknowledged afterwards.
 func (e *Entry) Applied(batch []fleetlog.Applied) {
 	st := e.node.State()
 	e.claims.OnApplied(batch)
-	if st.Members.Version != e.members {
-		e.members = st.Members.Version
+	if st.Members.Version != e.membersVersion {
+		e.membersVersion = st.Members.Version
 		entries := st.Members.WithRole(membership.RoleEntry)
-		e.sharer.SetMembers(e.members, names(entries))
+		e.sharer.SetMembers(e.membersVersion, sharerNames(entries))
 		e.dirty = true
 	}
 	if st.Pools.Version != e.poolVersion || st.Manifest.Generation != e.generation {
@@ -134,7 +139,7 @@
 	}
 }
 
-func names(members []membership.Member) []string {
+func sharerNames(members []membership.Member) []string {
 	out := make([]string, len(members))
 	for i, m := range members {
 		out[i] = sharerName(m)
@@ -143,7 +148,7 @@
 }
 
 // ListChanged implements node.Hooks: an instance listed as leaving gets no new
-// work, whether or not the planner has recorded it yet.
+// requests, even if the planner has not recorded that yet.
 func (e *Entry) ListChanged() {
 	e.dirty = true
 	e.round()
@@ -151,63 +156,64 @@
 
 // Tick implements node.Hooks.
 func (e *Entry) Tick() {
-	e.noteAcks()
-	e.noteBusy()
-	if e.dirty || e.node.Now()-e.lastRound >= roundEvery && !e.atRest() {
+	e.updateAcks()
+	e.updateBusy()
+	if e.dirty || e.node.Now()-e.lastRound >= roundInterval && !e.canSkipRound() {
 		e.round()
 	}
 }
 
-// atRest reports whether a round would find what the last one found. With
-// 4,000 instances, rounds for nothing took a third of a core of each entry.
-func (e *Entry) atRest() bool { return e.settled && e.traffic.Active() == 0 }
+// canSkipRound reports whether a round would have the same result as the last
+// one. With 4,000 instances, redundant rounds used a third of a core in each
+// entry.
+func (e *Entry) canSkipRound() bool { return e.idle && e.traffic.Active() == 0 }
 
-// noteBusy finds the leaving instances that still have requests in flight from
-// here. A handover waits for the last of them, so the others hear soon when
-// one has ended.
-func (e *Entry) noteBusy() {
-	if len(e.leaving) == 0 && len(e.busy) == 0 {
+// updateBusy finds the instances that get no new requests but have requests from
+// this entry in flight. Handovers wait until there are none, so peers are sent a
+// heartbeat immediately when an instance has become free.
+func (e *Entry) updateBusy() {
+	if len(e.notServing) == 0 && len(e.busyNotServing) == 0 {
 		return
 	}
-	var busy []string
+	var busyNotServing []string
 	inFlight := e.traffic.InFlightAll()
-	for _, id := range e.leaving {
+	for _, id := range e.notServing {
 		if inFlight[id] > 0 {
-			busy = append(busy, id)
+			busyNotServing = append(busyNotServing, id)
 		}
 	}
-	if len(busy) < len(e.busy) {
+	if len(busyNotServing) < len(e.busyNotServing) {
 		e.node.RequestHeartbeat()
 	}
-	e.busy = busy
+	e.busyNotServing = busyNotServing
 }
 
-// noteAcks tells the sharer once all entries have acted on the present
-// members: only then may static shares grow.
-func (e *Entry) noteAcks() {
-	if e.ackedByAll == e.members || e.members == 0 {
+// updateAcks informs the sharer and the claims when all entries have
+// acknowledged the current members; static shares may grow only after that.
+func (e *Entry) updateAcks() {
+	if e.ackedMembersVersion == e.membersVersion || e.membersVersion == 0 {
 		return
 	}
-	st, heard := e.node.State(), e.node.PeerReports()
+	st, reports := e.node.State(), e.node.PeerReports()
 	for _, m := range st.Members.WithRole(membership.RoleEntry) {
 		if m.ID == e.node.Self().ID {
 			continue
 		}
-		h := heard[m.ID]
-		if h == nil || h.Identity.BootID != m.BootID || h.Heartbeat.Acked < e.members {
+		report := reports[m.ID]
+		if report == nil || report.Identity.BootID != m.BootID || report.Heartbeat.Acked < e.membersVersion {
 			return
 		}
 	}
-	e.ackedByAll = e.members
-	e.sharer.SetAllAcked(e.members)
+	e.ackedMembersVersion = e.membersVersion
+	e.sharer.SetAllAcked(e.membersVersion)
 	e.claims.AllAcked()
 	e.dirty = true
 }
 
 // Beat implements node.Hooks.
 func (e *Entry) Beat(to string, hb *node.Heartbeat) {
-	hb.Ready = len(e.ready()) == 0
-	hb.Busy = e.busy
+	hb.Ready = len(e.notReady()) == 0
+	hb.Busy = e.busyNotServing
 	if !e.isEntry(to) {
 		return
 	}
@@ -223,30 +229,30 @@
 
 // Heard implements node.Hooks.
 func (e *Entry) Heard(from peer.Identity, hb node.Heartbeat) {
-	if len(hb.Shares) == 0 || !e.isEntry(from.ID) || bytes.Equal(hb.Shares, e.shares[from.ID]) {
+	if len(hb.Shares) == 0 || !e.isEntry(from.ID) || bytes.Equal(hb.Shares, e.receivedShares[from.ID]) {
 		return
 	}
-	e.shares[from.ID], e.settled = hb.Shares, false
+	e.receivedShares[from.ID], e.idle = hb.Shares, false
 	var share slots.PeerShare
 	if err := cbor.Unmarshal(hb.Shares, &share); err != nil {
-		e.log.Warn("shares not understood", "peer", from.ID, "error", err.Error())
+		e.log.Warn("cannot decode slot shares from peer", "peer", from.ID, "error", err.Error())
 		return
 	}
 	e.sharer.OnPeer(from.ID+"@"+from.BootID, share)
 }
 
-// MayJoin implements node.Hooks. An entry that was taken off the members while
-// it was away has requests that no handover waits for any more; it joins again
-// only once they have ended.
+// MayJoin implements node.Hooks. Handovers don't wait for requests of an entry
+// that was removed from the members while it was unreachable, so it rejoins only
+// after these requests have ended.
 func (e *Entry) MayJoin() bool { return !e.wasMember || e.traffic.Active() == 0 }
 
 // AckLimit implements node.Hooks. A change of the members is acknowledged only
-// once the use of slots has shrunk to what the new members allow, since the
-// others grow into the rest as soon as all have acknowledged.
+// after this entry's slot usage has shrunk to its share among the new members,
+// since other entries use the remaining slots as soon as all have acknowledged.
 func (e *Entry) AckLimit() uint64 {
 	limit := e.claims.AckLimit(e.node.State().Offset)
-	if e.members != e.ackedByAll && e.node.Joined() && !e.sharer.Settled() {
-		limit = min(limit, e.members-1)
+	if e.membersVersion != e.ackedMembersVersion && e.node.Joined() && !e.sharer.Settled() {
+		limit = min(limit, e.membersVersion-1)
 	}
 	return limit
 }
--- a/internal/entry/keys.go
+++ b/internal/entry/keys.go
@@ -12,32 +12,34 @@
 	"cyclamenwheel/internal/platform"
 )
 
-// Keys joins the idempotency service to the fold: it journals the service's
-// records in the log, tells it in log order what was folded and who owns keys,
-// and holds acknowledgements back while claims are still to be journalled.
+// Keys connects the idempotency service to the log. It appends the service's
+// records, reports applied records and changes of key ownership to the service
+// in log order, and delays acknowledgements while claims held for a lost entry
+// are not yet in the log.
 type Keys struct {
 	node    *node.Node
 	log     platform.Log
 	service *idempotency.Service
 	state   atomic.Pointer[idempotency.State]
 
-	mu    sync.Mutex
-	names map[fleetlog.ID]string // records on their way, by id
+	mu          sync.Mutex
+	recordNames map[fleetlog.ID]string // names of records not yet applied, by id
 
-	// members are the entries that own keys for certain, pending those to come.
+	// members are the entries that own keys; pending are those that will own
+	// them after all entries have acknowledged a change, nil if there is none.
 	members, pending []idempotency.Member
-	lostAt           uint64 // offset of the newest loss of an entry
+	lastLossOffset   uint64 // offset of the newest loss of an entry
 }
 
-// NewKeys returns an adapter; the service that uses it as table and journal is
-// given with Attach.
+// NewKeys returns an adapter. The service that uses it as table and journal must
+// be set with Attach.
 func NewKeys(n *node.Node, log platform.Log) *Keys {
-	k := &Keys{node: n, log: log, names: make(map[fleetlog.ID]string)}
+	k := &Keys{node: n, log: log, recordNames: make(map[fleetlog.ID]string)}
 	k.state.Store(idempotency.NewState())
 	return k
 }
 
-// Attach sets the service; before the node runs.
+// Attach sets the service. It must be called before the node runs.
 func (k *Keys) Attach(s *idempotency.Service) { k.service = s }
 
 // Lookup implements idempotency.Table.
@@ -48,8 +50,8 @@
 // Uncertain implements idempotency.Table.
 func (k *Keys) Uncertain(key idempotency.KeyHash) bool { return k.state.Load().Uncertain(key) }
 
-// Append implements idempotency.Journal: one try under a record id that is
-// derived from id, so that a repetition is folded once.
+// Append implements idempotency.Journal. It makes one attempt, with a record id
+// derived from id, so that repeated appends are applied once.
 func (k *Keys) Append(ctx context.Context, id, kind string, body any) error {
 	rec, err := fleetlog.NewRecord(fleetlog.Kind(kind), k.node.Self().ID, 0, body)
 	if err != nil {
@@ -57,7 +59,7 @@
 	}
 	rec.ID = fleetlog.NamedID(id)
 	k.mu.Lock()
-	k.names[rec.ID] = id
+	k.recordNames[rec.ID] = id
 	k.mu.Unlock()
 	data, err := rec.Encode()
 	if err != nil {
@@ -67,43 +69,43 @@
 	return err
 }
 
-// nameOf returns the name of an own record that was folded, once.
-func (k *Keys) nameOf(id fleetlog.ID) string {
+// takeRecordName removes and returns the name of a record that this process
+// appended.
+func (k *Keys) takeRecordName(id fleetlog.ID) string {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	name := k.names[id]
-	delete(k.names, id)
+	name := k.recordNames[id]
+	delete(k.recordNames, id)
 	return name
 }
 
-// OnApplied is told of folded records, in order; loop-only. The order matters:
-// the service must know of a change of the members before the verdicts that
-// follow it.
+// OnApplied implements Claims. It is called in the control goroutine. The service
+// must receive a change of the members before the verdicts that follow it.
 func (k *Keys) OnApplied(batch []fleetlog.Applied) {
 	st := k.node.State()
 	replaced := k.state.Swap(st.Keys) != st.Keys
 	if n := len(st.Guard.Losses); n > 0 {
-		k.lostAt = st.Guard.Losses[n-1].Offset
+		k.lastLossOffset = st.Guard.Losses[n-1].Offset
 	}
 	if replaced {
-		// The state was taken from a peer or a snapshot: the records before it
-		// were never told one by one.
-		k.change(st.Entries())
+		// The state was installed from a peer or a snapshot, so the records
+		// before it were not reported individually.
+		k.beginOwnerChange(st.Entries())
 		k.service.Resync()
 	}
 	for _, a := range batch {
 		if a.Entries != nil || a.Offset == st.Members.Version {
-			k.change(a.Entries)
+			k.beginOwnerChange(a.Entries)
 		}
-		k.tell(a)
+		k.reportVerdicts(a)
 	}
 }
 
-func (k *Keys) tell(a fleetlog.Applied) {
+func (k *Keys) reportVerdicts(a fleetlog.Applied) {
 	if a.Keys == nil {
 		return
 	}
-	name := k.nameOf(a.Record.ID)
+	name := k.takeRecordName(a.Record.ID)
 	if b := a.Keys.Claims; b != nil {
 		k.service.OnClaimsFolded(name, *b, a.Verdict, a.Keys.ClaimResults)
 	}
@@ -112,9 +114,9 @@
 	}
 }
 
-// change begins a change of the owners. A key whose owner differs has none
-// until all entries have acknowledged the change.
-func (k *Keys) change(entries []idempotency.Member) {
+// beginOwnerChange begins a change of the key owners. A key whose owner changes
+// has no owner until all entries have acknowledged the change.
+func (k *Keys) beginOwnerChange(entries []idempotency.Member) {
 	if slices.Equal(entries, k.members) && k.pending == nil {
 		return
 	}
@@ -125,7 +127,8 @@
 	k.service.SetView(idempotency.View{Members: k.members, Pending: k.pending})
 }
 
-// AllAcked ends a change of the owners; loop-only.
+// AllAcked implements Claims: it completes a change of the key owners. It is
+// called in the control goroutine.
 func (k *Keys) AllAcked() {
 	if k.pending == nil {
 		return
@@ -134,12 +137,12 @@
 	k.service.SetView(idempotency.View{Members: k.members})
 }
 
-// AckLimit implements Claims: while claims held for an entry that was lost are
-// not in the log, its loss is not acknowledged, since its successors would
-// take the log's word for all claims.
+// AckLimit implements Claims. The loss of an entry is not acknowledged while
+// claims held for it are not in the log, since the new owners of its keys rely
+// on the log to contain all claims.
 func (k *Keys) AckLimit(offset uint64) uint64 {
-	if k.lostAt > 0 && k.service.PendingWitness() > 0 {
-		return min(offset, k.lostAt-1)
+	if k.lastLossOffset > 0 && k.service.PendingWitness() > 0 {
+		return min(offset, k.lastLossOffset-1)
 	}
 	return offset
 }
--- a/internal/entry/round.go
+++ b/internal/entry/round.go
@@ -7,13 +7,13 @@
 	"cyclamenwheel/internal/manifest"
 )
 
-// round divides the slots and puts a new route table in force, in the order
-// that the sharer asks for: what is in flight is counted after the new limits
-// have reached traffic.
+// round divides the slots and publishes a new route table if anything changed.
+// As the sharer requires, requests in flight are counted after the traffic path
+// has received the new limits.
 func (e *Entry) round() {
 	e.lastRound = e.node.Now()
 	if !e.node.Joined() {
-		e.stepOut()
+		e.withdrawRoutes()
 		return
 	}
 	e.wasMember = true
@@ -23,18 +23,18 @@
 	}
 	if e.dirty {
 		e.byPool = e.servingByPool()
-		e.shareSlots(e.byPool)
+		e.updateSharerInstances(e.byPool)
 	}
-	demand := e.noteDemand(man)
+	demand := e.reportDemand(man)
 	limits := e.sharer.Publish()
 	changed := e.dirty || !maps.Equal(limits, e.limits)
-	e.settled = !changed && demand == 0
+	e.idle = !changed && demand == 0
 	if changed {
 		e.limits, e.dirty = limits, false
 		e.publishTable(man, e.byPool)
 		e.traffic.RoutesChanged()
-		e.noteBusy()              // before the record that took them out is acknowledged
-		e.node.RequestHeartbeat() // loans offered, called back or confirmed
+		e.updateBusy()            // before acknowledging the record that removed the instances
+		e.node.RequestHeartbeat() // slot loans offered, recalled or confirmed
 	}
 	inFlight := e.traffic.InFlightAll()
 	for id := range limits {
@@ -42,23 +42,23 @@
 	}
 }
 
-// noteDemand tells the sharer what each pool's callers want, and returns the
-// sum. More than this entry may use is told to the others soon: callers wait
-// for it.
-func (e *Entry) noteDemand(man *manifest.Manifest) (total int) {
+// reportDemand reports the demand for each pool to the sharer and returns the
+// sum. If demand exceeds this entry's slots, peers are sent a heartbeat
+// immediately, as callers are waiting.
+func (e *Entry) reportDemand(man *manifest.Manifest) (total int) {
 	for i := range man.Pools {
 		name := man.Pools[i].Name
 		demand := e.traffic.Demand(name)
 		total += demand
 		e.sharer.SetDemand(name, demand)
-		if table := e.table.Load(); table != nil && demand > slotsOf(table.Endpoints(name)) {
+		if table := e.table.Load(); table != nil && demand > totalSlots(table.Endpoints(name)) {
 			e.node.RequestHeartbeat()
 		}
 	}
 	return total
 }
 
-func slotsOf(endpoints []dispatch.Endpoint) int {
+func totalSlots(endpoints []dispatch.Endpoint) int {
 	n := 0
 	for _, ep := range endpoints {
 		n += ep.Slots
@@ -66,14 +66,15 @@
 	return n
 }
 
-// stepOut takes all routes away: handovers do not wait for a process that is
-// no member, so it must not send anything.
-func (e *Entry) stepOut() {
+// withdrawRoutes removes all routes of an entry that is no longer a member.
+// Handovers don't wait for a process that is not a member, so it must not send
+// requests to endpoints.
+func (e *Entry) withdrawRoutes() {
 	if !e.wasMember || !e.dirty {
 		return
 	}
 	e.dirty = false
-	e.log.Warn("no longer a member: taking no work", "offset", e.node.State().Offset)
+	e.log.Warn("no longer a member; all routes withdrawn", "offset", e.node.State().Offset)
 	e.table.Store(dispatch.NewClosedTable(e.generation))
 	e.traffic.RoutesChanged()
 }
--- a/internal/entry/table.go
+++ b/internal/entry/table.go
@@ -11,16 +11,17 @@
 	"cyclamenwheel/internal/slots"
 )
 
-// servingByPool sorts the instances, and notes those that get no new work.
+// servingByPool returns the serving instances by pool and records in notServing
+// those that get no new requests.
 func (e *Entry) servingByPool() map[string][]*pools.Instance {
 	st := e.node.State()
 	byPool := make(map[string][]*pools.Instance)
-	e.leaving = e.leaving[:0]
+	e.notServing = e.notServing[:0]
 	for _, id := range slices.Sorted(maps.Keys(st.Pools.Instances)) {
 		in := st.Pools.Instances[id]
 		switch {
 		case in.Phase != pools.PhaseServing:
-			e.leaving = append(e.leaving, id)
+			e.notServing = append(e.notServing, id)
 		case in.Pool != "":
 			byPool[in.Pool] = append(byPool[in.Pool], in)
 		}
@@ -40,7 +41,7 @@
 	e.table.Store(dispatch.NewRouteTable(e.generation, man.Services, endpoints))
 }
 
-func (e *Entry) shareSlots(byPool map[string][]*pools.Instance) {
+func (e *Entry) updateSharerInstances(byPool map[string][]*pools.Instance) {
 	sets := make(map[string][]slots.Instance, len(byPool))
 	for pool, instances := range byPool {
 		for _, in := range instances {
@@ -53,20 +54,22 @@
 func (e *Entry) endpoint(in *pools.Instance) dispatch.Endpoint {
 	ep := dispatch.Endpoint{
 		Instance: in.ID, BootID: in.BootID, Addr: in.Addr, Zone: in.Zone,
-		Slots: e.limits[in.ID], Connections: e.connections(in),
+		Slots: e.limits[in.ID], Connections: e.connectionShare(in),
 	}
-	// After a restart that the planner has not recorded yet, the list knows
-	// the new boot. It counts only where the platform has the instance in the
-	// same pool, so that a move in progress is never taken for done.
+	// After a restart that the planner has not recorded yet, the instance list
+	// already has the new boot id. It is used only if the platform lists the
+	// instance in the same pool, so that a move in progress is not treated as
+	// completed.
 	if row := e.node.Listed(in.ID); row != nil && row.Pool == in.Pool && e.node.List().Version > e.node.State().Pools.List {
 		ep.BootID, ep.Addr = row.BootID, row.Addr
 	}
 	return ep
 }
 
-// connections divides an endpoint's connections evenly: a connection is only
-// of use with a slot, and there are eight times as many connections as slots.
-func (e *Entry) connections(in *pools.Instance) int {
+// connectionShare returns this entry's even share of an endpoint's connections.
+// Even division suffices because a connection is useful only with a slot, and
+// there are eight times as many connections as slots.
+func (e *Entry) connectionShare(in *pools.Instance) int {
 	entries := len(e.node.State().Members.WithRole(membership.RoleEntry))
 	return max(1, in.Connections/max(1, entries))
 }
