--- a/internal/maintenance/state.go
+++ b/internal/maintenance/state.go
@@ -12,7 +12,7 @@
 type WaveState struct {
 	Pools map[string]PoolWave `json:"pools"`
 	// Draining holds the drains in progress, by instance.
-	Draining map[string]Drained `json:"draining"`
+	Draining map[string]DrainInProgress `json:"draining"`
 	// Failed holds the drains that failed or timed out, by instance.
 	Failed map[string]Failure `json:"failed"`
 }
@@ -26,8 +26,8 @@
 	Returned int `json:"returned"`
 }
 
-// Drained is a drain in progress.
-type Drained struct {
+// DrainInProgress is a drain in progress.
+type DrainInProgress struct {
 	Pool     string `json:"pool"`
 	Revision int    `json:"revision"`
 	// SeenMillis is when this planner first saw the instance draining.
@@ -52,7 +52,7 @@
 		c.Pools = map[string]PoolWave{}
 	}
 	if c.Draining == nil {
-		c.Draining = map[string]Drained{}
+		c.Draining = map[string]DrainInProgress{}
 	}
 	if c.Failed == nil {
 		c.Failed = map[string]Failure{}
--- a/internal/maintenance/wave.go
+++ b/internal/maintenance/wave.go
@@ -110,7 +110,7 @@
 }
 
 // updateRecordedDrain checks whether a drain of the previous round has ended.
-func (w *waveRound) updateRecordedDrain(id string, d Drained) {
+func (w *waveRound) updateRecordedDrain(id string, d DrainInProgress) {
 	inst := w.byID[id]
 	switch {
 	case inst == nil || inst.Phase == pools.PhaseDown:
@@ -126,14 +126,14 @@
 	}
 }
 
-func (w *waveRound) recordFailure(id string, d Drained, reason HaltReason) {
+func (w *waveRound) recordFailure(id string, d DrainInProgress, reason HaltReason) {
 	delete(w.state.Draining, id)
 	w.state.Failed[id] = Failure{Pool: d.Pool, Revision: d.Revision, Reason: reason}
 }
 
 // recordReturn widens the window by one for each returned instance, which
 // doubles the number of drains with each batch.
-func (w *waveRound) recordReturn(id string, d Drained) {
+func (w *waveRound) recordReturn(id string, d DrainInProgress) {
 	delete(w.state.Draining, id)
 	pw := w.state.Pools[d.Pool]
 	if pw.Revision == d.Revision {
@@ -164,7 +164,7 @@
 		if p := w.byName[inst.Pool]; p != nil {
 			revision = p.spec.Maintenance.Revision
 		}
-		w.state.Draining[inst.ID] = Drained{Pool: inst.Pool, Revision: revision, SeenMillis: w.in.NowMillis}
+		w.state.Draining[inst.ID] = DrainInProgress{Pool: inst.Pool, Revision: revision, SeenMillis: w.in.NowMillis}
 	}
 	w.zones[inst.Zone]++
 	w.racks[rackOf(inst)]++
