--- a/internal/maintenance/decide.go
+++ b/internal/maintenance/decide.go
@@ -143,11 +143,11 @@
 	return w.decision()
 }
 
-// Extra returns how many instances above its configured count each pool needs
-// for its wave. The result doesn't depend on Reserved: the planner calls Extra
+// SparesNeeded returns how many instances above its configured count each pool needs
+// for its wave. The result doesn't depend on Reserved: the planner calls SparesNeeded
 // first, decides the moves with the result, and then calls Decide with those
 // moves in Reserved.
-func Extra(in Input) map[string]int {
+func SparesNeeded(in Input) map[string]int {
 	w := newWaveRound(in)
 	w.updateState()
 	w.markHalts()
--- a/internal/maintenance/decide_test.go
+++ b/internal/maintenance/decide_test.go
@@ -172,6 +172,6 @@
 		b := newTestFleet(4, 1, 4, 2)
 		d := b.round()
 		Expect(d.Drains).To(BeEmpty())
-		Expect(maintenance.Extra(b.in)).To(Equal(map[string]int{"a": 1}))
+		Expect(maintenance.SparesNeeded(b.in)).To(Equal(map[string]int{"a": 1}))
 	})
 })
--- a/internal/measure/fleet/world.go
+++ b/internal/measure/fleet/world.go
@@ -62,7 +62,7 @@
 	w.round++
 	w.bringBack()
 	in, waves := w.poolsInput(), w.waveInput()
-	in.Extra = maintenance.Extra(waves)
+	in.Extra = maintenance.SparesNeeded(waves)
 	moves := w.planner.Decide(in)
 	w.beginMoves(moves)
 	waves.Reserved = nil // the moves show in the instances already
--- a/internal/planner/planner.go
+++ b/internal/planner/planner.go
@@ -220,7 +220,7 @@
 		Manifest: man, Instances: instances, State: p.wave, NowMillis: p.node.Now().Milliseconds(),
 		Limits: maintenance.Limits{ReturnLimit: p.opts.WaveReturnLimit},
 	}
-	move := pools.Input{Manifest: man, Instances: instances, Extra: maintenance.Extra(wave)}
+	move := pools.Input{Manifest: man, Instances: instances, Extra: maintenance.SparesNeeded(wave)}
 	p.moves, p.spare = pools.Decide(move), pools.Spare(move)
 	wave.Reserved = movesOutByPool(p.moves.Moves)
 	p.waves = maintenance.Decide(wave)
