--- a/internal/explain/subjects.go
+++ b/internal/explain/subjects.go
@@ -157,7 +157,7 @@
 	switch r {
 	case maintenance.HaltPaused:
 		return "publish a manifest without maintenance.paused"
-	case maintenance.HaltNotBack, maintenance.HaltLost, maintenance.HaltBadReturn, maintenance.HaltOtherPools:
+	case maintenance.HaltReturnTimeout, maintenance.HaltLost, maintenance.HaltRevisionMissing, maintenance.HaltOtherPools:
 		return "the instance back in service, or a manifest with a higher maintenance revision"
 	case maintenance.HaltBudget, maintenance.HaltNoHeadroom:
 		return "an instance back in service, a spare, or a lower min_available"
--- a/internal/maintenance/decide.go
+++ b/internal/maintenance/decide.go
@@ -36,12 +36,12 @@
 const (
 	// HaltPaused: the operator paused the wave.
 	HaltPaused HaltReason = "paused"
-	// HaltNotBack: a drained instance did not return within the limit.
-	HaltNotBack HaltReason = "not_back_in_time"
+	// HaltReturnTimeout: a drained instance did not return within the limit.
+	HaltReturnTimeout HaltReason = "not_back_in_time"
 	// HaltLost: a drained instance went down.
 	HaltLost HaltReason = "lost_after_drain"
-	// HaltBadReturn: a drained instance returned without the target revision.
-	HaltBadReturn HaltReason = "back_without_revision"
+	// HaltRevisionMissing: a drained instance returned without the target revision.
+	HaltRevisionMissing HaltReason = "back_without_revision"
 	// HaltOtherPools: waves of several other pools failed.
 	HaltOtherPools HaltReason = "other_waves_failed"
 	// HaltBudget: the pool needs all serving instances to meet its budget.
--- a/internal/maintenance/decide_test.go
+++ b/internal/maintenance/decide_test.go
@@ -110,7 +110,7 @@
 		b.round()
 		b.round()
 		b.now += maintenance.DefaultReturnLimit.Milliseconds() + 1
-		Expect(b.round().Halts[0].Reason).To(Equal(maintenance.HaltNotBack))
+		Expect(b.round().Halts[0].Reason).To(Equal(maintenance.HaltReturnTimeout))
 		b.completeDrains()
 		Expect(b.round().Drains).To(HaveLen(1))
 	})
@@ -148,7 +148,7 @@
 		b.round()
 		b.instance(first).Phase = pools.PhaseServing
 		Expect(b.round().Halts).To(ConsistOf(
-			maintenance.Halt{Pool: "a", Reason: maintenance.HaltBadReturn, Instance: first}))
+			maintenance.Halt{Pool: "a", Reason: maintenance.HaltRevisionMissing, Instance: first}))
 	})
 
 	// The waves of two pools each lose an instance. The likely cause is something
--- a/internal/maintenance/wave.go
+++ b/internal/maintenance/wave.go
@@ -117,10 +117,10 @@
 		w.recordFailure(id, d, HaltLost)
 	case inst.Phase == pools.PhaseDraining:
 		if w.in.NowMillis-d.SeenMillis > w.in.returnLimit().Milliseconds() {
-			w.recordFailure(id, d, HaltNotBack)
+			w.recordFailure(id, d, HaltReturnTimeout)
 		}
 	case inst.Phase == pools.PhaseServing && inst.Revision < d.Revision:
-		w.recordFailure(id, d, HaltBadReturn)
+		w.recordFailure(id, d, HaltRevisionMissing)
 	default:
 		w.recordReturn(id, d)
 	}
