--- a/internal/fleetlog/replica.go
+++ b/internal/fleetlog/replica.go
@@ -93,7 +93,7 @@
 // learn of it before a process starts from that snapshot.
 func (r *Replica) verifyPart(rec Record) {
 	p, v := decodeBody[Part](rec)
-	if !v.Accepted || p.Replaces != r.markOffset {
+	if !v.Accepted || p.MarkOffset != r.markOffset {
 		return
 	}
 	if p.Hash != r.markHash {
--- a/internal/fleetlog/replica_test.go
+++ b/internal/fleetlog/replica_test.go
@@ -16,7 +16,7 @@
 	e := t.claimLease("p1")
 	t.publish(0, map[string][2]int{"a": {3, 2}})
 	t.addInstances(e, "a", 4)
-	t.write("p1", 0, fleetlog.KindMark, fleetlog.Mark{Wanted: 3})
+	t.write("p1", 0, fleetlog.KindMark, fleetlog.Mark{AppliedOffset: 3})
 	author.Ingest(t.records)
 	encoded, at := author.MarkedState()
 	Expect(at).To(Equal(uint64(4)))
--- a/internal/fleetlog/snapshot.go
+++ b/internal/fleetlog/snapshot.go
@@ -16,17 +16,17 @@
 // records the hash of its state there and compares it with the snapshot that is
 // written afterwards.
 type Mark struct {
-	// Wanted is the offset that the writer had applied when it wrote the mark.
-	Wanted uint64 `cbor:"1,keyasint"`
+	// AppliedOffset is the offset that the writer had applied when it wrote the mark.
+	AppliedOffset uint64 `cbor:"1,keyasint"`
 }
 
 // Part is one piece of a snapshot.
 type Part struct {
-	// Replaces is the mark's offset: a reader that loads the snapshot continues
+	// MarkOffset is the mark's offset: a reader that loads the snapshot continues
 	// with the record after it.
-	Replaces uint64 `cbor:"1,keyasint"`
-	Index    int    `cbor:"2,keyasint"`
-	Count    int    `cbor:"3,keyasint"`
+	MarkOffset uint64 `cbor:"1,keyasint"`
+	Index      int    `cbor:"2,keyasint"`
+	Count      int    `cbor:"3,keyasint"`
 	// Hash is the SHA-256 of the whole encoded state.
 	Hash [32]byte `cbor:"4,keyasint"`
 	Data []byte   `cbor:"5,keyasint"`
@@ -51,7 +51,7 @@
 	if s.Snapshot.Offset != 0 && m.Offset < s.Snapshot.Offset+minMarkSpacing {
 		return fold.Reject(ReasonTooSoon, "by "+s.Snapshot.Author)
 	}
-	if b.Wanted < s.Snapshot.Offset {
+	if b.AppliedOffset < s.Snapshot.Offset {
 		return fold.Reject(ReasonTooSoon, "based on an older mark")
 	}
 	s.Snapshot = snapshotMark{Offset: m.Offset, TimeMillis: m.TimeMillis, Author: m.Author}
@@ -94,7 +94,7 @@
 	for i := range count {
 		end := min(len(encoded), (i+1)*partBytes)
 		parts = append(parts, Part{
-			Replaces: markOffset, Index: i, Count: count, Hash: hash, Data: encoded[i*partBytes : end],
+			MarkOffset: markOffset, Index: i, Count: count, Hash: hash, Data: encoded[i*partBytes : end],
 		})
 	}
 	return parts
@@ -121,10 +121,10 @@
 	if a.incomplete == nil {
 		a.incomplete = make(map[uint64]*assembly)
 	}
-	as, ok := a.incomplete[p.Replaces]
+	as, ok := a.incomplete[p.MarkOffset]
 	if !ok || as.hash != p.Hash || len(as.parts) != p.Count {
 		as = &assembly{hash: p.Hash, parts: make([][]byte, p.Count)}
-		a.incomplete[p.Replaces] = as
+		a.incomplete[p.MarkOffset] = as
 	}
 	if as.parts[p.Index] == nil {
 		as.parts[p.Index] = p.Data
@@ -133,8 +133,8 @@
 	if as.received < p.Count {
 		return nil
 	}
-	delete(a.incomplete, p.Replaces)
-	return as.decode(p.Replaces)
+	delete(a.incomplete, p.MarkOffset)
+	return as.decode(p.MarkOffset)
 }
 
 // maxParts limits a snapshot to 256 MiB.
--- a/internal/node/snapshot.go
+++ b/internal/node/snapshot.go
@@ -45,7 +45,7 @@
 		return
 	}
 	s.busy = true
-	n.SubmitAsync(snapshotTimeout, fleetlog.KindMark, 0, fleetlog.Mark{Wanted: st.Offset},
+	n.SubmitAsync(snapshotTimeout, fleetlog.KindMark, 0, fleetlog.Mark{AppliedOffset: st.Offset},
 		func(v fold.Verdict, _ error) {
 			if !v.Accepted {
 				s.busy = false
