--- a/internal/ctl/connect.go
+++ b/internal/ctl/connect.go
@@ -192,7 +192,7 @@
 		if !atHead {
 			continue
 		}
-		if f.replica.Cold() && f.next > 1 {
+		if f.replica.Bootstrapping() && f.next > 1 {
 			return &NoStateError{}
 		}
 		return nil
--- a/internal/fleetlog/replica.go
+++ b/internal/fleetlog/replica.go
@@ -35,8 +35,8 @@
 // State returns the folded state. It belongs to the replica's goroutine.
 func (r *Replica) State() *State { return r.state }
 
-// Cold reports whether the replica still lacks a starting state.
-func (r *Replica) Cold() bool { return r.bootstrapping }
+// Bootstrapping reports whether the replica still lacks a starting state.
+func (r *Replica) Bootstrapping() bool { return r.bootstrapping }
 
 // Next returns the offset that the replica needs next, 0 for any.
 func (r *Replica) Next() uint64 {
@@ -183,9 +183,9 @@
 	return true
 }
 
-// Restart makes the replica wait for a later snapshot to continue from. It is
+// Rebootstrap makes the replica wait for a later snapshot to continue from. It is
 // called when the log has been trimmed past Next, because this process was
 // paused for longer than records are kept. The old state stays readable.
-func (r *Replica) Restart() {
+func (r *Replica) Rebootstrap() {
 	r.bootstrapping, r.pending, r.snapshotParts = true, nil, assembler{}
 }
--- a/internal/fleetlog/replica_test.go
+++ b/internal/fleetlog/replica_test.go
@@ -41,7 +41,7 @@
 		t := newLogWithSnapshot()
 		late := fleetlog.NewReplica()
 		late.Ingest(t.records[4:])
-		Expect(late.Cold()).To(BeFalse())
+		Expect(late.Bootstrapping()).To(BeFalse())
 		Expect(encodedState(late.State())).To(Equal(encodedState(t.state)))
 	})
 
@@ -51,7 +51,7 @@
 		t := newLogWithSnapshot()
 		late := fleetlog.NewReplica()
 		late.Ingest(t.records[5:])
-		Expect(late.Cold()).To(BeTrue())
+		Expect(late.Bootstrapping()).To(BeTrue())
 	})
 
 	It("counts a snapshot that differs from its own state", func() {
@@ -96,7 +96,7 @@
 		r := fleetlog.NewReplica()
 		r.Ingest(t.records[5:])
 		r.Ingest(t.records)
-		Expect(r.Cold()).To(BeFalse())
+		Expect(r.Bootstrapping()).To(BeFalse())
 		Expect(encodedState(r.State())).To(Equal(encodedState(t.state)))
 	})
 
@@ -117,10 +117,10 @@
 		t := newLogWithSnapshot()
 		r := fleetlog.NewReplica()
 		r.Ingest(t.records[:2])
-		r.Restart()
+		r.Rebootstrap()
 		Expect(r.State().Manifest.Generation).To(Equal(uint64(1)))
 		r.Ingest(t.records[4:])
-		Expect(r.Cold()).To(BeFalse())
+		Expect(r.Bootstrapping()).To(BeFalse())
 		Expect(encodedState(r.State())).To(Equal(encodedState(t.state)))
 	})
 })
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -249,13 +249,13 @@
 	}
 	if p.Trimmed && n.replica.State().Offset > 0 && len(p.Records) > 0 && p.Records[0].Offset > n.replica.Next() {
 		n.log.Warn("log trimmed past own offset", "offset", n.replica.State().Offset)
-		n.replica.Restart()
+		n.replica.Rebootstrap()
 		// The process is not caught up before it has reached the log's present head: it
 		// may lack many generations. Otherwise a process that started on an empty log
 		// would count as caught up whatever it lacks.
 		n.firstHead = p.Head
 	}
-	if n.replica.Cold() && p.Head == 0 {
+	if n.replica.Bootstrapping() && p.Head == 0 {
 		return
 	}
 	n.ingest(p.Records)
--- a/internal/node/peers.go
+++ b/internal/node/peers.go
@@ -30,7 +30,7 @@
 			var ans RecordsAnswer
 			ok := n.Do(func() {
 				ans.Records = n.ring.from(req.From, maxFetchBytes)
-				ans.Gone = len(ans.Records) == 0 && !n.replica.Cold() && n.State().Offset >= req.From
+				ans.Gone = len(ans.Records) == 0 && !n.replica.Bootstrapping() && n.State().Offset >= req.From
 			})
 			if !ok {
 				return ans, &StoppedError{}
@@ -40,7 +40,7 @@
 	peer.Handle(n.opts.Peers, kindState,
 		func(_ context.Context, _ peer.Identity, req StateRequest) (ans StateAnswer, err error) {
 			ok := n.Do(func() {
-				if !n.replica.Cold() && n.State().Offset > req.Above {
+				if !n.replica.Bootstrapping() && n.State().Offset > req.Above {
 					ans.Encoded, err = n.State().Encode()
 				}
 			})
@@ -134,7 +134,7 @@
 		return
 	}
 	now := n.Now()
-	if n.replica.Cold() {
+	if n.replica.Bootstrapping() {
 		if now-n.started > coldFetchAfter {
 			n.fetch(n.anyPeer(), true)
 		}
--- a/internal/node/status.go
+++ b/internal/node/status.go
@@ -82,7 +82,7 @@
 // CaughtUp reports whether the process has folded the log up to the head that it saw
 // first, or has installed a peer's state while the log is unreachable; loop-only.
 func (n *Node) CaughtUp() bool {
-	if n.replica.Cold() {
+	if n.replica.Bootstrapping() {
 		return n.headSeen && n.firstHead == 0
 	}
 	return !n.headSeen || n.State().Offset >= n.firstHead
@@ -112,7 +112,7 @@
 func (n *Node) NotReady() []string {
 	var reasons []string
 	switch {
-	case n.replica.Cold() && !n.logOK:
+	case n.replica.Bootstrapping() && !n.logOK:
 		reasons = append(reasons, "no state: log unreachable and no peer supplied its state: "+n.logErr)
 	case !n.CaughtUp():
 		reasons = append(reasons, "still folding the log")
