--- a/internal/ctl/publish.go
+++ b/internal/ctl/publish.go
@@ -122,7 +122,7 @@
 		return Published{}, err
 	}
 	start := time.Now()
-	if uncertain, err := fleetlog.AppendUntil(ctx, log, rec); err != nil && !uncertain {
+	if uncertain, err := fleetlog.AppendWithRetry(ctx, log, rec); err != nil && !uncertain {
 		return Published{}, err
 	}
 	applied, err := f.verdictOf(ctx, rec.ID)
--- a/internal/fleetlog/writer.go
+++ b/internal/fleetlog/writer.go
@@ -18,11 +18,11 @@
 	maxAppendRetryDelay = time.Second
 )
 
-// AppendUntil retries the append of rec until it is confirmed or rejected, or
+// AppendWithRetry retries the append of rec until it is confirmed or rejected, or
 // ctx ends. Every attempt carries the same record id, so the fold applies the
 // first and skips the others. If err is not nil, uncertain reports whether some
 // attempt may have reached the log.
-func AppendUntil(ctx context.Context, log platform.Log, rec Record) (uncertain bool, err error) {
+func AppendWithRetry(ctx context.Context, log platform.Log, rec Record) (uncertain bool, err error) {
 	data, err := rec.Encode()
 	if err != nil {
 		return false, err
--- a/internal/node/snapshot.go
+++ b/internal/node/snapshot.go
@@ -90,7 +90,7 @@
 		for _, p := range fleetlog.Split(encoded, replaces) {
 			rec, err := fleetlog.NewRecord(fleetlog.KindPart, n.opts.Self.ID, 0, p)
 			if err == nil {
-				_, err = fleetlog.AppendUntil(ctx, n.opts.Platform, rec)
+				_, err = fleetlog.AppendWithRetry(ctx, n.opts.Platform, rec)
 			}
 			if err != nil {
 				n.log.Warn("cannot write snapshot", "offset", replaces, "error", err.Error())
--- a/internal/node/submit.go
+++ b/internal/node/submit.go
@@ -51,7 +51,7 @@
 	}
 	defer n.post(func() { delete(n.waiters, rec.ID) })
 
-	uncertain, err := fleetlog.AppendUntil(ctx, n.opts.Platform, rec)
+	uncertain, err := fleetlog.AppendWithRetry(ctx, n.opts.Platform, rec)
 	if err != nil && !uncertain {
 		return fold.Verdict{}, &NotAppendedError{Cause: err}
 	}
