--- a/internal/entry/keys.go
+++ b/internal/entry/keys.go
@@ -57,7 +57,7 @@
 	if err != nil {
 		return err
 	}
-	rec.ID = fleetlog.NamedID(id)
+	rec.ID = fleetlog.IDFromName(id)
 	k.mu.Lock()
 	k.recordNames[rec.ID] = id
 	k.mu.Unlock()
--- a/internal/fleetlog/keys.go
+++ b/internal/fleetlog/keys.go
@@ -94,9 +94,9 @@
 	return out
 }
 
-// NamedID derives a record id from a name that its author keeps unique. Records
+// IDFromName derives a record id from a name that its author keeps unique. Records
 // appended repeatedly under the same name are applied once.
-func NamedID(name string) ID {
+func IDFromName(name string) ID {
 	sum := sha256.Sum256([]byte(name))
 	return ID(sum[:16])
 }
