--- a/internal/node/snapshot.go
+++ b/internal/node/snapshot.go
@@ -45,7 +45,7 @@
 		return
 	}
 	s.busy = true
-	n.SubmitAsync(snapshotTimeout, fleetlog.KindMark, 0, fleetlog.Mark{Wanted: st.Offset},
+	n.SubmitAsync(snapshotTimeout, fleetlog.KindMark, 0, fleetlog.Mark{AppliedOffset: st.Offset},
 		func(v fold.Verdict, _ error) {
 			if !v.Accepted {
 				s.busy = false
@@ -90,7 +90,7 @@
 		for _, p := range fleetlog.Split(encoded, replaces) {
 			rec, err := fleetlog.NewRecord(fleetlog.KindPart, n.opts.Self.ID, 0, p)
 			if err == nil {
-				_, err = fleetlog.AppendUntil(ctx, n.opts.Platform, rec)
+				_, err = fleetlog.AppendWithRetry(ctx, n.opts.Platform, rec)
 			}
 			if err != nil {
 				n.log.Warn("cannot write snapshot", "offset", replaces, "error", err.Error())
