--- a/internal/settings/daemons.go
+++ b/internal/settings/daemons.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Process tells a process who and where it is.
+// Process identifies a process and the instance and zone that it runs in.
 type Process struct {
 	ID         string
 	Zone       string
@@ -14,25 +14,25 @@
 	Deployment string
 }
 
-// Peer is how a process meets its peers.
+// Peer configures the links of a process to its peers.
 type Peer struct {
 	Listen netip.AddrPort
-	// Advertise is what peers dial; it differs from Listen behind an address
-	// translation.
+	// Advertise is the address that peers dial; it differs from Listen behind
+	// network address translation.
 	Advertise netip.AddrPort
 	Seeds     []Seed
-	// CA, Cert and Key are PEM files.
+	// CA, Cert and Key are paths of PEM files.
 	CA, Cert, Key string
 }
 
-// Callers is how an entry meets callers.
+// Callers configures the HTTP server for callers' requests.
 type Callers struct {
 	Listen netip.AddrPort
-	// MaxBody is in bytes.
+	// MaxBody is the largest accepted request body in bytes.
 	MaxBody int64
 }
 
-// Timing holds intervals and limits of time.
+// Timing holds intervals and timeouts.
 type Timing struct {
 	Heartbeat     time.Duration
 	LeaseTTL      time.Duration
@@ -43,14 +43,14 @@
 	SnapshotEvery time.Duration
 }
 
-// Common is what both daemons have.
+// Common holds the settings that cyclamen-entry and cyclamen-control share.
 type Common struct {
 	Process        Process
 	PlatformURL    *url.URL
 	Peer           Peer
 	OperatorListen netip.AddrPort
 	Timing         Timing
-	// Memory is the soft limit in bytes.
+	// Memory is the soft memory limit in bytes.
 	Memory           int64
 	AppendsPerSecond int
 }
@@ -68,14 +68,14 @@
 	FenceAfter time.Duration
 }
 
-// LoadEntry reads the settings of cyclamen-entry.
+// LoadEntry reads and checks the settings file of cyclamen-entry.
 func LoadEntry(path string) (EntrySettings, error) {
 	v, err := Load(path, EntryTable())
 	if err != nil {
 		return EntrySettings{}, err
 	}
 	return EntrySettings{
-		Common: common(v),
+		Common: commonSettings(v),
 		Callers: Callers{
 			Listen:  v.Addr(sectionCallers, "listen"),
 			MaxBody: v.Bytes(sectionCallers, "max_body"),
@@ -84,19 +84,19 @@
 	}, nil
 }
 
-// LoadControl reads the settings of cyclamen-control.
+// LoadControl reads and checks the settings file of cyclamen-control.
 func LoadControl(path string) (ControlSettings, error) {
 	v, err := Load(path, ControlTable())
 	if err != nil {
 		return ControlSettings{}, err
 	}
 	return ControlSettings{
-		Common:     common(v),
+		Common:     commonSettings(v),
 		FenceAfter: v.Duration(sectionTiming, "fence_after"),
 	}, nil
 }
 
-func common(v Values) Common {
+func commonSettings(v Values) Common {
 	return Common{
 		Process: Process{
 			ID:         v.String(sectionProcess, "id"),
@@ -107,27 +107,27 @@
 		PlatformURL: v.URL(sectionPlatform, "url"),
 		Peer: Peer{
 			Listen:    v.Addr(sectionPeer, "listen"),
-			Advertise: advertised(v),
+			Advertise: advertiseAddr(v),
 			Seeds:     v.Seeds(sectionPeer, "peers"),
 			CA:        v.String(sectionPeer, "ca"),
 			Cert:      v.String(sectionPeer, "cert"),
 			Key:       v.String(sectionPeer, "key"),
 		},
 		OperatorListen:   v.Addr(sectionOperator, "listen"),
-		Timing:           timing(v),
+		Timing:           timingSettings(v),
 		Memory:           v.Bytes(sectionLimits, "memory"),
 		AppendsPerSecond: v.Int(sectionLimits, "appends_per_second"),
 	}
 }
 
-func advertised(v Values) netip.AddrPort {
+func advertiseAddr(v Values) netip.AddrPort {
 	if a := v.Addr(sectionPeer, "advertise"); a.IsValid() {
 		return a
 	}
 	return v.Addr(sectionPeer, "listen")
 }
 
-func timing(v Values) Timing {
+func timingSettings(v Values) Timing {
 	return Timing{
 		Heartbeat:     v.Duration(sectionTiming, "heartbeat"),
 		LeaseTTL:      v.Duration(sectionTiming, "lease_ttl"),
--- a/internal/settings/errors.go
+++ b/internal/settings/errors.go
@@ -5,10 +5,10 @@
 	"strings"
 )
 
-// Reason is the machine-readable cause of a fault.
+// Reason is the machine-readable code of a fault.
 type Reason string
 
-// Reasons of a fault.
+// Reasons of faults. Operators' tools match them.
 const (
 	ReasonUnreadable     Reason = "unreadable_file"
 	ReasonSyntax         Reason = "syntax"
@@ -22,19 +22,18 @@
 	ReasonInconsistent   Reason = "inconsistent"
 )
 
-// Fault is one thing wrong with a file.
+// Fault is one error in a settings file.
 type Fault struct {
-	// Section and Key are empty where the fault is not about one key.
+	// Section and Key are empty if the fault does not concern a single key.
 	Section string `json:"section,omitempty"`
 	Key     string `json:"key,omitempty"`
-	// Line is 0 where the fault has no place in the file, such as a missing
-	// key.
+	// Line is 0 if the fault has no line in the file, such as a missing key.
 	Line   int    `json:"line,omitempty"`
 	Reason Reason `json:"reason"`
 	Detail string `json:"detail"`
 }
 
-// Place names where the fault is, for people.
+// Place describes the location of the fault in a message.
 func (f Fault) Place() string {
 	var b strings.Builder
 	if f.Line > 0 {
@@ -52,8 +51,8 @@
 	return strings.TrimSpace(b.String())
 }
 
-// FaultsError lists everything wrong with a file, so that one round of
-// corrections is enough.
+// FaultsError lists all faults of a file, so that they can be corrected in one
+// pass.
 type FaultsError struct {
 	File   string
 	Faults []Fault
@@ -68,13 +67,15 @@
 	return b.String()
 }
 
-// TooLargeError says that a file is no settings file: it exceeds Limit bytes.
+// TooLargeError reports a file of more than Limit bytes, which cannot be a
+// settings file.
 type TooLargeError struct{ Limit int }
 
 func (e *TooLargeError) Error() string { return fmt.Sprintf("more than %d bytes", e.Limit) }
 
-// UndeclaredKeyError is a mistake in the program: it asks for a key that its
-// table lacks, or by another type. It is raised by panic.
+// UndeclaredKeyError reports a programming error: the program reads a key that
+// its table does not declare, or declares with another type. It is the value of
+// a panic.
 type UndeclaredKeyError struct {
 	Section, Key string
 	Wanted       string
--- a/internal/settings/keys.go
+++ b/internal/settings/keys.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// Sections that both daemons have.
+// Sections of the settings files.
 const (
 	sectionProcess  = "process"
 	sectionPlatform = "platform"
@@ -18,18 +18,19 @@
 	sectionLimits   = "limits"
 )
 
-// Bounds that several keys share, in bytes.
+// Bounds of sizes, in bytes.
 const (
-	minMemory  = 64 << 20
-	maxMemory  = 64 << 30
-	maxBodyCap = 64 << 20
+	minMemory         = 64 << 20
+	maxMemory         = 64 << 30
+	maxBodyUpperBound = 64 << 20
 )
 
-// minHeartbeatsPerLease keeps a lease alive through two lost renewals. With
-// fewer, one lost answer costs the holder its lease although it is healthy.
+// minHeartbeatsPerLease is the minimum number of heartbeat intervals in a lease,
+// so that a lease survives two lost renewals. With fewer, a healthy holder loses
+// its lease after a single lost response.
 const minHeartbeatsPerLease = 3
 
-// EntryTable lists the settings of cyclamen-entry.
+// EntryTable declares the settings of cyclamen-entry.
 func EntryTable() Table {
 	return Table{
 		Daemon: "cyclamen-entry",
@@ -39,7 +40,7 @@
 	}
 }
 
-// ControlTable lists the settings of cyclamen-control.
+// ControlTable declares the settings of cyclamen-control.
 func ControlTable() Table {
 	return Table{
 		Daemon: "cyclamen-control",
@@ -52,23 +53,23 @@
 func processKeys() []Key {
 	return []Key{
 		{Section: sectionProcess, Name: "id", Kind: KindName, Required: true,
-			Doc: "Id of this process, unique in the deployment and the id of its certificate."},
+			Doc: "ID of this process, unique in the deployment; its certificate must carry the same ID."},
 		{Section: sectionProcess, Name: "zone", Kind: KindName, Required: true,
-			Doc: "Availability zone the process runs in."},
+			Doc: "Availability zone that the process runs in."},
 		{Section: sectionProcess, Name: "instance", Kind: KindName, Required: true,
-			Doc: "Id of the platform's instance the process runs on."},
+			Doc: "ID of the platform instance that the process runs on."},
 		{Section: sectionProcess, Name: "deployment", Kind: KindName, Required: true,
-			Doc: "Name of the deployment; peers, manifests and certificates of others are refused."},
+			Doc: "Name of the deployment; peers, manifests and certificates of other deployments are rejected."},
 		{Section: sectionPlatform, Name: "url", Kind: KindURL, Required: true,
 			Doc: "Base URL of the platform's log service, instance list and pools."},
 		{Section: sectionPeer, Name: "listen", Kind: KindHostPort, Required: true,
-			Doc: "UDP address for QUIC links between processes; port 0 takes a free one."},
+			Doc: "UDP address for QUIC links between processes; port 0 selects a free port."},
 		{Section: sectionPeer, Name: "advertise", Kind: KindHostPort, Optional: true,
-			Doc: "Address that peers are told to dial, where it differs from listen."},
+			Doc: "Address advertised to peers, if it differs from listen."},
 		{Section: sectionPeer, Name: "peers", Kind: KindSeeds, Default: "",
-			Doc: "Peers to contact first, separated by commas. Others are learnt from the log."},
+			Doc: "Peers to contact first, separated by commas. Other peers are read from the log."},
 		{Section: sectionPeer, Name: "ca", Kind: KindPath, Required: true,
-			Doc: "PEM file of the deployment's CA. Relative paths start at this file."},
+			Doc: "PEM file of the deployment's CA certificate. Relative paths are resolved from the directory of this settings file."},
 		{Section: sectionPeer, Name: "cert", Kind: KindPath, Required: true,
 			Doc: "PEM file of this process's certificate; re-read when it changes."},
 		{Section: sectionPeer, Name: "key", Kind: KindPath, Required: true,
@@ -79,17 +80,17 @@
 func callerKeys() []Key {
 	return []Key{
 		{Section: sectionCallers, Name: "listen", Kind: KindHostPort, Required: true,
-			Doc: "TCP address for callers' HTTP requests; port 0 takes a free one."},
+			Doc: "TCP address for callers' HTTP requests; port 0 selects a free port."},
 		{Section: sectionCallers, Name: "max_body", Kind: KindBytes, Default: "1MiB", Unit: "B, KiB, MiB",
-			Min: 1, Max: maxBodyCap,
-			Doc: "Largest request body; a larger one is refused before anything is dispatched."},
+			Min: 1, Max: maxBodyUpperBound,
+			Doc: "Maximum size of a request body; a request with a larger one is rejected before it is dispatched."},
 	}
 }
 
 func operatorKeys() []Key {
 	return []Key{
 		{Section: sectionOperator, Name: "listen", Kind: KindHostPort, Default: "127.0.0.1:0",
-			Doc: "TCP address for operators (metrics, health, dump). Off loopback, mutual TLS with the peer certificate is demanded."},
+			Doc: "TCP address for operators (metrics, health, dump). Mutual TLS with the peer certificate is required unless the address is loopback."},
 	}
 }
 
@@ -97,16 +98,16 @@
 	return []Key{
 		{Section: sectionTiming, Name: "heartbeat", Kind: KindDuration, Default: "500ms", Unit: "ms, s",
 			Min: int64(10 * time.Millisecond), Max: int64(10 * time.Second),
-			Doc: "Interval of heartbeats between peers while nothing changes."},
+			Doc: "Interval of heartbeats between peers while their state does not change."},
 		{Section: sectionTiming, Name: "lease_ttl", Kind: KindDuration, Default: "3s", Unit: "ms, s",
 			Min: int64(100 * time.Millisecond), Max: int64(time.Minute),
-			Doc: "Time without a renewal after which the planner's lease may be claimed."},
+			Doc: "Time without a renewal after which the planner's lease expires and may be claimed."},
 		{Section: sectionTiming, Name: "list_poll", Kind: KindDuration, Default: "250ms", Unit: "ms, s",
 			Min: int64(10 * time.Millisecond), Max: int64(30 * time.Second),
-			Doc: "Interval at which the platform's instance list is read."},
+			Doc: "Interval at which the platform's instance list is polled."},
 		{Section: sectionTiming, Name: "snapshot_every", Kind: KindDuration, Default: "2m", Unit: "s, m",
 			Min: int64(100 * time.Millisecond), Max: int64(24 * time.Hour),
-			Doc: "Longest time between two snapshots in the log; keep it under half of the log's retention."},
+			Doc: "Maximum time between two snapshots in the log; keep it below half of the log's retention."},
 	}
 }
 
@@ -114,7 +115,7 @@
 	return []Key{
 		{Section: sectionTiming, Name: "fence_after", Kind: KindDuration, Default: "20s", Unit: "s, m",
 			Min: int64(time.Second), Max: int64(time.Hour),
-			Doc: "Time after which the platform is asked to stop the instance of a silent entry that holds a handover up; longer than a restart takes."},
+			Doc: "Time after which the platform is asked to stop the instance of an unresponsive entry that blocks a handover; set it longer than a restart takes."},
 	}
 }
 
@@ -122,13 +123,13 @@
 	return []Key{
 		{Section: sectionTiming, Name: "ready_grace", Kind: KindDuration, Default: "3s", Unit: "ms, s",
 			Min: 0, Max: int64(time.Minute),
-			Doc: "On a planned stop, time from not ready to closing the listener, for the balancer to leave."},
+			Doc: "On a planned stop, time between reporting not ready and closing the listener, so that the load balancer stops sending requests."},
 		{Section: sectionTiming, Name: "drain_limit", Kind: KindDuration, Default: "60s", Unit: "s, m",
 			Min: int64(100 * time.Millisecond), Max: int64(15 * time.Minute),
-			Doc: "Longest wait for requests in flight on a planned stop; keep it above the longest deadline in the manifest."},
+			Doc: "Maximum wait for requests in flight on a planned stop; keep it above the longest deadline in the manifest."},
 		{Section: sectionTiming, Name: "shutdown_limit", Kind: KindDuration, Default: "75s", Unit: "s, m",
 			Min: int64(100 * time.Millisecond), Max: int64(20 * time.Minute),
-			Doc: "Time after which a planned stop ends the process whatever is left; at least ready_grace and drain_limit together."},
+			Doc: "Time after which a planned stop ends the process even with requests in flight; at least the sum of ready_grace and drain_limit."},
 	}
 }
 
@@ -136,10 +137,10 @@
 	return []Key{
 		{Section: sectionLimits, Name: "memory", Kind: KindBytes, Default: "512MiB", Unit: "MiB, GiB",
 			Min: minMemory, Max: maxMemory,
-			Doc: "Soft memory limit of the process; the collector works harder near it."},
+			Doc: "Soft memory limit of the process; garbage collection runs more often near it."},
 		{Section: sectionLimits, Name: "appends_per_second", Kind: KindInt, Default: "250", Unit: "1/s",
 			Min: 1, Max: 1000,
-			Doc: "Most log appends a second for idempotency keys, all entries together; the same in each of them."},
+			Doc: "Maximum rate of log appends for idempotency keys, over all entries together; set the same value in each entry."},
 	}
 }
 
@@ -147,7 +148,7 @@
 	return []Key{
 		{Section: sectionLimits, Name: "queue_per_service", Kind: KindInt, Default: "256", Unit: "requests",
 			Min: 1, Max: math.MaxUint16,
-			Doc: "Most requests that wait for a slot of one service; further ones are refused as not run."},
+			Doc: "Maximum number of requests queued per service; further ones are rejected as not run."},
 	}
 }
 
@@ -167,5 +168,5 @@
 		return nil
 	}
 	return []Fault{{Section: sectionTiming, Key: "shutdown_limit", Reason: ReasonInconsistent,
-		Detail: fmt.Sprintf("%s is less than ready_grace and drain_limit together, %s", limit, need)}}
+		Detail: fmt.Sprintf("%s is less than the sum of ready_grace and drain_limit, %s", limit, need)}}
 }
--- a/internal/settings/load.go
+++ b/internal/settings/load.go
@@ -12,8 +12,8 @@
 	"gopkg.in/ini.v1"
 )
 
-// iniOptions keep the reader strict: a key given twice is seen as such, ':'
-// inside a value is no delimiter, and a '#' in a URL starts no comment.
+// iniOptions make parsing strict: duplicate keys stay detectable, ':' is not a
+// delimiter, and a '#' inside a URL does not start a comment.
 var iniOptions = ini.LoadOptions{
 	AllowShadows:               true,
 	AllowDuplicateShadowValues: true,
@@ -23,19 +23,19 @@
 	KeyValueDelimiters:         "=",
 }
 
-// maxFileBytes is far above any real file. It stops the reading of a device or
-// of a log given by mistake.
+// maxFileBytes is far above the size of any real settings file. It bounds the
+// read if the path names a device or a log file by mistake.
 const maxFileBytes = 256 << 10
 
 // Load reads the file at path and checks it against table. The error is a
-// *FaultsError that lists all faults at once.
+// *FaultsError that lists all faults.
 func Load(path string, table Table) (Values, error) {
 	data, err := readFile(path)
 	if err != nil {
 		return Values{}, &FaultsError{File: path, Faults: []Fault{{Reason: ReasonUnreadable, Detail: err.Error()}}}
 	}
 	l := loader{table: table, lines: lineIndex(data), dir: filepath.Dir(path)}
-	l.values.m = make(map[keyID]any, len(table.Keys))
+	l.values.byKey = make(map[keyID]any, len(table.Keys))
 	l.load(data)
 	if len(l.faults) > 0 {
 		return Values{}, &FaultsError{File: path, Faults: l.faults}
@@ -70,7 +70,7 @@
 		l.faults = append(l.faults, Fault{Line: syntaxLine(data), Reason: ReasonSyntax, Detail: err.Error()})
 		return
 	}
-	l.refuseUnknown(file)
+	l.rejectUnknown(file)
 	for _, k := range l.table.Keys {
 		l.loadKey(file, k)
 	}
@@ -82,59 +82,59 @@
 	}
 }
 
-// refuseUnknown catches misspelt names: a misspelt limit would otherwise run
-// with its default, unnoticed.
-func (l *loader) refuseUnknown(file *ini.File) {
+// rejectUnknown reports unknown sections and keys: a misspelt limit would
+// otherwise silently keep its default.
+func (l *loader) rejectUnknown(file *ini.File) {
 	for _, section := range file.Sections() {
 		name := section.Name()
 		if name == ini.DefaultSection && len(section.Keys()) == 0 {
 			continue
 		}
 		if !l.table.hasSection(name) {
-			l.fault(name, "", ReasonUnknownSection, fmt.Sprintf("section %q is not known", name))
+			l.addFault(name, "", ReasonUnknownSection, fmt.Sprintf("unknown section %q", name))
 			continue
 		}
 		for _, key := range section.Keys() {
-			if _, known := l.table.find(name, key.Name()); !known {
-				l.fault(name, key.Name(), ReasonUnknownKey, fmt.Sprintf("key %q is not known", key.Name()))
+			if _, known := l.table.findKey(name, key.Name()); !known {
+				l.addFault(name, key.Name(), ReasonUnknownKey, fmt.Sprintf("unknown key %q", key.Name()))
 			}
 		}
 	}
 }
 
 func (l *loader) loadKey(file *ini.File, k Key) {
-	text, given := k.Default, false
+	text, present := k.Default, false
 	if file.HasSection(k.Section) && file.Section(k.Section).HasKey(k.Name) {
 		key := file.Section(k.Section).Key(k.Name)
-		if all := key.ValueWithShadows(); len(all) > 1 {
-			l.fault(k.Section, k.Name, ReasonDuplicateKey, fmt.Sprintf("given %d times", len(all)))
+		if occurrences := key.ValueWithShadows(); len(occurrences) > 1 {
+			l.addFault(k.Section, k.Name, ReasonDuplicateKey, fmt.Sprintf("the key occurs %d times", len(occurrences)))
 			return
 		}
-		text, given = key.Value(), true
+		text, present = key.Value(), true
 	}
-	if !given && k.Required {
-		l.fault(k.Section, k.Name, ReasonMissing, "required key is absent")
+	if !present && k.Required {
+		l.addFault(k.Section, k.Name, ReasonMissing, "required key is missing")
 		return
 	}
-	if !given && k.Optional {
-		l.values.m[keyID{k.Section, k.Name}] = netip.AddrPort{}
+	if !present && k.Optional {
+		l.values.byKey[keyID{k.Section, k.Name}] = netip.AddrPort{}
 		return
 	}
 	value, reason, detail := k.parse(text, l.dir)
 	if reason != "" {
-		l.fault(k.Section, k.Name, reason, detail)
+		l.addFault(k.Section, k.Name, reason, detail)
 		return
 	}
-	l.values.m[keyID{k.Section, k.Name}] = value
+	l.values.byKey[keyID{k.Section, k.Name}] = value
 }
 
-func (l *loader) fault(section, key string, reason Reason, detail string) {
+func (l *loader) addFault(section, key string, reason Reason, detail string) {
 	line := l.lines[keyID{section, key}]
 	l.faults = append(l.faults, Fault{Section: section, Key: key, Line: line, Reason: reason, Detail: detail})
 }
 
-// lineIndex remembers where each section and key last stands, which the INI
-// library does not tell.
+// lineIndex returns the line of the last occurrence of each section and key,
+// which the INI library does not report.
 func lineIndex(data []byte) map[keyID]int {
 	index := make(map[keyID]int)
 	section := ini.DefaultSection
@@ -153,13 +153,13 @@
 	return index
 }
 
-// syntaxLine is the first line that is neither blank, a comment, a section
-// nor a key; 0 where it cannot be told.
+// syntaxLine returns the first line that is neither blank, a comment, a section
+// nor a key, or 0 if there is none.
 func syntaxLine(data []byte) int {
 	for i, line := range bytes.Split(data, []byte("\n")) {
 		text := strings.TrimSpace(string(line))
-		closed := strings.HasPrefix(text, "[") && strings.Contains(text, "]")
-		if text == "" || isComment(text) || closed {
+		isSection := strings.HasPrefix(text, "[") && strings.Contains(text, "]")
+		if text == "" || isComment(text) || isSection {
 			continue
 		}
 		if name, _, ok := strings.Cut(text, "="); !ok || strings.TrimSpace(name) == "" {
--- a/internal/settings/parse.go
+++ b/internal/settings/parse.go
@@ -12,27 +12,29 @@
 	"time"
 )
 
-// Seed is a peer that a process contacts first.
+// Seed is a peer that a process contacts at startup, before it has read the
+// others from the log.
 type Seed struct {
 	ID   string
 	Addr netip.AddrPort
 }
 
-// nameForm is what ids, zones and deployments are made of: they become part
-// of metrics labels, certificate URIs and file names.
-var nameForm = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._-]{0,62}$`)
+// namePattern restricts ids, zones and deployments, because they become part of
+// metric labels, certificate URIs and file names.
+var namePattern = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._-]{0,62}$`)
 
 type byteUnit struct {
 	suffix string
 	size   int64
 }
 
-// byteUnits is searched in order, so "B" comes after the units that end in it.
+// byteUnits is searched in order, so "B" follows the units that end in it.
 var byteUnits = []byteUnit{
 	{"KiB", 1 << 10}, {"MiB", 1 << 20}, {"GiB", 1 << 30}, {"TiB", 1 << 40}, {"B", 1},
 }
 
-// parse returns the typed value of text. dir is where relative paths start.
+// parse returns the typed value of text, or the reason and detail of a fault.
+// Relative paths are resolved from dir.
 func (k Key) parse(text, dir string) (any, Reason, string) {
 	if text == "" && k.Required {
 		return nil, ReasonMissing, "must not be empty"
@@ -63,12 +65,12 @@
 	case KindRatio:
 		return parseRatio(text)
 	}
-	return nil, ReasonType, fmt.Sprintf("kind %q is not known", k.Kind)
+	return nil, ReasonType, fmt.Sprintf("unknown kind %q", k.Kind)
 }
 
 func parseName(text string) (any, Reason, string) {
-	if !nameForm.MatchString(text) {
-		return nil, ReasonType, fmt.Sprintf("%q is not a name: up to 63 letters, digits, '.', '_' and '-'", text)
+	if !namePattern.MatchString(text) {
+		return nil, ReasonType, fmt.Sprintf("%q is not a valid name: want 1 to 63 letters, digits, '.', '_' and '-', starting with a letter or digit", text)
 	}
 	return text, "", ""
 }
@@ -76,7 +78,7 @@
 func (k Key) parseInt(text string) (any, Reason, string) {
 	n, err := strconv.ParseInt(text, 10, 64)
 	if err != nil {
-		return nil, ReasonType, fmt.Sprintf("%q is not a whole number", text)
+		return nil, ReasonType, fmt.Sprintf("%q is not an integer", text)
 	}
 	return n, k.rangeReason(n), k.rangeDetail(n)
 }
@@ -119,21 +121,21 @@
 	if k.rangeReason(n) == "" {
 		return ""
 	}
-	return fmt.Sprintf("%s is outside the range: %s", k.render(n), k.bounds())
+	return fmt.Sprintf("%s is outside the range: %s", k.format(n), k.rangeText())
 }
 
-// render writes a number in the key's unit.
-func (k Key) render(n int64) string {
+// format returns n as it is written in a settings file.
+func (k Key) format(n int64) string {
 	switch k.Kind {
 	case KindDuration:
 		return time.Duration(n).String()
 	case KindBytes:
-		return renderBytes(n)
+		return formatBytes(n)
 	}
 	return strconv.FormatInt(n, 10)
 }
 
-func renderBytes(n int64) string {
+func formatBytes(n int64) string {
 	best := byteUnit{"B", 1}
 	for _, u := range byteUnits {
 		if u.size > best.size && n != 0 && n%u.size == 0 {
@@ -146,7 +148,7 @@
 func parseHostPort(text string) (any, Reason, string) {
 	addr, err := netip.ParseAddrPort(text)
 	if err != nil {
-		return nil, ReasonType, fmt.Sprintf("%q is not an IP number and port", text)
+		return nil, ReasonType, fmt.Sprintf("%q is not an IP address and port", text)
 	}
 	return addr, "", ""
 }
@@ -166,16 +168,16 @@
 	for _, item := range splitList(text) {
 		id, hostPort, _ := strings.Cut(item, "@")
 		addr, err := netip.ParseAddrPort(hostPort)
-		if err != nil || addr.Port() == 0 || !nameForm.MatchString(id) {
-			return nil, ReasonType, fmt.Sprintf("%q is not id@host:port with an IP number and a port above 0", item)
+		if err != nil || addr.Port() == 0 || !namePattern.MatchString(id) {
+			return nil, ReasonType, fmt.Sprintf("%q is not of the form id@host:port with an IP address and a port above 0", item)
 		}
 		seeds = append(seeds, Seed{ID: id, Addr: addr})
 	}
 	return seeds, "", ""
 }
 
-// resolvePath lets a file name others relative to itself, so that a directory
-// of settings and certificates can be moved as a whole.
+// resolvePath resolves relative paths from the directory of the settings file, so
+// that a directory of settings and certificates can be moved as a whole.
 func resolvePath(text, dir string) string {
 	if text == "" || filepath.IsAbs(text) {
 		return text
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -19,7 +19,7 @@
 	RunSpecs(t, "settings")
 }
 
-const validEntry = `
+const validEntrySettings = `
 [process]
 id = entry-1
 zone = zone-a
@@ -37,14 +37,14 @@
 listen = [::1]:0
 `
 
-func write(text string) string {
+func writeSettings(text string) string {
 	path := filepath.Join(GinkgoT().TempDir(), "entry.ini")
 	Expect(os.WriteFile(path, []byte(text), 0o600)).To(Succeed())
 	return path
 }
 
 func faultsOf(text string) []settings.Fault {
-	_, err := settings.LoadEntry(write(text))
+	_, err := settings.LoadEntry(writeSettings(text))
 	var faults *settings.FaultsError
 	Expect(errors.As(err, &faults)).To(BeTrue(), "%v", err)
 	return faults.Faults
@@ -52,7 +52,7 @@
 
 var _ = Describe("settings", func() {
 	It("loads typed values and defaults", func() {
-		path := write(validEntry)
+		path := writeSettings(validEntrySettings)
 		s, err := settings.LoadEntry(path)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(s.Timing.Heartbeat).To(Equal(500 * time.Millisecond))
@@ -64,8 +64,8 @@
 		Expect(s.Peer.Cert).To(Equal("/etc/cyclamen/cert.pem"))
 	})
 
-	It("lists three faults at once, each with its place", func() {
-		text := strings.Replace(validEntry, "zone = zone-a\n", "", 1) +
+	It("lists three faults at once, each with its location", func() {
+		text := strings.Replace(validEntrySettings, "zone = zone-a\n", "", 1) +
 			"[timing]\nheartbeat = 200\n[limits]\nmemry = 1GiB\n"
 		var reasons []settings.Reason
 		for _, f := range faultsOf(text) {
@@ -78,40 +78,40 @@
 		Expect(reasons).To(ConsistOf(settings.ReasonMissing, settings.ReasonUnit, settings.ReasonUnknownKey))
 	})
 
-	DescribeTable("refuses", func(extra string, reason settings.Reason) {
-		faults := faultsOf(validEntry + extra)
+	DescribeTable("rejects", func(extra string, reason settings.Reason) {
+		faults := faultsOf(validEntrySettings + extra)
 		Expect(faults).To(HaveLen(1))
 		Expect(faults[0].Reason).To(Equal(reason))
 	},
 		Entry("an unknown section", "[tming]\nheartbeat = 1s\n", settings.ReasonUnknownSection),
-		Entry("a key given twice", "[limits]\nmemory = 1GiB\nmemory = 1GiB\n", settings.ReasonDuplicateKey),
+		Entry("a duplicate key", "[limits]\nmemory = 1GiB\nmemory = 1GiB\n", settings.ReasonDuplicateKey),
 		Entry("a size without unit", "[limits]\nmemory = 1000000000\n", settings.ReasonUnit),
 		Entry("a size out of range", "[limits]\nmemory = 1MiB\n", settings.ReasonRange),
 		Entry("a size that overflows", "[limits]\nmemory = 9223372036854775807GiB\n", settings.ReasonType),
-		Entry("a word for a number", "[limits]\nqueue_per_service = many\n", settings.ReasonType),
+		Entry("text instead of a number", "[limits]\nqueue_per_service = many\n", settings.ReasonType),
 		Entry("a host name", "[operator]\nlisten = localhost:80\n", settings.ReasonType),
-		Entry("a lease of two heartbeats", "[timing]\nheartbeat = 1s\nlease_ttl = 2s\n", settings.ReasonInconsistent),
-		Entry("a drain beyond the shutdown limit", "[timing]\ndrain_limit = 2m\n", settings.ReasonInconsistent),
-		Entry("a line that is no key", "nonsense\n", settings.ReasonSyntax),
+		Entry("a lease shorter than three heartbeats", "[timing]\nheartbeat = 1s\nlease_ttl = 2s\n", settings.ReasonInconsistent),
+		Entry("a drain limit that exceeds the shutdown limit", "[timing]\ndrain_limit = 2m\n", settings.ReasonInconsistent),
+		Entry("a line that is not a key", "nonsense\n", settings.ReasonSyntax),
 	)
 
-	It("checks every kind", func() {
+	It("parses lists, booleans and ratios", func() {
 		table := settings.Table{Keys: []settings.Key{
 			{Section: "s", Name: "list", Kind: settings.KindList},
 			{Section: "s", Name: "on", Kind: settings.KindBool, Default: "false"},
 			{Section: "s", Name: "ratio", Kind: settings.KindRatio, Default: "0.5"},
 			{Section: "s", Name: "text", Kind: settings.KindString},
 		}}
-		v, err := settings.Load(write("[s]\nlist = a, b\non = true\n"), table)
+		v, err := settings.Load(writeSettings("[s]\nlist = a, b\non = true\n"), table)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(v.List("s", "list")).To(Equal([]string{"a", "b"}))
 		Expect(v.Bool("s", "on")).To(BeTrue())
 		Expect(v.Ratio("s", "ratio")).To(Equal(0.5))
-		_, err = settings.Load(write("[s]\non = yes\nratio = 1.5\n"), table)
+		_, err = settings.Load(writeSettings("[s]\non = yes\nratio = 1.5\n"), table)
 		Expect(err).To(MatchError(And(ContainSubstring("wrong_type"), ContainSubstring("out_of_range"))))
 	})
 
-	It("prints a reference that names every key and its default", func() {
+	It("prints a reference with every key and its default", func() {
 		var b strings.Builder
 		Expect(settings.ControlTable().Reference(&b)).To(Succeed())
 		for _, k := range settings.ControlTable().Keys {
@@ -121,7 +121,7 @@
 		Expect(b.String()).NotTo(ContainSubstring("queue_per_service"))
 	})
 
-	It("reports a file that is not there or never ends", func() {
+	It("reports a file that is missing or exceeds the size limit", func() {
 		for _, path := range []string{"/nonexistent/control.ini", "/dev/zero"} {
 			_, err := settings.LoadControl(path)
 			Expect(err).To(MatchError(ContainSubstring("unreadable_file")))
--- a/internal/settings/table.go
+++ b/internal/settings/table.go
@@ -1,6 +1,8 @@
-// Package settings reads a daemon's INI settings. One table per daemon lists
-// every key with its type, unit, default and range; loading, checking and the
-// printed reference all work from that table, so they cannot disagree.
+// Package settings parses and checks the INI settings file of a daemon. A table
+// per daemon declares every key with its type, unit, default and range; loading,
+// checking and the printed reference all use that table, so they cannot disagree.
+// The daemons call it at startup, and cyclamenctl to check files before a
+// rollout and to print the reference.
 package settings
 
 import (
@@ -9,7 +11,7 @@
 	"strings"
 )
 
-// Kind is the type of a key's value.
+// Kind is the type of a key's value, under the name that the reference prints.
 type Kind string
 
 // Kinds of values.
@@ -28,39 +30,41 @@
 	KindRatio    Kind = "ratio"
 )
 
-// Key describes one key.
+// Key declares one key.
 type Key struct {
 	Section string
 	Name    string
 	Kind    Kind
-	// Default is written as in a file. A key that is not Required takes it
-	// when it is absent.
+	// Default is the value of an absent key that is not Required, as written in
+	// a file.
 	Default  string
 	Required bool
-	// Optional keys have no default: an absent address stays invalid, and the
-	// settings' user derives it from another key.
+	// Optional marks an address without a default: if the key is absent its
+	// value is the zero AddrPort, and the code that loads the settings either
+	// derives the address from another key or does without it.
 	Optional bool
-	// Unit is for the reference; Kind decides how a value is parsed.
+	// Unit is only printed in the reference; Kind determines how a value is
+	// parsed.
 	Unit string
-	// Min and Max bound a number, in nanoseconds for a duration and in bytes
-	// for a size. Max 0 means no upper bound.
+	// Min and Max bound a number: nanoseconds for a duration, bytes for a size.
+	// A Max of 0 means no upper bound.
 	Min, Max int64
 	Doc      string
 }
 
-// Check is a rule over several keys. It runs only where every key is valid by
+// Check is a rule over several keys. It runs only if every key is valid by
 // itself.
 type Check func(Values) []Fault
 
-// Table is every key that one daemon knows.
+// Table declares the settings of one daemon.
 type Table struct {
-	// Daemon names the program in the reference.
+	// Daemon is the name of the program, as printed in the reference.
 	Daemon string
 	Keys   []Key
 	Checks []Check
 }
 
-func (t Table) find(section, name string) (Key, bool) {
+func (t Table) findKey(section, name string) (Key, bool) {
 	for _, k := range t.Keys {
 		if k.Section == section && k.Name == name {
 			return k, true
@@ -78,8 +82,8 @@
 	return false
 }
 
-// Reference writes every key with its meaning, unit, range and default as an
-// INI file. Optional keys are commented out with their default.
+// Reference writes an INI file that documents every key with its description,
+// unit, range and default. Keys that are not required are commented out.
 func (t Table) Reference(w io.Writer) error {
 	var b strings.Builder
 	fmt.Fprintf(&b, "; Settings of %s.\n", t.Daemon)
@@ -89,19 +93,19 @@
 			section = k.Section
 			fmt.Fprintf(&b, "\n[%s]\n", section)
 		}
-		k.describe(&b)
+		k.writeReference(&b)
 	}
 	_, err := io.WriteString(w, b.String())
 	return err
 }
 
-func (k Key) describe(b *strings.Builder) {
+func (k Key) writeReference(b *strings.Builder) {
 	fmt.Fprintf(b, "; %s\n; Type: %s", k.Doc, k.Kind)
 	if k.Unit != "" {
 		fmt.Fprintf(b, ", unit: %s", k.Unit)
 	}
-	if bounds := k.bounds(); bounds != "" {
-		fmt.Fprintf(b, ", range: %s", bounds)
+	if valueRange := k.rangeText(); valueRange != "" {
+		fmt.Fprintf(b, ", range: %s", valueRange)
 	}
 	if k.Required {
 		fmt.Fprintf(b, ", required.\n%s =\n", k.Name)
@@ -110,8 +114,9 @@
 	fmt.Fprintf(b, ".\n;%s = %s\n", k.Name, k.Default)
 }
 
-// bounds renders the range as it would be written in a file.
-func (k Key) bounds() string {
+// rangeText returns the allowed range in the notation of a settings file; empty
+// if there is none.
+func (k Key) rangeText() string {
 	if k.Kind == KindRatio {
 		return "0 to 1"
 	}
@@ -119,7 +124,7 @@
 		return ""
 	}
 	if k.Max == 0 {
-		return "at least " + k.render(k.Min)
+		return "at least " + k.format(k.Min)
 	}
-	return k.render(k.Min) + " to " + k.render(k.Max)
+	return k.format(k.Min) + " to " + k.format(k.Max)
 }
--- a/internal/settings/values.go
+++ b/internal/settings/values.go
@@ -8,15 +8,16 @@
 
 type keyID struct{ section, key string }
 
-// Values holds every key of a table, checked.
+// Values holds the checked value of every key of a table.
 type Values struct {
-	m map[keyID]any
+	byKey map[keyID]any
 }
 
-// get panics on a key that the table lacks: no file can cause that, and the
-// test that loads each daemon's settings meets it.
+// get panics if the table does not declare the key with this type. No settings
+// file can cause that, and loading the settings of the daemon in a test reveals
+// it.
 func get[T any](v Values, section, key, wanted string) T {
-	value, ok := v.m[keyID{section, key}].(T)
+	value, ok := v.byKey[keyID{section, key}].(T)
 	if !ok {
 		panic(&UndeclaredKeyError{Section: section, Key: key, Wanted: wanted})
 	}
@@ -26,7 +27,7 @@
 // String returns a string, name or path.
 func (v Values) String(section, key string) string { return get[string](v, section, key, "string") }
 
-// Int returns a whole number.
+// Int returns an integer.
 func (v Values) Int(section, key string) int { return int(get[int64](v, section, key, "integer")) }
 
 // Bytes returns a size in bytes.
@@ -37,7 +38,7 @@
 	return get[time.Duration](v, section, key, "duration")
 }
 
-// Addr returns an IP number and port.
+// Addr returns an IP address and port, invalid for an absent optional key.
 func (v Values) Addr(section, key string) netip.AddrPort {
 	return get[netip.AddrPort](v, section, key, "host:port")
 }
@@ -45,10 +46,10 @@
 // List returns a comma-separated list.
 func (v Values) List(section, key string) []string { return get[[]string](v, section, key, "list") }
 
-// Seeds returns a list of id@host:port.
+// Seeds returns a list of peers given as id@host:port.
 func (v Values) Seeds(section, key string) []Seed { return get[[]Seed](v, section, key, "seeds") }
 
-// URL returns a URL.
+// URL returns an http or https URL.
 func (v Values) URL(section, key string) *url.URL { return get[*url.URL](v, section, key, "URL") }
 
 // Bool returns a boolean.
