--- a/internal/manifest/errors.go
+++ b/internal/manifest/errors.go
@@ -6,7 +6,8 @@
 	"strings"
 )
 
-// Reason is the machine-readable cause of a fault. Values are stable.
+// Reason is the machine-readable code of a fault. Values are stable, because
+// operators' tools match them.
 type Reason string
 
 // Reasons of faults found while parsing.
@@ -43,39 +44,39 @@
 	ReasonNoClasses           Reason = "no_classes"
 )
 
-// Fault is one thing wrong with a manifest.
+// Fault is one error in a manifest.
 type Fault struct {
-	// Path names the field, such as pools[2].instances.ids[4]; empty for the
-	// document as a whole.
+	// Path is the field, such as pools[2].instances.ids[4]; empty for the whole
+	// document.
 	Path   string `json:"path,omitempty"`
 	Reason Reason `json:"reason"`
 	Detail string `json:"detail"`
-	// Line and Column count from 1 and are set by Parse only.
+	// Line and Column count from 1. They are set for errors of Parse only.
 	Line   int `json:"line,omitempty"`
 	Column int `json:"column,omitempty"`
 }
 
-// Position is a place in the document; line and column count from 1, columns
-// in bytes.
+// Position is a location in the document. Line and Column count from 1; Column
+// counts bytes.
 type Position struct{ Line, Column int }
 
 func (p Position) String() string { return fmt.Sprintf("line %d, column %d", p.Line, p.Column) }
 
-// EmptyError says that there is no document at all, as after a build that
-// wrote nothing.
+// EmptyError reports that there is no document, for example because a build step
+// wrote an empty file.
 type EmptyError struct{}
 
 func (e *EmptyError) Error() string { return "manifest: empty" }
 
-// TooLargeError says that the document exceeds MaxBytes. Bytes is how much of
-// it was read: readers stop early.
+// TooLargeError reports that the document exceeds MaxBytes. Bytes is the amount
+// read, which may be less than the whole document because readers stop early.
 type TooLargeError struct{ Bytes int }
 
 func (e *TooLargeError) Error() string {
 	return fmt.Sprintf("manifest: at least %d bytes, at most %d are allowed", e.Bytes, MaxBytes)
 }
 
-// SyntaxError says that the document is not JSON.
+// SyntaxError reports that the document is not valid JSON.
 type SyntaxError struct {
 	Position Position
 	Path     string
@@ -86,16 +87,16 @@
 	return fmt.Sprintf("manifest: %s: %s", e.Position, e.Detail)
 }
 
-// TrailingDataError says that something follows the document, as after two
-// files were joined.
+// TrailingDataError reports data after the end of the document, for example
+// because two files were concatenated.
 type TrailingDataError struct{ Position Position }
 
 func (e *TrailingDataError) Error() string {
 	return fmt.Sprintf("manifest: %s: data after the end of the document", e.Position)
 }
 
-// UnknownFieldError names a field that the format lacks. Ignoring it would
-// publish something other than what its author meant.
+// UnknownFieldError reports a field that the format does not define. Ignoring it
+// would publish something other than the author intended.
 type UnknownFieldError struct {
 	Position Position
 	Path     string
@@ -105,18 +106,18 @@
 	return fmt.Sprintf("manifest: %s: unknown field %s", e.Position, e.Path)
 }
 
-// DuplicateFieldError names a field given twice; the last one would win
-// silently.
+// DuplicateFieldError reports a duplicate field, of which the JSON library would
+// silently use the last.
 type DuplicateFieldError struct {
 	Position Position
 	Path     string
 }
 
 func (e *DuplicateFieldError) Error() string {
-	return fmt.Sprintf("manifest: %s: field %s is given twice", e.Position, e.Path)
+	return fmt.Sprintf("manifest: %s: duplicate field %s", e.Position, e.Path)
 }
 
-// TypeError names a field whose value has the wrong type.
+// TypeError reports a field whose value has the wrong type.
 type TypeError struct {
 	Position  Position
 	Path      string
@@ -129,8 +130,9 @@
 
 func (e *TypeError) detail() string { return fmt.Sprintf("want %s, got %s", e.Want, e.Got) }
 
-// UnencodableError says that a manifest made in memory holds a value that JSON
-// lacks, such as an infinite number. A parsed one never does.
+// UnencodableError reports that a manifest holds a value that JSON cannot
+// represent, such as an infinite number. This can only happen to a manifest built
+// in memory, not to a parsed one.
 type UnencodableError struct{ Cause error }
 
 func (e *UnencodableError) Error() string { return "manifest: cannot be encoded: " + e.Cause.Error() }
@@ -138,7 +140,7 @@
 // Unwrap returns the cause.
 func (e *UnencodableError) Unwrap() error { return e.Cause }
 
-// FaultsError lists everything that Validate found.
+// FaultsError lists all faults that Validate found.
 type FaultsError struct{ Faults []Fault }
 
 func (e *FaultsError) Error() string {
@@ -150,40 +152,40 @@
 	return b.String()
 }
 
-// Faults turns any error of this package into one list, for printing and for
-// records. It is nil for errors of others.
+// Faults converts any error of this package to a list of faults, for output and
+// log records. It returns nil for other errors.
 func Faults(err error) []Fault {
 	var (
 		empty     *EmptyError
-		large     *TooLargeError
+		tooLarge  *TooLargeError
 		syntax    *SyntaxError
 		trailing  *TrailingDataError
 		unknown   *UnknownFieldError
 		duplicate *DuplicateFieldError
-		kind      *TypeError
+		wrongType *TypeError
 		faults    *FaultsError
 	)
 	switch {
 	case errors.As(err, &empty):
-		return []Fault{{Reason: ReasonEmpty, Detail: "there is no document"}}
-	case errors.As(err, &large):
-		return []Fault{{Reason: ReasonTooLarge, Detail: large.Error()}}
+		return []Fault{{Reason: ReasonEmpty, Detail: "the document is empty"}}
+	case errors.As(err, &tooLarge):
+		return []Fault{{Reason: ReasonTooLarge, Detail: tooLarge.Error()}}
 	case errors.As(err, &syntax):
-		return []Fault{located(syntax.Position, syntax.Path, ReasonSyntax, syntax.Detail)}
+		return []Fault{faultAt(syntax.Position, syntax.Path, ReasonSyntax, syntax.Detail)}
 	case errors.As(err, &trailing):
-		return []Fault{located(trailing.Position, "", ReasonTrailingData, "data after the end of the document")}
+		return []Fault{faultAt(trailing.Position, "", ReasonTrailingData, "data after the end of the document")}
 	case errors.As(err, &unknown):
-		return []Fault{located(unknown.Position, unknown.Path, ReasonUnknownField, "the format has no such field")}
+		return []Fault{faultAt(unknown.Position, unknown.Path, ReasonUnknownField, "the manifest format does not define this field")}
 	case errors.As(err, &duplicate):
-		return []Fault{located(duplicate.Position, duplicate.Path, ReasonDuplicateField, "the field is given twice")}
-	case errors.As(err, &kind):
-		return []Fault{located(kind.Position, kind.Path, ReasonWrongType, kind.detail())}
+		return []Fault{faultAt(duplicate.Position, duplicate.Path, ReasonDuplicateField, "the field occurs more than once")}
+	case errors.As(err, &wrongType):
+		return []Fault{faultAt(wrongType.Position, wrongType.Path, ReasonWrongType, wrongType.detail())}
 	case errors.As(err, &faults):
 		return faults.Faults
 	}
 	return nil
 }
 
-func located(p Position, path string, reason Reason, detail string) Fault {
+func faultAt(p Position, path string, reason Reason, detail string) Fault {
 	return Fault{Path: path, Reason: reason, Detail: detail, Line: p.Line, Column: p.Column}
 }
--- a/internal/manifest/manifest.go
+++ b/internal/manifest/manifest.go
@@ -1,25 +1,28 @@
-// Package manifest holds what operators publish: pools, the instances that
-// belong in them, jobs, availability budgets, request classes and quotas. It
-// parses strictly, and names the field of every fault.
+// Package manifest defines the document in which operators declare the desired
+// state of a deployment: pools and their instances, jobs, availability budgets,
+// request classes and team quotas. It parses and validates a JSON manifest
+// strictly, reporting the field of every fault, and decides which published
+// manifest is in force. cyclamenctl validates manifests with it before it
+// publishes them, and the replicated state in fleetlog applies those published.
 package manifest
 
-// Version of the format that this package reads.
+// Version is the manifest format version that this package supports.
 const Version = 1
 
-// Limits of a manifest. They bound what a reader of the log must hold.
+// Limits of a manifest. They bound the memory that a reader of the log needs.
 const (
-	// MaxBytes bounds a manifest: 33 pools and 330 teams take about 120 KB;
-	// the rest is room for explicit instance lists of 11,000 ids.
+	// MaxBytes is the maximum size of a manifest: 33 pools and 330 teams take
+	// about 120 KB; the rest allows for explicit lists of 11,000 instance ids.
 	MaxBytes = 1 << 20
-	// MaxNameLen bounds every name.
+	// MaxNameLen is the maximum length of a name in bytes.
 	MaxNameLen = 63
 )
 
-// Manifest is one deployment's wanted state.
+// Manifest is the desired state of one deployment.
 type Manifest struct {
 	Version int `json:"version"`
-	// Deployment names the user's fleet; publishing one deployment's manifest
-	// on another's log is refused.
+	// Deployment is the name of the deployment; publishing the manifest to the
+	// log of another deployment is rejected.
 	Deployment string    `json:"deployment"`
 	Pools      []Pool    `json:"pools"`
 	Services   []Service `json:"services"`
@@ -32,11 +35,11 @@
 	Name      string    `json:"name"`
 	Instances Selection `json:"instances"`
 	Jobs      []Job     `json:"jobs,omitempty"`
-	// Maintenance names the revision every instance of the pool must have.
+	// Maintenance holds the revision that every instance of the pool must reach.
 	Maintenance Maintenance `json:"maintenance"`
 }
 
-// Selection says which instances belong in a pool: by id, or by count and
+// Selection determines the instances of a pool, either by id or by count and
 // selector. Exactly one of IDs and Count is set.
 type Selection struct {
 	IDs    []string  `json:"ids,omitempty"`
@@ -44,24 +47,25 @@
 	Select *Selector `json:"select,omitempty"`
 }
 
-// Selector restricts which instances may be counted; an empty field allows
-// all.
+// Selector restricts the instances that a count may select; an empty field
+// allows all.
 type Selector struct {
 	Zones []string `json:"zones,omitempty"`
 	Racks []string `json:"racks,omitempty"`
-	// Accelerators is the least number an instance must carry.
+	// Accelerators is the minimum number that an instance must have.
 	Accelerators int `json:"accelerators,omitempty"`
 }
 
-// Maintenance is raised by publishing a higher revision. A wave takes every
-// instance of the pool through drain and reboot, within budget.
+// Maintenance requests maintenance of a pool. Publishing a higher revision starts
+// a maintenance wave, which drains and reboots every instance of the pool within
+// its availability budgets.
 type Maintenance struct {
 	Revision int `json:"revision,omitempty"`
-	// Paused halts the pool's wave: no further instance is drained.
+	// Paused suspends the pool's wave: no further instance is drained.
 	Paused bool `json:"paused,omitempty"`
 }
 
-// Priority orders work under pressure.
+// Priority ranks work when capacity is short.
 type Priority string
 
 // Priorities.
@@ -70,48 +74,48 @@
 	PriorityUrgent Priority = "urgent"
 )
 
-// Job is work placed on a pool's instances.
+// Job is a set of equal tasks that are placed on a pool's instances.
 type Job struct {
 	Name  string `json:"name"`
 	Team  string `json:"team,omitempty"`
 	Tasks int    `json:"tasks"`
-	// Cores, MemoryMB and Accelerators are declared per task. They are only an
-	// estimate until usage has been reported.
+	// Cores, MemoryMB and Accelerators are declared per task. They serve as an
+	// estimate until usage is reported.
 	Cores        float64  `json:"cores"`
 	MemoryMB     int      `json:"memory_mb"`
 	Accelerators int      `json:"accelerators,omitempty"`
 	Priority     Priority `json:"priority,omitempty"`
-	// DurationMillis is the declared run time; 0 for a job that runs for ever.
+	// DurationMillis is the declared run time; 0 for a job that never ends.
 	DurationMillis int64 `json:"duration_ms,omitempty"`
 }
 
-// Service is what callers name; one pool answers it.
+// Service is the target that callers address; one pool handles its requests.
 type Service struct {
 	Name string `json:"name"`
 	Pool string `json:"pool"`
-	// MinAvailable is the availability budget: the number of the pool's
-	// instances that must be serving whatever the system does of its own.
+	// MinAvailable is the availability budget: the number of the pool's instances
+	// that voluntary operations such as moves and maintenance must leave serving.
 	MinAvailable int     `json:"min_available"`
 	Classes      []Class `json:"classes"`
 }
 
-// Class tells how a kind of request is to be treated. The first class whose
-// method and path prefix match a request applies.
+// Class determines how requests with certain methods and paths are handled. The
+// first class whose methods and path prefix match a request applies.
 type Class struct {
 	Name string `json:"name"`
-	// Methods that the class covers; empty for all.
+	// Methods lists the HTTP methods of the class; empty means all.
 	Methods []string `json:"methods,omitempty"`
-	// PathPrefix below the service's own path; empty for all.
+	// PathPrefix is relative to the service's own path; empty matches all paths.
 	PathPrefix string `json:"path_prefix,omitempty"`
-	// Idempotent requests may be sent again after a failure. Others are sent
-	// at most once.
+	// Idempotent requests may be retried after a failure. Others are sent at most
+	// once.
 	Idempotent bool     `json:"idempotent"`
 	Priority   Priority `json:"priority,omitempty"`
-	// DeadlineMillis is how long a caller waits at the most.
+	// DeadlineMillis is the maximum time that a caller waits for the response.
 	DeadlineMillis int64 `json:"deadline_ms"`
 }
 
-// Team owns jobs and may not use more than its quota of all pools together.
+// Team owns jobs and has a quota that limits its use of all pools together.
 type Team struct {
 	Name         string  `json:"name"`
 	Cores        float64 `json:"cores"`
@@ -119,8 +123,7 @@
 	Accelerators int     `json:"accelerators,omitempty"`
 }
 
-// FailureDomain is the largest group of instances whose loss the buffer must
-// cover.
+// FailureDomain is a group of instances that can fail together.
 type FailureDomain string
 
 // Failure domains.
@@ -130,12 +133,14 @@
 	DomainZone     FailureDomain = "zone"
 )
 
-// Buffer sizes the spare capacity shared by all pools.
+// Buffer determines the size of the spare capacity shared by all pools.
 type Buffer struct {
-	// Survive names the failure domain whose loss must leave every service
-	// within its budget once spares have moved in.
+	// Survive is the largest failure domain whose loss the buffer must cover:
+	// every service must be within its budget once spares have replaced the lost
+	// instances.
 	Survive FailureDomain `json:"survive"`
-	// WaveParallel bounds the instances drained at a time over all pools.
-	// More is a faster roll-out and a larger buffer. 0 takes the default.
+	// WaveParallel is the maximum number of instances drained at a time over all
+	// pools. A higher number makes waves faster and the buffer larger. 0 means the
+	// default.
 	WaveParallel int `json:"wave_parallel,omitempty"`
 }
--- a/internal/manifest/manifest_test.go
+++ b/internal/manifest/manifest_test.go
@@ -19,7 +19,7 @@
 	RunSpecs(t, "manifest")
 }
 
-func valid() *manifest.Manifest {
+func validManifest() *manifest.Manifest {
 	read := manifest.Class{Name: "read", Methods: []string{"GET"}, Idempotent: true, DeadlineMillis: 1000}
 	write := manifest.Class{Name: "write", DeadlineMillis: 1000}
 	return &manifest.Manifest{
@@ -38,7 +38,7 @@
 	}
 }
 
-func noise(n int) []byte {
+func randomBytes(n int) []byte {
 	data := make([]byte, n)
 	r := rand.New(rand.NewPCG(1, 2))
 	for i := range data {
@@ -48,7 +48,7 @@
 }
 
 var _ = Describe("Parse", func() {
-	It("reads the examples, each within the fleet of 52 workers", func() {
+	It("reads the examples, each within a fleet of 52 instances", func() {
 		files, err := filepath.Glob("../../examples/*/manifest*.json")
 		Expect(err).NotTo(HaveOccurred())
 		Expect(files).To(HaveLen(4))
@@ -66,60 +66,60 @@
 		}
 	})
 
-	DescribeTable("refuses, and names the place", func(text string, want manifest.Fault) {
+	DescribeTable("rejects, with the position of the fault", func(text string, want manifest.Fault) {
 		_, err := manifest.Parse([]byte(text))
 		faults := manifest.Faults(err)
 		Expect(faults).To(HaveLen(1), "%v", err)
 		want.Detail = faults[0].Detail
 		Expect(faults[0]).To(Equal(want))
 	},
-		Entry("nothing", " \n", manifest.Fault{Reason: manifest.ReasonEmpty}),
-		Entry("broken JSON", "{\n \"version\": 1,,\n}",
+		Entry("an empty document", " \n", manifest.Fault{Reason: manifest.ReasonEmpty}),
+		Entry("invalid JSON", "{\n \"version\": 1,,\n}",
 			manifest.Fault{Reason: manifest.ReasonSyntax, Line: 2, Column: 15}),
-		Entry("a cut document", "{\"version\": 1",
+		Entry("a truncated document", "{\"version\": 1",
 			manifest.Fault{Reason: manifest.ReasonSyntax, Line: 1, Column: 14}),
 		Entry("a second document", "{}\n{}",
 			manifest.Fault{Reason: manifest.ReasonTrailingData, Line: 2, Column: 1}),
 		Entry("an unknown field", "{\"pools\": [{},\n {\"nmae\": 1}]}",
 			manifest.Fault{Path: "pools[1].nmae", Reason: manifest.ReasonUnknownField, Line: 2, Column: 3}),
-		Entry("a field in another case", "{\"Version\": 1}",
+		Entry("a field name in the wrong case", "{\"Version\": 1}",
 			manifest.Fault{Path: "Version", Reason: manifest.ReasonUnknownField, Line: 1, Column: 2}),
-		Entry("a field given twice", "{\"version\": 1, \"version\": 2}",
+		Entry("a duplicate field", "{\"version\": 1, \"version\": 2}",
 			manifest.Fault{Path: "version", Reason: manifest.ReasonDuplicateField, Line: 1, Column: 16}),
 		Entry("null", "{\"pools\": null}",
 			manifest.Fault{Path: "pools", Reason: manifest.ReasonWrongType, Line: 1, Column: 11}),
-		Entry("a fraction for a count", "{\"pools\": [{\"instances\": {\"count\": 1.5}}]}",
+		Entry("a fraction instead of an integer", "{\"pools\": [{\"instances\": {\"count\": 1.5}}]}",
 			manifest.Fault{Path: "pools[0].instances.count", Reason: manifest.ReasonWrongType, Line: 1, Column: 36}),
 		Entry("invalid UTF-8", "{\"deployment\": \"\xff\"}",
 			manifest.Fault{Reason: manifest.ReasonSyntax, Line: 1, Column: 17}),
 	)
 
-	It("refuses 2 MB of noise without reading it", func() {
-		_, err := manifest.Parse(noise(2 << 20))
-		var large *manifest.TooLargeError
-		Expect(errors.As(err, &large)).To(BeTrue())
-		Expect(large.Bytes).To(Equal(2 << 20))
+	It("rejects 2 MiB of random bytes by size", func() {
+		_, err := manifest.Parse(randomBytes(2 << 20))
+		var tooLarge *manifest.TooLargeError
+		Expect(errors.As(err, &tooLarge)).To(BeTrue())
+		Expect(tooLarge.Bytes).To(Equal(2 << 20))
 	})
 
-	It("refuses noise below the size limit as well", func() {
-		_, err := manifest.Parse(noise(manifest.MaxBytes))
+	It("rejects random bytes within the size limit", func() {
+		_, err := manifest.Parse(randomBytes(manifest.MaxBytes))
 		Expect(manifest.Faults(err)).To(HaveLen(1))
 	})
 })
 
 var _ = Describe("Validate", func() {
-	It("accepts a budget equal to the pool, since a spare can move in first", func() {
-		Expect(valid().Validate()).To(Succeed())
+	It("accepts a budget equal to the size of the pool, since a spare can be moved in first", func() {
+		Expect(validManifest().Validate()).To(Succeed())
 	})
 
-	DescribeTable("refuses", func(path string, reason manifest.Reason, change func(*manifest.Manifest)) {
-		m := valid()
+	DescribeTable("rejects", func(path string, reason manifest.Reason, change func(*manifest.Manifest)) {
+		m := validManifest()
 		change(m)
-		var places []string
+		var faults []string
 		for _, f := range manifest.Faults(m.Validate()) {
-			places = append(places, f.Path+" "+string(f.Reason))
+			faults = append(faults, f.Path+" "+string(f.Reason))
 		}
-		Expect(places).To(Equal([]string{path + " " + string(reason)}))
+		Expect(faults).To(Equal([]string{path + " " + string(reason)}))
 	},
 		Entry(nil, "version", manifest.ReasonUnsupportedVersion, func(m *manifest.Manifest) { m.Version = 2 }),
 		Entry(nil, "deployment", manifest.ReasonMalformedName, func(m *manifest.Manifest) { m.Deployment = "Port Louis" }),
@@ -158,7 +158,7 @@
 		Entry(nil, "buffer.survive", manifest.ReasonUnknownDomain, func(m *manifest.Manifest) { m.Buffer.Survive = "" }),
 	)
 
-	It("refuses an empty manifest and lists every fault at once", func() {
+	It("rejects an empty manifest and lists all faults", func() {
 		m, err := manifest.Parse([]byte("{}"))
 		Expect(err).NotTo(HaveOccurred())
 		var reasons []manifest.Reason
@@ -172,7 +172,7 @@
 
 var _ = Describe("queries", func() {
 	It("finds pools, services and the strictest budget", func() {
-		m := valid()
+		m := validManifest()
 		Expect(m.MinAvailable("tabs")).To(Equal(2))
 		Expect(m.MinAvailable("audit")).To(BeZero())
 		Expect(m.ServicesOf("tabs")).To(HaveLen(2))
@@ -194,7 +194,7 @@
 		Expect(ok).To(BeTrue())
 	})
 
-	It("hashes content, not layout", func() {
+	It("hashes the content independently of the layout", func() {
 		a, err := manifest.Parse([]byte(`{"version":1,"deployment":"d","services":[]}`))
 		Expect(err).NotTo(HaveOccurred())
 		b, err := manifest.Parse([]byte("{ \"deployment\": \"d\",\n\"version\": 1}"))
@@ -215,30 +215,30 @@
 	return hash
 }
 
-// FuzzParse checks that no input panics, that every refusal is typed, and that
-// what was read is read again unchanged.
+// FuzzParse checks that no input causes a panic, that every error has a type of this
+// package, and that a parsed manifest is unchanged after encoding and parsing.
 func FuzzParse(f *testing.F) {
 	f.Add([]byte(strings.Repeat("[", 20_000)))
 	f.Fuzz(func(t *testing.T, data []byte) {
 		m, err := manifest.Parse(data)
 		if err != nil {
 			if len(manifest.Faults(err)) == 0 {
-				t.Fatalf("untyped refusal: %v", err)
+				t.Fatalf("untyped parse error: %v", err)
 			}
 			return
 		}
 		if err := m.Validate(); err != nil && len(manifest.Faults(err)) == 0 {
-			t.Fatalf("untyped fault: %v", err)
+			t.Fatalf("untyped validation error: %v", err)
 		}
 		encoded, err := m.Encode()
 		if err != nil {
 			t.Fatalf("encode: %v", err)
 		}
-		again, err := manifest.Parse(encoded)
+		reparsed, err := manifest.Parse(encoded)
 		if err != nil && len(encoded) <= manifest.MaxBytes {
-			t.Fatalf("own encoding refused: %v", err)
+			t.Fatalf("encoded manifest rejected: %v", err)
 		}
-		if err == nil && hashOf(t, again) != hashOf(t, m) {
+		if err == nil && hashOf(t, reparsed) != hashOf(t, m) {
 			t.Fatalf("changed by a round trip: %s", encoded)
 		}
 	})
--- a/internal/manifest/parse.go
+++ b/internal/manifest/parse.go
@@ -8,27 +8,28 @@
 	"unicode/utf8"
 )
 
-// jsonSpace is what JSON allows between values.
-const jsonSpace = " \t\r\n"
+// jsonWhitespace is the whitespace that JSON allows between tokens.
+const jsonWhitespace = " \t\r\n"
 
-// Parse reads one JSON document strictly: exact field names, each at most
-// once, nothing after the end. It says nothing of the content; see Validate.
+// Parse parses one JSON document strictly: field names must match exactly, fields
+// must not repeat, and no data may follow the document. It does not check the
+// values; see Validate.
 func Parse(data []byte) (*Manifest, error) {
 	if len(data) > MaxBytes {
 		return nil, &TooLargeError{Bytes: len(data)}
 	}
-	if len(bytes.Trim(data, jsonSpace)) == 0 {
+	if len(bytes.Trim(data, jsonWhitespace)) == 0 {
 		return nil, &EmptyError{}
 	}
-	if err := checkEncoding(data); err != nil {
+	if err := checkUTF8(data); err != nil {
 		return nil, err
 	}
-	if err := checkShape(data); err != nil {
+	if err := checkStructure(data); err != nil {
 		return nil, err
 	}
 	var m Manifest
 	if err := json.Unmarshal(data, &m); err != nil {
-		return nil, decodeError(data, err)
+		return nil, wrapDecodeError(data, err)
 	}
 	return &m, nil
 }
@@ -45,9 +46,9 @@
 	return m, nil
 }
 
-// checkEncoding refuses invalid UTF-8, which the JSON library would replace:
-// two different names could then become the same one.
-func checkEncoding(data []byte) error {
+// checkUTF8 rejects invalid UTF-8. The JSON library would replace it, which could
+// make two different names equal.
+func checkUTF8(data []byte) error {
 	for i := 0; i < len(data); {
 		r, size := utf8.DecodeRune(data[i:])
 		if r == utf8.RuneError && size == 1 {
@@ -58,23 +59,25 @@
 	return nil
 }
 
-// checkShape finds the end of the first value, so that a second document is
-// told from a broken first one, and then walks it against the types.
-func checkShape(data []byte) error {
+// checkStructure checks that the data is a single JSON value that fits the manifest
+// types. It looks for the end of the first value first, to distinguish trailing
+// data from a syntax error inside the document.
+func checkStructure(data []byte) error {
 	dec := json.NewDecoder(bytes.NewReader(data))
 	var document json.RawMessage
 	if err := dec.Decode(&document); err != nil {
-		return decodeError(data, err)
+		return wrapDecodeError(data, err)
 	}
 	end := dec.InputOffset()
-	if rest := bytes.TrimLeft(data[end:], jsonSpace); len(rest) > 0 {
+	if rest := bytes.TrimLeft(data[end:], jsonWhitespace); len(rest) > 0 {
 		return &TrailingDataError{Position: positionOf(data, int64(len(data)-len(rest)))}
 	}
-	return newWalker(data).document()
+	return newWalker(data).checkDocument()
 }
 
-// decodeError gives the JSON library's errors a type of this package.
-func decodeError(data []byte, err error) error {
+// wrapDecodeError converts errors of the JSON library to error types of this
+// package.
+func wrapDecodeError(data []byte, err error) error {
 	var syntax *json.SyntaxError
 	var kind *json.UnmarshalTypeError
 	switch {
@@ -83,7 +86,7 @@
 	case errors.As(err, &kind):
 		return &TypeError{Position: positionOf(data, kind.Offset), Path: kind.Field, Want: kind.Type.String(), Got: kind.Value}
 	case errors.Is(err, io.ErrUnexpectedEOF):
-		return &SyntaxError{Position: positionOf(data, int64(len(data))), Detail: "the document ends too early"}
+		return &SyntaxError{Position: positionOf(data, int64(len(data))), Detail: "unexpected end of the document"}
 	}
 	return &SyntaxError{Position: positionOf(data, 0), Detail: err.Error()}
 }
--- a/internal/manifest/query.go
+++ b/internal/manifest/query.go
@@ -8,7 +8,7 @@
 	"strings"
 )
 
-// Size is the number of instances that the selection asks for.
+// Size is the number of instances that the selection requires.
 func (s Selection) Size() int {
 	if len(s.IDs) > 0 {
 		return len(s.IDs)
@@ -16,7 +16,7 @@
 	return s.Count
 }
 
-// ForPool returns the pool of that name.
+// ForPool returns the pool with this name.
 func (m *Manifest) ForPool(name string) (*Pool, bool) {
 	for i := range m.Pools {
 		if m.Pools[i].Name == name {
@@ -26,7 +26,7 @@
 	return nil, false
 }
 
-// ForService returns the service of that name.
+// ForService returns the service with this name.
 func (m *Manifest) ForService(name string) (*Service, bool) {
 	for i := range m.Services {
 		if m.Services[i].Name == name {
@@ -36,7 +36,7 @@
 	return nil, false
 }
 
-// ServicesOf returns the services that the pool answers.
+// ServicesOf returns the services whose requests the pool handles.
 func (m *Manifest) ServicesOf(pool string) []*Service {
 	var services []*Service
 	for i := range m.Services {
@@ -47,8 +47,8 @@
 	return services
 }
 
-// MinAvailable is the strictest availability budget of the pool's services; 0
-// for a pool that answers none.
+// MinAvailable returns the strictest availability budget of the pool's services; 0
+// for a pool without services.
 func (m *Manifest) MinAvailable(pool string) int {
 	strictest := 0
 	for _, s := range m.ServicesOf(pool) {
@@ -57,9 +57,9 @@
 	return strictest
 }
 
-// ClassFor returns the first class whose methods and path prefix match. path
-// is below the service's own path. A request that no class matches is unknown
-// to the manifest; the caller must not take it for idempotent.
+// ClassFor returns the first class whose methods and path prefix match. path is
+// relative to the service's own path. If no class matches, the caller must not
+// treat the request as idempotent.
 func (s *Service) ClassFor(method, path string) (*Class, bool) {
 	for i := range s.Classes {
 		if s.Classes[i].matches(method, path) {
@@ -73,12 +73,12 @@
 	if len(c.Methods) > 0 && !slices.Contains(c.Methods, method) {
 		return false
 	}
-	return underPrefix(path, c.PathPrefix)
+	return hasPathPrefix(path, c.PathPrefix)
 }
 
-// underPrefix compares whole path segments: a class for /charge must not apply
-// to /charges, which may differ in whether it is idempotent.
-func underPrefix(path, prefix string) bool {
+// hasPathPrefix reports whether path begins with the whole segments of prefix: a
+// class for /charge must not apply to /charges, which may not be idempotent.
+func hasPathPrefix(path, prefix string) bool {
 	prefix = strings.Trim(prefix, "/")
 	path = strings.TrimLeft(path, "/")
 	if prefix == "" {
@@ -88,14 +88,14 @@
 	return ok && (rest == "" || rest[0] == '/')
 }
 
-// Encode returns the canonical document, which Parse takes again. Lists that
-// are nil become empty ones: Parse refuses null.
+// Encode returns the canonical JSON document, which Parse accepts. Nil lists are
+// encoded as empty lists, because Parse rejects null.
 func (m *Manifest) Encode() ([]byte, error) {
 	canonical := *m
-	canonical.Pools = orEmpty(m.Pools)
-	canonical.Services = orEmpty(slices.Clone(m.Services))
+	canonical.Pools = nonNil(m.Pools)
+	canonical.Services = nonNil(slices.Clone(m.Services))
 	for i := range canonical.Services {
-		canonical.Services[i].Classes = orEmpty(canonical.Services[i].Classes)
+		canonical.Services[i].Classes = nonNil(canonical.Services[i].Classes)
 	}
 	data, err := json.Marshal(&canonical)
 	if err != nil {
@@ -104,8 +104,8 @@
 	return data, nil
 }
 
-// Hash identifies the content: documents that differ in layout only have the
-// same one.
+// Hash returns a hash of the content. Documents that differ only in layout have
+// the same hash.
 func (m *Manifest) Hash() (string, error) {
 	data, err := m.Encode()
 	if err != nil {
@@ -115,21 +115,21 @@
 	return hex.EncodeToString(sum[:]), nil
 }
 
-func orEmpty[T any](list []T) []T {
+func nonNil[T any](list []T) []T {
 	if list == nil {
 		return []T{}
 	}
 	return list
 }
 
-// PooledJob is a job with the pool that runs it.
+// PooledJob is a job together with the name of its pool.
 type PooledJob struct {
 	Job
 	Pool string
 }
 
-// JobsByName returns all jobs; their names are unique over all pools. A nil
-// manifest, before the first is in force, has none.
+// JobsByName returns all jobs by name; names are unique over all pools. It returns
+// an empty map for a nil manifest, that is, before the first one is in force.
 func (m *Manifest) JobsByName() map[string]PooledJob {
 	jobs := make(map[string]PooledJob)
 	if m == nil {
--- a/internal/manifest/validate.go
+++ b/internal/manifest/validate.go
@@ -5,48 +5,49 @@
 	"regexp"
 )
 
-// Limits of single fields. They catch slips of a generator, such as bytes
-// where megabytes are meant, before anything is planned with them.
+// Limits of single fields. They reject mistakes of a manifest generator, such as
+// bytes instead of megabytes, before they affect planning.
 const (
-	// MaxDeadlineMillis bounds how long a caller may be made to wait.
+	// MaxDeadlineMillis is the longest deadline of a request, ten minutes.
 	MaxDeadlineMillis = 600_000
-	// MaxPoolInstances is the largest fleet this is built for.
+	// MaxPoolInstances is the size of the largest supported fleet.
 	MaxPoolInstances = 11_000
-	// MaxTasks bounds the tasks of one job.
+	// MaxTasks is the maximum number of tasks of a job.
 	MaxTasks = 100_000
-	// MaxTaskCores is more than any worker has.
+	// MaxTaskCores exceeds the cores of any instance.
 	MaxTaskCores = 1024
 	// MaxTaskMemoryMB is 16 TiB.
 	MaxTaskMemoryMB = 16 << 20
-	// MaxAccelerators bounds the accelerators of a task or worker.
+	// MaxAccelerators is the maximum number of accelerators of a task or instance.
 	MaxAccelerators = 64
-	// MaxJobDurationMillis is thirty days.
+	// MaxJobDurationMillis is 30 days.
 	MaxJobDurationMillis = 30 * 24 * 3600 * 1000
-	// MaxQuotaFactor bounds a team's quota, as a multiple of one task's
-	// limits.
+	// MaxQuotaFactor bounds a team's quota as a multiple of the limits of one
+	// task.
 	MaxQuotaFactor = MaxPoolInstances
-	// MaxWaveParallel bounds the instances drained at a time.
+	// MaxWaveParallel is the maximum number of instances drained at a time.
 	MaxWaveParallel = 1000
-	// MaxRevision bounds a maintenance revision.
+	// MaxRevision is the highest maintenance revision.
 	MaxRevision = 1 << 30
 )
 
 var (
-	// nameForm suits a DNS label: names become parts of URLs and metrics.
-	nameForm = regexp.MustCompile(`^[a-z0-9]([a-z0-9-]*[a-z0-9])?$`)
-	// labelForm is for names that the platform gives: instances, zones, racks.
-	labelForm = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._-]*$`)
+	// namePattern matches DNS labels, because names become part of URLs and metric
+	// labels.
+	namePattern = regexp.MustCompile(`^[a-z0-9]([a-z0-9-]*[a-z0-9])?$`)
+	// labelPattern matches names assigned by the platform: instances, zones and racks.
+	labelPattern = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._-]*$`)
 )
 
-// Validate checks the content. The error is a *FaultsError that lists all
-// faults, each with its field.
+// Validate checks the values of the manifest. The error is a *FaultsError that lists
+// all faults, each with its field.
 func (m *Manifest) Validate() error {
-	v := &validator{m: m, owners: map[string]int{}, jobs: map[string]bool{}}
-	v.header()
-	v.teams()
-	v.pools()
-	v.services()
-	v.buffer()
+	v := &validator{m: m, poolOf: map[string]int{}, jobNames: map[string]bool{}}
+	v.checkHeader()
+	v.checkTeams()
+	v.checkPools()
+	v.checkServices()
+	v.checkBuffer()
 	if len(v.faults) > 0 {
 		return &FaultsError{Faults: v.faults}
 	}
@@ -56,84 +57,85 @@
 type validator struct {
 	m      *Manifest
 	faults []Fault
-	// owners maps an instance to the index of the pool that lists it.
-	owners map[string]int
-	// jobs holds names seen so far: a job is addressed without its pool.
-	jobs map[string]bool
+	// poolOf maps an instance id to the index of the pool that lists it.
+	poolOf map[string]int
+	// jobNames holds the job names seen so far over all pools, because jobs are
+	// addressed without their pool.
+	jobNames map[string]bool
 }
 
-func (v *validator) add(path string, reason Reason, format string, args ...any) {
+func (v *validator) addFault(path string, reason Reason, format string, args ...any) {
 	v.faults = append(v.faults, Fault{Path: path, Reason: reason, Detail: fmt.Sprintf(format, args...)})
 }
 
-func (v *validator) name(path, name string) {
-	if len(name) > MaxNameLen || !nameForm.MatchString(name) {
-		v.add(path, ReasonMalformedName, "%q: want 1 to %d of a-z, 0-9 and inner '-'", name, MaxNameLen)
+func (v *validator) checkName(path, name string) {
+	if len(name) > MaxNameLen || !namePattern.MatchString(name) {
+		v.addFault(path, ReasonMalformedName, "%q: want 1 to %d of a-z, 0-9 and inner '-'", name, MaxNameLen)
 	}
 }
 
-func (v *validator) label(path, label string) {
-	if len(label) > MaxNameLen || !labelForm.MatchString(label) {
-		v.add(path, ReasonMalformedName, "%q: want 1 to %d letters, digits, '.', '_' and '-'", label, MaxNameLen)
+func (v *validator) checkLabel(path, label string) {
+	if len(label) > MaxNameLen || !labelPattern.MatchString(label) {
+		v.addFault(path, ReasonMalformedName, "%q: want 1 to %d letters, digits, '.', '_' and '-'", label, MaxNameLen)
 	}
 }
 
-// unique reports name if seen holds it already.
-func (v *validator) unique(path, name string, seen map[string]bool) {
+// checkUnique adds a fault if seen already contains name, and adds name to seen.
+func (v *validator) checkUnique(path, name string, seen map[string]bool) {
 	if seen[name] {
-		v.add(path, ReasonDuplicateName, "%q is used before", name)
+		v.addFault(path, ReasonDuplicateName, "%q is already used", name)
 	}
 	seen[name] = true
 }
 
-func (v *validator) between(path string, n, low, high int64) {
+func (v *validator) checkRange(path string, n, low, high int64) {
 	if n < low || n > high {
-		v.add(path, ReasonOutOfRange, "%d is not between %d and %d", n, low, high)
+		v.addFault(path, ReasonOutOfRange, "%d is not between %d and %d", n, low, high)
 	}
 }
 
-func (v *validator) cores(path string, cores, high float64) {
+func (v *validator) checkCores(path string, cores, high float64) {
 	if !(cores > 0 && cores <= high) {
-		v.add(path, ReasonOutOfRange, "%g is not above 0 and at most %g", cores, high)
+		v.addFault(path, ReasonOutOfRange, "%g is not greater than 0 and at most %g", cores, high)
 	}
 }
 
-func (v *validator) priority(path string, p Priority) {
+func (v *validator) checkPriority(path string, p Priority) {
 	switch p {
 	case "", PriorityNormal, PriorityUrgent:
 	default:
-		v.add(path, ReasonUnknownPriority, "%q: want %q or %q", p, PriorityNormal, PriorityUrgent)
+		v.addFault(path, ReasonUnknownPriority, "%q: want %q or %q", p, PriorityNormal, PriorityUrgent)
 	}
 }
 
-func (v *validator) header() {
+func (v *validator) checkHeader() {
 	if v.m.Version != Version {
-		v.add("version", ReasonUnsupportedVersion, "%d: want %d", v.m.Version, Version)
+		v.addFault("version", ReasonUnsupportedVersion, "%d: want %d", v.m.Version, Version)
 	}
-	v.name("deployment", v.m.Deployment)
+	v.checkName("deployment", v.m.Deployment)
 	if len(v.m.Pools) == 0 {
-		v.add("pools", ReasonNoPools, "a manifest without pools would empty the fleet")
+		v.addFault("pools", ReasonNoPools, "a manifest without pools would empty the fleet")
 	}
 }
 
-func (v *validator) teams() {
+func (v *validator) checkTeams() {
 	seen := make(map[string]bool)
 	for i, t := range v.m.Teams {
-		path := index("teams", i)
-		v.name(join(path, "name"), t.Name)
-		v.unique(join(path, "name"), t.Name, seen)
-		v.cores(join(path, "cores"), t.Cores, MaxTaskCores*MaxQuotaFactor)
-		v.between(join(path, "memory_mb"), int64(t.MemoryMB), 1, MaxTaskMemoryMB*MaxQuotaFactor)
-		v.between(join(path, "accelerators"), int64(t.Accelerators), 0, MaxAccelerators*MaxQuotaFactor)
+		path := indexPath("teams", i)
+		v.checkName(joinPath(path, "name"), t.Name)
+		v.checkUnique(joinPath(path, "name"), t.Name, seen)
+		v.checkCores(joinPath(path, "cores"), t.Cores, MaxTaskCores*MaxQuotaFactor)
+		v.checkRange(joinPath(path, "memory_mb"), int64(t.MemoryMB), 1, MaxTaskMemoryMB*MaxQuotaFactor)
+		v.checkRange(joinPath(path, "accelerators"), int64(t.Accelerators), 0, MaxAccelerators*MaxQuotaFactor)
 	}
 }
 
-func (v *validator) buffer() {
+func (v *validator) checkBuffer() {
 	switch v.m.Buffer.Survive {
 	case DomainInstance, DomainRack, DomainZone:
 	default:
-		v.add("buffer.survive", ReasonUnknownDomain, "%q: want %q, %q or %q",
+		v.addFault("buffer.survive", ReasonUnknownDomain, "%q: want %q, %q or %q",
 			v.m.Buffer.Survive, DomainInstance, DomainRack, DomainZone)
 	}
-	v.between("buffer.wave_parallel", int64(v.m.Buffer.WaveParallel), 0, MaxWaveParallel)
+	v.checkRange("buffer.wave_parallel", int64(v.m.Buffer.WaveParallel), 0, MaxWaveParallel)
 }
--- a/internal/manifest/validate_pools.go
+++ b/internal/manifest/validate_pools.go
@@ -1,109 +1,109 @@
 package manifest
 
-func (v *validator) pools() {
+func (v *validator) checkPools() {
 	seen := make(map[string]bool)
 	for i := range v.m.Pools {
 		p := &v.m.Pools[i]
-		path := index("pools", i)
-		v.name(join(path, "name"), p.Name)
-		v.unique(join(path, "name"), p.Name, seen)
-		v.selection(join(path, "instances"), i, p.Instances)
-		v.between(join(path, "maintenance.revision"), int64(p.Maintenance.Revision), 0, MaxRevision)
+		path := indexPath("pools", i)
+		v.checkName(joinPath(path, "name"), p.Name)
+		v.checkUnique(joinPath(path, "name"), p.Name, seen)
+		v.checkSelection(joinPath(path, "instances"), i, p.Instances)
+		v.checkRange(joinPath(path, "maintenance.revision"), int64(p.Maintenance.Revision), 0, MaxRevision)
 		for j := range p.Jobs {
-			v.job(index(join(path, "jobs"), j), &p.Jobs[j])
+			v.checkJob(indexPath(joinPath(path, "jobs"), j), &p.Jobs[j])
 		}
 	}
 }
 
-func (v *validator) selection(path string, pool int, s Selection) {
+func (v *validator) checkSelection(path string, pool int, s Selection) {
 	switch {
 	case len(s.IDs) > 0 && s.Count != 0:
-		v.add(path, ReasonSelectionAmbiguous, "ids and count are both set; one of them decides")
+		v.addFault(path, ReasonSelectionAmbiguous, "ids and count are both set; set only one of them")
 	case len(s.IDs) == 0 && s.Count == 0:
-		v.add(path, ReasonSelectionMissing, "neither ids nor count is set")
+		v.addFault(path, ReasonSelectionMissing, "neither ids nor count is set")
 	}
 	if len(s.IDs) == 0 && s.Count != 0 {
-		v.between(join(path, "count"), int64(s.Count), 1, MaxPoolInstances)
+		v.checkRange(joinPath(path, "count"), int64(s.Count), 1, MaxPoolInstances)
 	}
-	v.ids(join(path, "ids"), pool, s.IDs)
+	v.checkIDs(joinPath(path, "ids"), pool, s.IDs)
 	if s.Select == nil {
 		return
 	}
 	if len(s.IDs) > 0 {
-		v.add(join(path, "select"), ReasonSelectorWithIDs, "a selector applies to count only")
+		v.addFault(joinPath(path, "select"), ReasonSelectorWithIDs, "a selector applies only to count")
 	}
-	v.selector(join(path, "select"), s.Select)
+	v.checkSelector(joinPath(path, "select"), s.Select)
 }
 
-// ids checks that an instance is listed once in all pools together: listed
-// twice, it would have two owners or be counted twice in a budget.
-func (v *validator) ids(path string, pool int, ids []string) {
+// checkIDs checks that no instance is listed twice over all pools: it would belong
+// to two pools or count twice in an availability budget.
+func (v *validator) checkIDs(path string, pool int, ids []string) {
 	if len(ids) > MaxPoolInstances {
-		v.add(path, ReasonOutOfRange, "%d instances, at most %d", len(ids), MaxPoolInstances)
+		v.addFault(path, ReasonOutOfRange, "%d instances, at most %d", len(ids), MaxPoolInstances)
 	}
 	for i, id := range ids {
-		v.label(index(path, i), id)
-		owner, listed := v.owners[id]
+		v.checkLabel(indexPath(path, i), id)
+		owner, listed := v.poolOf[id]
 		switch {
 		case listed && owner == pool:
-			v.add(index(path, i), ReasonInstanceTwiceInPool, "%q is listed before in this pool", id)
+			v.addFault(indexPath(path, i), ReasonInstanceTwiceInPool, "%q is already listed in this pool", id)
 		case listed:
-			v.add(index(path, i), ReasonInstanceInTwoPools, "%q is listed in pool %q as well", id, v.m.Pools[owner].Name)
+			v.addFault(indexPath(path, i), ReasonInstanceInTwoPools, "%q is already listed in pool %q", id, v.m.Pools[owner].Name)
 		default:
-			v.owners[id] = pool
+			v.poolOf[id] = pool
 		}
 	}
 }
 
-func (v *validator) selector(path string, s *Selector) {
-	v.labels(join(path, "zones"), s.Zones)
-	v.labels(join(path, "racks"), s.Racks)
-	v.between(join(path, "accelerators"), int64(s.Accelerators), 0, MaxAccelerators)
+func (v *validator) checkSelector(path string, s *Selector) {
+	v.checkLabels(joinPath(path, "zones"), s.Zones)
+	v.checkLabels(joinPath(path, "racks"), s.Racks)
+	v.checkRange(joinPath(path, "accelerators"), int64(s.Accelerators), 0, MaxAccelerators)
 }
 
-func (v *validator) labels(path string, labels []string) {
+func (v *validator) checkLabels(path string, labels []string) {
 	seen := make(map[string]bool)
 	for i, l := range labels {
-		v.label(index(path, i), l)
-		v.unique(index(path, i), l, seen)
+		v.checkLabel(indexPath(path, i), l)
+		v.checkUnique(indexPath(path, i), l, seen)
 	}
 }
 
-func (v *validator) job(path string, j *Job) {
-	v.name(join(path, "name"), j.Name)
-	v.unique(join(path, "name"), j.Name, v.jobs)
-	v.between(join(path, "tasks"), int64(j.Tasks), 1, MaxTasks)
-	v.cores(join(path, "cores"), j.Cores, MaxTaskCores)
-	v.between(join(path, "memory_mb"), int64(j.MemoryMB), 1, MaxTaskMemoryMB)
-	v.between(join(path, "accelerators"), int64(j.Accelerators), 0, MaxAccelerators)
-	v.between(join(path, "duration_ms"), j.DurationMillis, 0, MaxJobDurationMillis)
-	v.priority(join(path, "priority"), j.Priority)
-	v.quota(path, j)
+func (v *validator) checkJob(path string, j *Job) {
+	v.checkName(joinPath(path, "name"), j.Name)
+	v.checkUnique(joinPath(path, "name"), j.Name, v.jobNames)
+	v.checkRange(joinPath(path, "tasks"), int64(j.Tasks), 1, MaxTasks)
+	v.checkCores(joinPath(path, "cores"), j.Cores, MaxTaskCores)
+	v.checkRange(joinPath(path, "memory_mb"), int64(j.MemoryMB), 1, MaxTaskMemoryMB)
+	v.checkRange(joinPath(path, "accelerators"), int64(j.Accelerators), 0, MaxAccelerators)
+	v.checkRange(joinPath(path, "duration_ms"), j.DurationMillis, 0, MaxJobDurationMillis)
+	v.checkPriority(joinPath(path, "priority"), j.Priority)
+	v.checkQuota(path, j)
 }
 
-// quota checks that the job's team can run at least one of its tasks; with
-// less, the job would wait for ever without a word.
-func (v *validator) quota(path string, j *Job) {
+// checkQuota checks that the quota of the job's team allows at least one of its
+// tasks. Otherwise the job would wait forever without an error.
+func (v *validator) checkQuota(path string, j *Job) {
 	if j.Team == "" {
 		return
 	}
-	team, known := v.m.team(j.Team)
+	team, known := v.m.findTeam(j.Team)
 	if !known {
-		v.add(join(path, "team"), ReasonUnknownTeam, "team %q is not declared", j.Team)
+		v.addFault(joinPath(path, "team"), ReasonUnknownTeam, "team %q is not declared", j.Team)
 		return
 	}
 	if j.Cores > team.Cores {
-		v.add(join(path, "cores"), ReasonQuotaBelowTask, "one task takes %g, team %q may use %g", j.Cores, team.Name, team.Cores)
+		v.addFault(joinPath(path, "cores"), ReasonQuotaBelowTask, "one task needs %g, but the quota of team %q is %g", j.Cores, team.Name, team.Cores)
 	}
 	if j.MemoryMB > team.MemoryMB {
-		v.add(join(path, "memory_mb"), ReasonQuotaBelowTask, "one task takes %d, team %q may use %d", j.MemoryMB, team.Name, team.MemoryMB)
+		v.addFault(joinPath(path, "memory_mb"), ReasonQuotaBelowTask, "one task needs %d, but the quota of team %q is %d", j.MemoryMB, team.Name, team.MemoryMB)
 	}
 	if j.Accelerators > team.Accelerators {
-		v.add(join(path, "accelerators"), ReasonQuotaBelowTask, "one task takes %d, team %q may use %d", j.Accelerators, team.Name, team.Accelerators)
+		v.addFault(joinPath(path, "accelerators"), ReasonQuotaBelowTask, "one task needs %d, but the quota of team %q is %d", j.Accelerators, team.Name, team.Accelerators)
 	}
 }
 
-func (m *Manifest) team(name string) (*Team, bool) {
+func (m *Manifest) findTeam(name string) (*Team, bool) {
 	for i := range m.Teams {
 		if m.Teams[i].Name == name {
 			return &m.Teams[i], true
--- a/internal/manifest/validate_services.go
+++ b/internal/manifest/validate_services.go
@@ -11,66 +11,66 @@
 	http.MethodPatch: true, http.MethodDelete: true, http.MethodOptions: true,
 }
 
-func (v *validator) services() {
+func (v *validator) checkServices() {
 	seen := make(map[string]bool)
 	for i := range v.m.Services {
 		s := &v.m.Services[i]
-		at := index("services", i)
-		v.name(join(at, "name"), s.Name)
-		v.unique(join(at, "name"), s.Name, seen)
-		v.budget(at, s)
-		v.classes(join(at, "classes"), s.Classes)
+		at := indexPath("services", i)
+		v.checkName(joinPath(at, "name"), s.Name)
+		v.checkUnique(joinPath(at, "name"), s.Name, seen)
+		v.checkBudget(at, s)
+		v.checkClasses(joinPath(at, "classes"), s.Classes)
 	}
 }
 
-// budget refuses what can never hold. A budget equal to the pool's size is
-// allowed: maintenance then waits until a spare has been moved in.
-func (v *validator) budget(at string, s *Service) {
+// checkBudget rejects budgets that can never be met. A budget equal to the size of
+// the pool is allowed: maintenance then waits until a spare has been moved in.
+func (v *validator) checkBudget(at string, s *Service) {
 	pool, known := v.m.ForPool(s.Pool)
 	if !known {
-		v.add(join(at, "pool"), ReasonUnknownPool, "pool %q is not declared", s.Pool)
+		v.addFault(joinPath(at, "pool"), ReasonUnknownPool, "pool %q is not declared", s.Pool)
 	}
 	if s.MinAvailable < 1 {
-		v.add(join(at, "min_available"), ReasonOutOfRange, "%d: a service needs at least 1", s.MinAvailable)
+		v.addFault(joinPath(at, "min_available"), ReasonOutOfRange, "%d: a service needs at least 1", s.MinAvailable)
 	}
 	if known && s.MinAvailable > pool.Instances.Size() {
-		v.add(join(at, "min_available"), ReasonBudgetUnmeetable, "%d instances must serve, pool %q has %d",
+		v.addFault(joinPath(at, "min_available"), ReasonBudgetUnmeetable, "%d instances must be serving, but pool %q has %d",
 			s.MinAvailable, s.Pool, pool.Instances.Size())
 	}
 }
 
-func (v *validator) classes(at string, classes []Class) {
+func (v *validator) checkClasses(at string, classes []Class) {
 	if len(classes) == 0 {
-		v.add(at, ReasonNoClasses, "a service needs at least one class")
+		v.addFault(at, ReasonNoClasses, "a service needs at least one class")
 	}
 	seen := make(map[string]bool)
 	for i := range classes {
-		v.class(index(at, i), &classes[i], seen)
+		v.checkClass(indexPath(at, i), &classes[i], seen)
 	}
 }
 
-func (v *validator) class(at string, c *Class, seen map[string]bool) {
-	v.name(join(at, "name"), c.Name)
-	v.unique(join(at, "name"), c.Name, seen)
+func (v *validator) checkClass(at string, c *Class, seen map[string]bool) {
+	v.checkName(joinPath(at, "name"), c.Name)
+	v.checkUnique(joinPath(at, "name"), c.Name, seen)
 	for i, method := range c.Methods {
 		if !knownMethods[method] {
-			v.add(index(join(at, "methods"), i), ReasonUnknownMethod, "%q is not an HTTP method in upper case", method)
+			v.addFault(indexPath(joinPath(at, "methods"), i), ReasonUnknownMethod, "%q is not an HTTP method in upper case", method)
 		}
 	}
-	v.pathPrefix(join(at, "path_prefix"), c.PathPrefix)
-	v.priority(join(at, "priority"), c.Priority)
-	v.between(join(at, "deadline_ms"), c.DeadlineMillis, 1, MaxDeadlineMillis)
+	v.checkPathPrefix(joinPath(at, "path_prefix"), c.PathPrefix)
+	v.checkPriority(joinPath(at, "priority"), c.Priority)
+	v.checkRange(joinPath(at, "deadline_ms"), c.DeadlineMillis, 1, MaxDeadlineMillis)
 }
 
-// pathPrefix takes clean paths only: a prefix that no cleaned request path can
-// have would leave its class without effect.
-func (v *validator) pathPrefix(at, prefix string) {
+// checkPathPrefix accepts only clean paths: request paths are cleaned, so any other
+// prefix would never match.
+func (v *validator) checkPathPrefix(at, prefix string) {
 	if prefix == "" {
 		return
 	}
 	trimmed := strings.TrimSuffix(prefix, "/")
 	clean := trimmed == "" || path.Clean(trimmed) == trimmed
 	if !strings.HasPrefix(prefix, "/") || !clean || strings.ContainsAny(prefix, "?#") {
-		v.add(at, ReasonMalformedPath, "%q is not a clean path that begins with '/'", prefix)
+		v.addFault(at, ReasonMalformedPath, "%q is not a clean path that starts with '/'", prefix)
 	}
 }
--- a/internal/manifest/walk.go
+++ b/internal/manifest/walk.go
@@ -8,10 +8,10 @@
 	"strings"
 )
 
-// walker compares a document, token by token, with the types it will be
-// decoded into. The JSON library alone would match field names regardless of
-// case, let the last of two equal fields win, take null for anything, and name
-// neither place nor index of an unknown field.
+// walker checks a document, token by token, against the types that it will be
+// decoded into. The JSON library alone would match field names regardless of case,
+// use the last of two duplicate fields, accept null for any type, and report
+// neither the position nor the array index of an unknown field.
 type walker struct {
 	data []byte
 	dec  *json.Decoder
@@ -23,85 +23,85 @@
 	return &walker{data: data, dec: dec}
 }
 
-func (w *walker) document() error {
-	return w.value("", reflect.TypeFor[Manifest]())
+func (w *walker) checkDocument() error {
+	return w.checkValue("", reflect.TypeFor[Manifest]())
 }
 
-// position is that of the next token: separators before it are skipped.
-func (w *walker) position() Position {
+// nextPosition returns the position of the next token, after any separators.
+func (w *walker) nextPosition() Position {
 	offset := w.dec.InputOffset()
 	rest := w.data[offset:]
-	skipped := len(rest) - len(bytes.TrimLeft(rest, jsonSpace+",:"))
+	skipped := len(rest) - len(bytes.TrimLeft(rest, jsonWhitespace+",:"))
 	return positionOf(w.data, offset+int64(skipped))
 }
 
-func (w *walker) token() (json.Token, error) {
+func (w *walker) nextToken() (json.Token, error) {
 	token, err := w.dec.Token()
 	if err != nil {
-		return nil, decodeError(w.data, err)
+		return nil, wrapDecodeError(w.data, err)
 	}
 	return token, nil
 }
 
-func (w *walker) value(path string, t reflect.Type) error {
+func (w *walker) checkValue(path string, t reflect.Type) error {
 	if t.Kind() == reflect.Pointer {
 		t = t.Elem()
 	}
-	at := w.position()
-	token, err := w.token()
+	at := w.nextPosition()
+	token, err := w.nextToken()
 	if err != nil {
 		return err
 	}
-	if !matches(token, t) {
-		return &TypeError{Position: at, Path: path, Want: kindName(t), Got: tokenName(token)}
+	if !canDecode(token, t) {
+		return &TypeError{Position: at, Path: path, Want: typeName(t), Got: tokenName(token)}
 	}
 	switch t.Kind() {
 	case reflect.Struct:
-		return w.object(path, t)
+		return w.checkObject(path, t)
 	case reflect.Slice:
-		return w.array(path, t)
+		return w.checkArray(path, t)
 	}
 	return nil
 }
 
-func (w *walker) object(path string, t reflect.Type) error {
-	fields := fieldsOf(t)
+func (w *walker) checkObject(path string, t reflect.Type) error {
+	fields := fieldTypes(t)
 	seen := make(map[string]bool, len(fields))
 	for w.dec.More() {
-		at := w.position()
-		token, err := w.token()
+		at := w.nextPosition()
+		token, err := w.nextToken()
 		if err != nil {
 			return err
 		}
 		name, _ := token.(string)
-		inner := join(path, name)
+		fieldPath := joinPath(path, name)
 		field, known := fields[name]
 		if !known {
-			return &UnknownFieldError{Position: at, Path: inner}
+			return &UnknownFieldError{Position: at, Path: fieldPath}
 		}
 		if seen[name] {
-			return &DuplicateFieldError{Position: at, Path: inner}
+			return &DuplicateFieldError{Position: at, Path: fieldPath}
 		}
 		seen[name] = true
-		if err := w.value(inner, field); err != nil {
+		if err := w.checkValue(fieldPath, field); err != nil {
 			return err
 		}
 	}
-	_, err := w.token()
+	_, err := w.nextToken()
 	return err
 }
 
-func (w *walker) array(path string, t reflect.Type) error {
+func (w *walker) checkArray(path string, t reflect.Type) error {
 	for i := 0; w.dec.More(); i++ {
-		if err := w.value(index(path, i), t.Elem()); err != nil {
+		if err := w.checkValue(indexPath(path, i), t.Elem()); err != nil {
 			return err
 		}
 	}
-	_, err := w.token()
+	_, err := w.nextToken()
 	return err
 }
 
-func fieldsOf(t reflect.Type) map[string]reflect.Type {
+func fieldTypes(t reflect.Type) map[string]reflect.Type {
 	fields := make(map[string]reflect.Type, t.NumField())
 	for f := range t.Fields() {
 		name, _, _ := strings.Cut(f.Tag.Get("json"), ",")
@@ -110,8 +110,9 @@
 	return fields
 }
 
-// matches tells whether token can begin a value of type t without loss.
-func matches(token json.Token, t reflect.Type) bool {
+// canDecode reports whether token can begin a value of type t and, if it is a number,
+// fits t.
+func canDecode(token json.Token, t reflect.Type) bool {
 	switch t.Kind() {
 	case reflect.Struct:
 		return token == json.Delim('{')
@@ -136,7 +137,7 @@
 	return err == nil
 }
 
-func kindName(t reflect.Type) string {
+func typeName(t reflect.Type) string {
 	switch t.Kind() {
 	case reflect.Struct:
 		return "an object"
@@ -149,7 +150,7 @@
 	case reflect.Float64:
 		return "a number"
 	}
-	return "a whole number"
+	return "an integer"
 }
 
 func tokenName(token json.Token) string {
@@ -171,13 +172,13 @@
 	return "another value"
 }
 
-func join(path, name string) string {
+func joinPath(path, name string) string {
 	if path == "" {
 		return name
 	}
 	return path + "." + name
 }
 
-func index(path string, i int) string {
+func indexPath(path string, i int) string {
 	return path + "[" + strconv.Itoa(i) + "]"
 }
