--- a/internal/eventlog/eventlog.go
+++ b/internal/eventlog/eventlog.go
@@ -1,6 +1,7 @@
-// Package eventlog writes a process's log as JSON lines without ever holding
-// the process up: lines go through a bounded buffer, each message has a rate,
-// and what is left out is counted.
+// Package eventlog writes the log of a process without blocking it. Lines pass
+// through a bounded buffer to a background writer, records below warning level
+// are rate-limited per message, and dropped lines are counted. cyclamen-node
+// wraps its JSON handler and standard output with it.
 package eventlog
 
 import (
@@ -15,71 +16,74 @@
 )
 
 const (
-	// bufferLines wait for a reader of standard output that stalls.
+	// bufferLines is the number of lines buffered while the reader of standard
+	// output stalls.
 	bufferLines = 4096
-	// flushEvery gathers lines into one write: each write is a system call.
-	flushEvery = 40 * time.Millisecond
-	// ratePerMessage and burstPerMessage bound each kind of line.
+	// flushDelay is how long lines are collected into one write, since each
+	// write is a system call.
+	flushDelay = 40 * time.Millisecond
+	// ratePerMessage, in lines per second, and burstPerMessage limit the lines
+	// with the same message.
 	ratePerMessage  = 400
 	burstPerMessage = 1200
-	// writeBytes bounds one write.
-	writeBytes = 64 << 10
+	// maxWriteBytes is the batch size from which a batch is written at once.
+	maxWriteBytes = 64 << 10
 )
 
-// Writer passes lines on to another writer in the background.
+// Writer buffers lines and writes them to another writer in the background.
 type Writer struct {
 	lines chan []byte
-	// stop ends the background goroutine; lines stays open, as others may
-	// still write while the process ends.
-	stop chan struct{}
-	done chan struct{}
-	once sync.Once
-	lost *metrics.Counter
+	// stop ends the background goroutine. lines is never closed, because other
+	// goroutines may still write while the process shuts down.
+	stop    chan struct{}
+	done    chan struct{}
+	once    sync.Once
+	dropped *metrics.Counter
 }
 
 // NewWriter starts the background goroutine that writes to out.
 func NewWriter(out io.Writer) *Writer {
 	w := &Writer{lines: make(chan []byte, bufferLines), stop: make(chan struct{}), done: make(chan struct{}),
-		lost: metrics.GetOrCreateCounter(`cyclamen_log_lines_left_out_total{why="buffer full"}`)}
-	go w.loop(out)
+		dropped: metrics.GetOrCreateCounter(`cyclamen_log_lines_left_out_total{why="buffer full"}`)}
+	go w.run(out)
 	return w
 }
 
-// Write takes one line. It never blocks; a line that finds the buffer full is
-// counted and left out.
+// Write buffers one line. It never blocks: if the buffer is full, the line is
+// dropped and counted.
 func (w *Writer) Write(line []byte) (int, error) {
 	copied := append([]byte(nil), line...)
 	select {
 	case w.lines <- copied:
 	default:
-		w.lost.Inc()
+		w.dropped.Inc()
 	}
 	return len(line), nil
 }
 
-func (w *Writer) loop(out io.Writer) {
+func (w *Writer) run(out io.Writer) {
 	defer close(w.done)
 	for {
 		select {
 		case line := <-w.lines:
-			time.Sleep(flushEvery)
-			w.write(out, line)
+			time.Sleep(flushDelay)
+			w.writeBatch(out, line)
 		case <-w.stop:
-			w.write(out, nil)
+			w.writeBatch(out, nil)
 			return
 		}
 	}
 }
 
-// write writes a line and those that wait behind it.
-func (w *Writer) write(out io.Writer, line []byte) {
+// writeBatch writes a line and all lines buffered behind it.
+func (w *Writer) writeBatch(out io.Writer, line []byte) {
 	batch := append([]byte(nil), line...)
 	for {
 		select {
 		case next := <-w.lines:
 			batch = append(batch, next...)
-			if len(batch) >= writeBytes {
-				_, _ = out.Write(batch) // nowhere is left to report it
+			if len(batch) >= maxWriteBytes {
+				_, _ = out.Write(batch) // a failed log write cannot be logged
 				batch = batch[:0]
 			}
 		default:
@@ -89,7 +93,8 @@
 	}
 }
 
-// Close writes what is buffered, waiting at most limit. Later lines are lost.
+// Close writes the buffered lines and waits at most limit for it. Lines written
+// later are lost.
 func (w *Writer) Close(limit time.Duration) {
 	w.once.Do(func() { close(w.stop) })
 	select {
@@ -98,65 +103,67 @@
 	}
 }
 
-// Handler limits the rate of each message of another handler.
+// Handler limits the rate of records with the same message before it passes them
+// to another handler.
 type Handler struct {
 	slog.Handler
-	shared *limits
+	limits *rateLimits
 }
 
-type limits struct {
-	mu      sync.Mutex
-	byText  map[string]*limited
-	dropped *metrics.Counter
+type rateLimits struct {
+	mu        sync.Mutex
+	byMessage map[string]*messageLimit
+	dropped   *metrics.Counter
 }
 
-type limited struct {
+type messageLimit struct {
 	limiter *rate.Limiter
-	left    int64
+	omitted int64
 }
 
-// NewHandler wraps a handler.
+// NewHandler wraps a handler with rate limits per message.
 func NewHandler(h slog.Handler) *Handler {
-	return &Handler{Handler: h, shared: &limits{byText: map[string]*limited{},
+	return &Handler{Handler: h, limits: &rateLimits{byMessage: map[string]*messageLimit{},
 		dropped: metrics.GetOrCreateCounter(`cyclamen_log_lines_left_out_total{why="rate"}`)}}
 }
 
-// Handle writes the record unless its message is over its rate. The first one
-// written after that says how many were left out.
+// Handle passes the record on unless it is below warning level and its message
+// exceeds the rate limit. The next record of that message that is passed on
+// carries the number of omitted ones in left_out.
 func (h *Handler) Handle(ctx context.Context, r slog.Record) error {
-	left, ok := h.shared.admit(r)
+	omitted, ok := h.limits.admit(r)
 	if !ok {
 		return nil
 	}
-	if left > 0 {
-		r.AddAttrs(slog.Int64("left_out", left))
+	if omitted > 0 {
+		r.AddAttrs(slog.Int64("left_out", omitted))
 	}
 	return h.Handler.Handle(ctx, r)
 }
 
-func (l *limits) admit(r slog.Record) (left int64, ok bool) {
+func (l *rateLimits) admit(r slog.Record) (omitted int64, ok bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	m := l.byText[r.Message]
+	m := l.byMessage[r.Message]
 	if m == nil {
-		m = &limited{limiter: rate.NewLimiter(ratePerMessage, burstPerMessage)}
-		l.byText[r.Message] = m
+		m = &messageLimit{limiter: rate.NewLimiter(ratePerMessage, burstPerMessage)}
+		l.byMessage[r.Message] = m
 	}
 	if r.Level < slog.LevelWarn && !m.limiter.AllowN(r.Time, 1) {
-		m.left++
+		m.omitted++
 		l.dropped.Inc()
 		return 0, false
 	}
-	left, m.left = m.left, 0
-	return left, true
+	omitted, m.omitted = m.omitted, 0
+	return omitted, true
 }
 
-// WithAttrs keeps the limits shared among derived loggers.
+// WithAttrs returns a handler that shares the rate limits.
 func (h *Handler) WithAttrs(attrs []slog.Attr) slog.Handler {
-	return &Handler{Handler: h.Handler.WithAttrs(attrs), shared: h.shared}
+	return &Handler{Handler: h.Handler.WithAttrs(attrs), limits: h.limits}
 }
 
-// WithGroup keeps the limits shared among derived loggers.
+// WithGroup returns a handler that shares the rate limits.
 func (h *Handler) WithGroup(name string) slog.Handler {
-	return &Handler{Handler: h.Handler.WithGroup(name), shared: h.shared}
+	return &Handler{Handler: h.Handler.WithGroup(name), limits: h.limits}
 }
