--- a/internal/operator/errors.go
+++ b/internal/operator/errors.go
@@ -2,15 +2,15 @@
 
 import "fmt"
 
-// TLSRequiredError says that the operators' address is reachable from other
-// machines and no mutual TLS is set up: a dump would be open to anybody.
+// TLSRequiredError reports a listen address other than loopback without mutual
+// TLS, which would expose state dumps to anyone on the network.
 type TLSRequiredError struct{ Listen string }
 
 func (e *TLSRequiredError) Error() string {
 	return fmt.Sprintf("operator: mutual TLS is required to listen on %s; without it only loopback is allowed", e.Listen)
 }
 
-// ListenError says that the operators' address could not be opened.
+// ListenError reports that the server could not listen on its address.
 type ListenError struct {
 	Listen string
 	Cause  error
@@ -23,7 +23,7 @@
 // Unwrap returns the cause.
 func (e *ListenError) Unwrap() error { return e.Cause }
 
-// CloseError says that the server did not stop in order.
+// CloseError reports that the server could not shut down gracefully.
 type CloseError struct{ Cause error }
 
 func (e *CloseError) Error() string { return fmt.Sprintf("operator: close: %v", e.Cause) }
--- a/internal/operator/handlers.go
+++ b/internal/operator/handlers.go
@@ -19,23 +19,24 @@
 	PathStatus  = "/status"
 )
 
-// sectionParam selects sections of a dump; it may be repeated.
+// sectionParam is the query parameter that selects sections of a dump; it may be
+// repeated.
 const sectionParam = "section"
 
-// section is one part of a dump.
+// section is a named part of the state dump.
 type section struct {
 	name string
 	dump func() any
 }
 
-// Readiness is the answer at PathReady.
+// Readiness is the response body at PathReady.
 type Readiness struct {
 	Ready bool `json:"ready"`
-	// Reasons say what it waits for; empty when ready.
+	// Reasons lists why the process is not ready; empty if it is.
 	Reasons []string `json:"reasons"`
 }
 
-// Status is the answer at PathStatus.
+// Status is the response body at PathStatus.
 type Status struct {
 	Process    Process   `json:"process"`
 	StartedAt  time.Time `json:"started_at"`
@@ -52,9 +53,9 @@
 	s.router.HandleFunc(PathStatus, s.serveStatus).Methods(http.MethodGet)
 }
 
-// RegisterDump adds a section to the dump; a section of that name is replaced.
-// dump is called by the server's goroutines and returns a value that nobody
-// changes any more, such as a published snapshot.
+// RegisterDump adds a section to the state dump, replacing any section of the same
+// name. dump is called from the server's goroutines and must return a value that
+// is no longer modified, such as an immutable snapshot.
 func (s *Server) RegisterDump(name string, dump func() any) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -62,12 +63,12 @@
 	s.sections = append(s.sections, section{name: name, dump: dump})
 }
 
-// Readiness asks whether the process is ready.
+// Readiness reports whether the process is ready, and why not.
 func (s *Server) Readiness() Readiness {
 	s.mu.Lock()
-	ready := s.ready
+	notReadyReasons := s.notReadyReasons
 	s.mu.Unlock()
-	reasons := ready()
+	reasons := notReadyReasons()
 	if reasons == nil {
 		reasons = []string{}
 	}
@@ -79,9 +80,9 @@
 	metrics.WritePrometheus(w, true)
 }
 
-// serveLive answers as long as the process can. It depends on nothing else:
-// were it to fail with the log, an outage there would have every process
-// restarted and its state lost.
+// serveLive succeeds whenever the process can respond. It must not depend on
+// anything else: if it failed while the log is unavailable, a log outage would get
+// every process restarted and lose its in-memory state.
 func serveLive(w http.ResponseWriter, _ *http.Request) {
 	writeJSON(w, http.StatusOK, struct {
 		Live bool `json:"live"`
@@ -111,19 +112,19 @@
 }
 
 func (s *Server) serveDump(w http.ResponseWriter, r *http.Request) {
-	wanted := r.URL.Query()[sectionParam]
+	requested := r.URL.Query()[sectionParam]
 	dump := make(map[string]json.RawMessage)
 	for _, part := range s.dumpSections() {
-		if len(wanted) == 0 || slices.Contains(wanted, part.name) {
+		if len(requested) == 0 || slices.Contains(requested, part.name) {
 			dump[part.name] = encodeSection(part)
 		}
 	}
 	writeJSON(w, http.StatusOK, dump)
 }
 
-// logDump writes one record for each section, so that the length of a line is
-// bounded by a section and not by the whole state.
-func (s *Server) logDump() {
+// logSections writes one log record per section, which bounds the length of a line by
+// the size of a section instead of the whole state.
+func (s *Server) logSections() {
 	for _, part := range s.dumpSections() {
 		s.opts.Logger.Info("state dump",
 			slog.String(AttrSection, part.name),
@@ -137,8 +138,9 @@
 	return slices.Clone(s.sections)
 }
 
-// encodeSection never fails a whole dump for one part: a dump is wanted most
-// when something is wrong.
+// encodeSection returns an error object for a section that cannot be encoded, so
+// that the rest of the dump stays available: dumps are needed most while something
+// is wrong.
 func encodeSection(part section) json.RawMessage {
 	data, err := json.Marshal(part.dump())
 	if err == nil {
--- a/internal/operator/log.go
+++ b/internal/operator/log.go
@@ -1,5 +1,8 @@
-// Package operator is what people and their tools see of a process: JSON-lines
-// logs, metrics, health, and a dump of its state on request.
+// Package operator provides the logger, the error attributes and the HTTP server
+// through which operators and their tools inspect a process. The server answers
+// GET requests for metrics, liveness, readiness, status and state dumps, and writes
+// a dump to the log on SIGUSR1. Each daemon starts it with a Process and registers
+// its readiness function and dump sections.
 package operator
 
 import (
@@ -11,8 +14,8 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Names of log attributes. They are the same in every process, so that one
-// query finds all records of a move, a request or a manifest.
+// Names of log attributes. All processes use the same names, so that one query
+// finds all records of a move, a request or a manifest.
 const (
 	AttrProcess    = "process"
 	AttrDeployment = "deployment"
@@ -35,10 +38,10 @@
 	AttrState      = "state"
 )
 
-// modulePrefix begins the package path of every type of this module.
+// modulePrefix is the prefix of all package paths of this module.
 const modulePrefix = "cyclamenwheel/"
 
-// Process names a process in each of its log records.
+// Process identifies a process in its log records and its status.
 type Process struct {
 	ID         string `json:"id"`
 	Deployment string `json:"deployment"`
@@ -46,7 +49,8 @@
 	Version    string `json:"version"`
 }
 
-// NewLogger writes JSON lines to w, each with the process's name.
+// NewLogger returns a logger that writes JSON lines to w, each with the process
+// ID, deployment and zone.
 func NewLogger(w io.Writer, level slog.Leveler, p Process) *slog.Logger {
 	handler := slog.NewJSONHandler(w, &slog.HandlerOptions{Level: level})
 	return slog.New(handler).With(
@@ -56,7 +60,8 @@
 	)
 }
 
-// Err returns an error's attributes: its text, and the type to filter by.
+// Err returns the log attributes of an error: its text and its type, which logs
+// can be filtered by.
 func Err(err error) slog.Attr {
 	if err == nil {
 		return slog.Attr{}
@@ -64,12 +69,12 @@
 	return slog.GroupAttrs("", slog.String(AttrError, err.Error()), slog.String(AttrErrorType, ErrorType(err)))
 }
 
-// ErrorType names the outermost type of this module in err's chain, or the
-// innermost error's type where there is none. Wrappers that only add context
-// say nothing about the failure and are passed over.
+// ErrorType returns the name of the outermost error type of this module in err's
+// chain, or of the innermost error's type if there is none. Wrappers that only add
+// context do not identify the failure and are skipped.
 func ErrorType(err error) string {
 	for e := err; e != nil; e = errors.UnwrapOnce(e) {
-		if name, ours := typeName(e); ours {
+		if name, inModule := typeName(e); inModule {
 			return name
 		}
 	}
@@ -77,7 +82,7 @@
 	return name
 }
 
-func typeName(err error) (name string, ours bool) {
+func typeName(err error) (name string, inModule bool) {
 	t := reflect.TypeOf(err)
 	if t.Kind() == reflect.Pointer {
 		t = t.Elem()
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -28,11 +28,11 @@
 	RunSpecs(t, "operator")
 }
 
-// TestDumpOnSignal stands outside the suite: Ginkgo takes SIGUSR1 for a request
-// to print its progress, and its report races with the specs.
+// TestDumpOnSignal is not a Ginkgo spec, because Ginkgo prints a progress report on
+// SIGUSR1, which races with the specs.
 func TestDumpOnSignal(t *testing.T) {
 	g := NewWithT(t)
-	logs := &buffer{}
+	logs := &lockedBuffer{}
 	s, err := operator.New(operator.Options{Listen: loopback,
 		Logger: operator.NewLogger(logs, slog.LevelInfo, operator.Process{})})
 	g.Expect(err).NotTo(HaveOccurred())
@@ -43,19 +43,19 @@
 	g.Expect(s.Close()).To(Succeed())
 }
 
-// buffer is a log's destination that a test reads while it is written.
-type buffer struct {
+// lockedBuffer is a log output that a test can read while it is written.
+type lockedBuffer struct {
 	mu sync.Mutex
 	b  bytes.Buffer
 }
 
-func (b *buffer) Write(p []byte) (int, error) {
+func (b *lockedBuffer) Write(p []byte) (int, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.b.Write(p)
 }
 
-func (b *buffer) String() string {
+func (b *lockedBuffer) String() string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.b.String()
@@ -63,7 +63,7 @@
 
 var loopback = netip.MustParseAddrPort("127.0.0.1:0")
 
-func start(opts operator.Options) *operator.Server {
+func startServer(opts operator.Options) *operator.Server {
 	s, err := operator.New(opts)
 	Expect(err).NotTo(HaveOccurred())
 	s.Handle("/extra", http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusTeapot) }))
@@ -83,20 +83,20 @@
 
 var _ = Describe("server", func() {
 	var (
-		logs *buffer
+		logs *lockedBuffer
 		s    *operator.Server
 		base string
 	)
 	BeforeEach(func() {
-		logs = &buffer{}
+		logs = &lockedBuffer{}
 		process := operator.Process{ID: "entry-1", Deployment: "portlouis", Zone: "zone-a"}
-		s = start(operator.Options{Process: process, Listen: loopback,
+		s = startServer(operator.Options{Process: process, Listen: loopback,
 			Logger: operator.NewLogger(logs, slog.LevelInfo, process),
 			Status: func() any { return map[string]int{operator.AttrGeneration: 7} }})
 		base = "http://" + s.Addr().String()
 	})
 
-	It("is live at once and ready only when nothing is missing", func() {
+	It("is live at once and ready only without reasons against it", func() {
 		code, _ := get(http.DefaultClient, base+operator.PathLive)
 		Expect(code).To(Equal(http.StatusOK))
 		code, body := get(http.DefaultClient, base+operator.PathReady)
@@ -108,7 +108,7 @@
 		Expect(body).To(MatchJSON(`{"ready": true, "reasons": []}`))
 	})
 
-	It("serves metrics, status and the handlers of others", func() {
+	It("serves metrics, status and added handlers", func() {
 		metrics.GetOrCreateCounter(`cyclamen_test_total`).Inc()
 		_, body := get(http.DefaultClient, base+operator.PathMetrics)
 		Expect(body).To(ContainSubstring("cyclamen_test_total"))
@@ -118,7 +118,7 @@
 		Expect(code).To(Equal(http.StatusTeapot))
 	})
 
-	It("dumps all sections, those asked for, and what cannot be encoded as an error", func() {
+	It("dumps all or the requested sections, and an error for one that cannot be encoded", func() {
 		s.RegisterDump("pools", func() any { return []string{"tabs"} })
 		s.RegisterDump("broken", func() any { return math.Inf(1) })
 		_, body := get(http.DefaultClient, base+operator.PathDump)
@@ -132,7 +132,7 @@
 	})
 })
 
-var _ = It("closes right after it has started", func() {
+var _ = It("can be closed right after Start", func() {
 	for range 20 {
 		s, err := operator.New(operator.Options{Listen: loopback})
 		Expect(err).NotTo(HaveOccurred())
@@ -142,17 +142,17 @@
 })
 
 var _ = Describe("mutual TLS", func() {
-	everywhere := netip.MustParseAddrPort("0.0.0.0:0")
+	allInterfaces := netip.MustParseAddrPort("0.0.0.0:0")
 
-	It("is demanded off loopback", func() {
+	It("is required on addresses other than loopback", func() {
 		var required *operator.TLSRequiredError
-		_, err := operator.New(operator.Options{Listen: everywhere})
+		_, err := operator.New(operator.Options{Listen: allInterfaces})
 		Expect(errors.As(err, &required)).To(BeTrue())
-		_, err = operator.New(operator.Options{Listen: everywhere, TLS: &tls.Config{}})
+		_, err = operator.New(operator.Options{Listen: allInterfaces, TLS: &tls.Config{}})
 		Expect(errors.As(err, &required)).To(BeTrue())
 	})
 
-	It("admits operators and nobody else", func() {
+	It("accepts only clients with an operator certificate", func() {
 		dir := GinkgoT().TempDir()
 		Expect(certs.Create(dir, "portlouis", "entry/e-1", "operator/ops")).To(Succeed())
 		config := func(role certs.Role, id string) *tls.Config {
@@ -164,7 +164,7 @@
 		server, err := certs.LoadTLS(filepath.Join(dir, certs.CAFile), filepath.Join(dir, certs.CertFile(certs.RoleEntry, "e-1")),
 			filepath.Join(dir, certs.KeyFile(certs.RoleEntry, "e-1")), certs.RoleOperator)
 		Expect(err).NotTo(HaveOccurred())
-		s := start(operator.Options{Listen: everywhere, TLS: server})
+		s := startServer(operator.Options{Listen: allInterfaces, TLS: server})
 		address := netip.AddrPortFrom(loopback.Addr(), s.Addr().Port()).String()
 
 		operatorClient := &http.Client{Transport: &http.Transport{TLSClientConfig: config(certs.RoleOperator, "ops")}}
@@ -181,11 +181,11 @@
 })
 
 var _ = Describe("errors in logs", func() {
-	It("name the module's own type below wrappers", func() {
+	It("have the type of the module's own error inside wrappers", func() {
 		err := errors.Wrap(&operator.ListenError{Listen: "x", Cause: io.EOF}, "start")
 		Expect(operator.ErrorType(err)).To(Equal("operator.ListenError"))
 		Expect(operator.ErrorType(errors.Wrap(io.EOF, "read"))).To(Equal("errors.errorString"))
-		logs := &buffer{}
+		logs := &lockedBuffer{}
 		operator.NewLogger(logs, slog.LevelInfo, operator.Process{}).Error("failed", operator.Err(err))
 		Expect(logs.String()).To(ContainSubstring(`"error_type":"operator.ListenError"`))
 	})
--- a/internal/operator/server.go
+++ b/internal/operator/server.go
@@ -17,45 +17,44 @@
 )
 
 const (
-	// readHeaderTimeout frees connections whose client sends nothing.
+	// readHeaderTimeout closes connections whose client sends no request header.
 	readHeaderTimeout = 5 * time.Second
-	// idleTimeout is longer than the usual interval of scraping, so that a
-	// collector keeps its connection.
+	// idleTimeout exceeds the usual scrape interval, so that a metrics collector
+	// can reuse its connection.
 	idleTimeout = 2 * time.Minute
-	// closeLimit bounds the wait for operators' requests in flight.
-	closeLimit = 2 * time.Second
+	// closeTimeout bounds how long Close waits for requests in flight.
+	closeTimeout = 2 * time.Second
 )
 
-// Options of a Server.
+// Options configures a Server.
 type Options struct {
 	Process Process
 	Listen  netip.AddrPort
-	// TLS must demand client certificates. It is required unless Listen is on
-	// loopback, where plain HTTP is served.
+	// TLS must require client certificates. It is mandatory unless Listen is a
+	// loopback address, where it is ignored and plain HTTP is served.
 	TLS    *tls.Config
 	Logger *slog.Logger
-	// Status returns what /status shows besides the process and its
-	// readiness; nil for nothing.
+	// Status returns the additional detail shown at /status; nil omits it.
 	Status func() any
 }
 
-// Server is the operators' HTTP server of one process.
+// Server is the HTTP server for operators of one process.
 type Server struct {
 	opts    Options
 	router  *mux.Router
 	http    *http.Server
 	started time.Time
 
-	mu       sync.Mutex
-	ready    func() []string
-	sections []section
+	mu              sync.Mutex
+	notReadyReasons func() []string
+	sections        []section
 
-	addr    netip.AddrPort
-	signals chan os.Signal
-	done    sync.WaitGroup
+	addr       netip.AddrPort
+	signals    chan os.Signal
+	background sync.WaitGroup
 }
 
-// New prepares a server. Nothing listens before Start.
+// New returns a server that does not listen until Start.
 func New(opts Options) (*Server, error) {
 	if opts.Listen.Addr().IsLoopback() {
 		opts.TLS = nil
@@ -65,7 +64,7 @@
 	if opts.Logger == nil {
 		opts.Logger = slog.New(slog.DiscardHandler)
 	}
-	s := &Server{opts: opts, router: mux.NewRouter(), started: time.Now(), ready: starting}
+	s := &Server{opts: opts, router: mux.NewRouter(), started: time.Now(), notReadyReasons: initialReasons}
 	s.http = &http.Server{
 		Handler:           s.router,
 		TLSConfig:         opts.TLS,
@@ -77,22 +76,22 @@
 	return s, nil
 }
 
-// Handle adds a handler of another duty, at an exact path. It must be called
-// before Start.
+// Handle adds a handler for exactly this path. It must be called before Start.
 func (s *Server) Handle(path string, handler http.Handler) {
 	s.router.Handle(path, handler)
 }
 
-// SetReady sets what tells why the process is not ready; no reasons means that
-// it is. Until it is set the process is not ready. The function is called by
-// the server's goroutines.
+// SetReady sets the function that returns the reasons why the process is not
+// ready; no reasons means ready. Until it is called, the process is not ready. The
+// function is called from the server's goroutines.
 func (s *Server) SetReady(reasons func() []string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.ready = reasons
+	s.notReadyReasons = reasons
 }
 
-// Start listens, serves, and dumps to the log on SIGUSR1.
+// Start listens and serves in the background, and writes the state dump to the log
+// on each SIGUSR1.
 func (s *Server) Start() error {
 	listener, err := net.Listen("tcp", s.opts.Listen.String())
 	if err != nil {
@@ -104,29 +103,29 @@
 	}
 	s.signals = make(chan os.Signal, 1)
 	signal.Notify(s.signals, syscall.SIGUSR1)
-	s.done.Go(func() { s.serve(listener) })
-	s.done.Go(s.dumpOnSignal)
+	s.background.Go(func() { s.serve(listener) })
+	s.background.Go(s.dumpOnSignal)
 	return nil
 }
 
-// Addr returns the address it listens on, once started.
+// Addr returns the address that the server listens on. It is valid after Start.
 func (s *Server) Addr() netip.AddrPort { return s.addr }
 
-// Close stops the server after operators' requests in flight, within a short
-// limit.
+// Close stops the server. It waits up to closeTimeout for requests in flight and
+// then cuts them off.
 func (s *Server) Close() error {
 	if s.signals == nil {
 		return nil
 	}
 	signal.Stop(s.signals)
 	close(s.signals)
-	ctx, cancel := context.WithTimeout(context.Background(), closeLimit)
+	ctx, cancel := context.WithTimeout(context.Background(), closeTimeout)
 	defer cancel()
 	err := s.http.Shutdown(ctx)
 	if err != nil {
 		_ = s.http.Close()
 	}
-	s.done.Wait()
+	s.background.Wait()
 	s.signals = nil
 	if err != nil {
 		return &CloseError{Cause: err}
@@ -136,14 +135,14 @@
 
 func (s *Server) serve(listener net.Listener) {
 	if err := s.http.Serve(listener); err != http.ErrServerClosed {
-		s.opts.Logger.Error("operators' server ended", Err(err))
+		s.opts.Logger.Error("operator server stopped unexpectedly", Err(err))
 	}
 }
 
 func (s *Server) dumpOnSignal() {
 	for range s.signals {
-		s.logDump()
+		s.logSections()
 	}
 }
 
-func starting() []string { return []string{"starting"} }
+func initialReasons() []string { return []string{"starting"} }
