--- a/internal/ctl/validate.go
+++ b/internal/ctl/validate.go
@@ -40,7 +40,7 @@
 		report.Faults = append(report.Faults, Finding{Reason: reasonUnreadable, Detail: err.Error()})
 		return report
 	}
-	m, err := manifest.Read(data)
+	m, err := manifest.ParseAndValidate(data)
 	if err == nil {
 		report.Hash, err = m.Hash()
 	}
--- a/internal/manifest/manifest_test.go
+++ b/internal/manifest/manifest_test.go
@@ -55,7 +55,7 @@
 		for _, file := range files {
 			data, err := os.ReadFile(file)
 			Expect(err).NotTo(HaveOccurred())
-			m, err := manifest.Read(data)
+			m, err := manifest.ParseAndValidate(data)
 			Expect(err).NotTo(HaveOccurred(), file)
 			total := 0
 			for _, p := range m.Pools {
--- a/internal/manifest/parse.go
+++ b/internal/manifest/parse.go
@@ -34,8 +34,8 @@
 	return &m, nil
 }
 
-// Read parses data and validates it.
-func Read(data []byte) (*Manifest, error) {
+// ParseAndValidate returns the manifest in data if it parses and is valid.
+func ParseAndValidate(data []byte) (*Manifest, error) {
 	m, err := Parse(data)
 	if err != nil {
 		return nil, err
