--- a/internal/host/host.go
+++ b/internal/host/host.go
@@ -125,11 +125,11 @@
 			return published.AskPeer(ctx, n.peers, name, have)
 		}})
 	n.ingress = ingress.New(n.configs, calls, n.log)
-	front, err := n.serve(n.set.Front.String(), n.inFlight.bound(&platform.Front{Service: n.ingress}))
+	front, err := n.serve(n.set.CallersListen.String(), n.inFlight.bound(&platform.Front{Service: n.ingress}))
 	if err != nil {
 		return err
 	}
-	ready, err := n.serve(n.set.Ready.String(), http.HandlerFunc(n.answerReady))
+	ready, err := n.serve(n.set.ReadyListen.String(), http.HandlerFunc(n.answerReady))
 	if err != nil {
 		return err
 	}
@@ -182,7 +182,7 @@
 func (n *Node) observe() (stop func(), err error) {
 	op, err := operator.New(operator.Options{
 		Process: operator.Process{ID: n.set.Node, Deployment: n.set.Deployment, Zone: n.set.Zone, Version: version.Version},
-		Listen:  n.set.Operator, Logger: n.log,
+		Listen:  n.set.OperatorListen, Logger: n.log,
 	})
 	if err != nil {
 		return nil, err
@@ -204,12 +204,12 @@
 			n.log.Warn("operators' server not closed", operator.Err(err))
 		}
 	}
-	if !n.set.Metrics.IsValid() {
+	if !n.set.MetricsListen.IsValid() {
 		return closeOperator, nil
 	}
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /metrics", func(w http.ResponseWriter, _ *http.Request) { metrics.WritePrometheus(w, true) })
-	server, err := n.serve(n.set.Metrics.String(), mux)
+	server, err := n.serve(n.set.MetricsListen.String(), mux)
 	if err != nil {
 		return closeOperator, err
 	}
--- a/internal/settings/node.go
+++ b/internal/settings/node.go
@@ -13,15 +13,15 @@
 // NodeSettings are the settings of cyclamen-node.
 type NodeSettings struct {
 	Node, Zone, Deployment string
-	// Front is the listen address for callers' requests, Ready the one for the
-	// load balancer's readiness checks.
-	Front, Ready netip.AddrPort
-	PeerListen   netip.AddrPort
-	// Operator is the listen address for metrics and state dumps.
-	Operator netip.AddrPort
-	// Metrics is the listen address for metrics collectors; the zero AddrPort
+	// CallersListen is the listen address for callers' requests, ReadyListen the
+	// one for the load balancer's readiness checks.
+	CallersListen, ReadyListen netip.AddrPort
+	PeerListen                 netip.AddrPort
+	// OperatorListen is the listen address for metrics and state dumps.
+	OperatorListen netip.AddrPort
+	// MetricsListen is the listen address for metrics collectors; the zero AddrPort
 	// disables it.
-	Metrics netip.AddrPort
+	MetricsListen netip.AddrPort
 	// Store, Instances and Advice are the addresses of the platform's services.
 	// Instances and Advice may be empty.
 	Store, Instances, Advice string
@@ -99,13 +99,13 @@
 	}
 	s := NodeSettings{
 		Node: v.String(sectionProcess, "node"), Zone: v.String(sectionProcess, "zone"),
-		Deployment: v.String(sectionProcess, "deployment"),
-		Front:      v.Addr(sectionCallers, "listen"), Ready: v.Addr(sectionCallers, "ready"),
-		PeerListen: v.Addr(sectionPeer, "listen"), Operator: v.Addr(sectionOperator, "listen"),
-		Metrics: v.Addr(sectionOperator, "metrics"),
-		Store:   v.Addr(sectionStore, "address").String(),
-		Orders:  v.String(sectionStore, "orders"),
-		Memory:  v.Bytes(sectionLimits, "memory"), Processor: v.Ratio(sectionLimits, "processor"),
+		Deployment:    v.String(sectionProcess, "deployment"),
+		CallersListen: v.Addr(sectionCallers, "listen"), ReadyListen: v.Addr(sectionCallers, "ready"),
+		PeerListen: v.Addr(sectionPeer, "listen"), OperatorListen: v.Addr(sectionOperator, "listen"),
+		MetricsListen: v.Addr(sectionOperator, "metrics"),
+		Store:         v.Addr(sectionStore, "address").String(),
+		Orders:        v.String(sectionStore, "orders"),
+		Memory:        v.Bytes(sectionLimits, "memory"), Processor: v.Ratio(sectionLimits, "processor"),
 		Bounds: NodeBounds{
 			Grace: v.Duration(sectionBounds, "grace"), StopTimeout: v.Duration(sectionBounds, "stop_timeout"),
 			LongestLease: v.Duration(sectionBounds, "longest_lease"),
