--- a/internal/host/host.go
+++ b/internal/host/host.go
@@ -264,7 +264,7 @@
 		Fleet: func(ctx context.Context, duty shards.Duty) {
 			fleetops.Run(ctx, fleetops.Options{Holder: n.set.Node, Member: member, Claims: duty, Claimed: duty.RecordClaim,
 				Store: store, Cloud: n.client, Pools: calls, Facts: n.facts, Logger: n.log,
-				Limits: fleetops.Limits{Holder: n.set.Node, MoveTime: n.set.Bounds.Move, MaintainTime: n.set.Bounds.Maintain, HolderTTL: n.set.Bounds.LeaseTTL}})
+				Limits: fleetops.Limits{Holder: n.set.Node, MoveTime: n.set.Bounds.MoveTime, MaintainTime: n.set.Bounds.MaintainTime, HolderTTL: n.set.Bounds.HolderTTL}})
 		},
 		AskMembers: func(ctx context.Context, node string) (shards.MembersResult, error) {
 			return shards.AskMembers(ctx, n.peers, node)
--- a/internal/settings/node.go
+++ b/internal/settings/node.go
@@ -46,9 +46,9 @@
 	// ones to it.
 	LongestLease time.Duration
 	KeepEnded    time.Duration
-	LeaseTTL     time.Duration
-	Move         time.Duration
-	Maintain     time.Duration
+	HolderTTL    time.Duration
+	MoveTime     time.Duration
+	MaintainTime time.Duration
 	// Heartbeat is the interval at which endpoints write their entries in service discovery.
 	// A change of an entry may stay unnoticed for StableWindow longer than that.
 	Heartbeat, StableWindow time.Duration
@@ -110,9 +110,9 @@
 			Grace: v.Duration(sectionBounds, "grace"), StopTimeout: v.Duration(sectionBounds, "stop_timeout"),
 			LongestLease: v.Duration(sectionBounds, "longest_lease"),
 			KeepEnded:    v.Duration(sectionBounds, "keep_ended"),
-			LeaseTTL:     v.Duration(sectionBounds, "lease_ttl"),
-			Move:         v.Duration(sectionBounds, "move"),
-			Maintain:     v.Duration(sectionBounds, "maintenance"),
+			HolderTTL:    v.Duration(sectionBounds, "lease_ttl"),
+			MoveTime:     v.Duration(sectionBounds, "move"),
+			MaintainTime: v.Duration(sectionBounds, "maintenance"),
 			Heartbeat:    v.Duration(sectionBounds, "endpoint_heartbeat"),
 			StableWindow: v.Duration(sectionBounds, "stable_window"),
 			StrictKeys:   v.Bool(sectionBounds, "strict_keys"), KeysUnconfirmed: v.Duration(sectionBounds, "keys_unconfirmed"),
