--- a/internal/settings/errors.go
+++ b/internal/settings/errors.go
@@ -33,8 +33,8 @@
 	Detail string `json:"detail"`
 }
 
-// Place describes the location of the fault in a message.
-func (f Fault) Place() string {
+// Location describes the location of the fault in a message.
+func (f Fault) Location() string {
 	var b strings.Builder
 	if f.Line > 0 {
 		fmt.Fprintf(&b, "line %d", f.Line)
@@ -62,7 +62,7 @@
 	var b strings.Builder
 	fmt.Fprintf(&b, "settings %s: %d faults", e.File, len(e.Faults))
 	for _, f := range e.Faults {
-		fmt.Fprintf(&b, "; %s: %s: %s", f.Place(), f.Reason, f.Detail)
+		fmt.Fprintf(&b, "; %s: %s: %s", f.Location(), f.Reason, f.Detail)
 	}
 	return b.String()
 }
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -72,7 +72,7 @@
 			reasons = append(reasons, f.Reason)
 			if f.Reason == settings.ReasonUnit {
 				Expect(f.Line).To(Equal(17))
-				Expect(f.Place()).To(Equal("line 17 [timing] heartbeat"))
+				Expect(f.Location()).To(Equal("line 17 [timing] heartbeat"))
 			}
 		}
 		Expect(reasons).To(ConsistOf(settings.ReasonMissing, settings.ReasonUnit, settings.ReasonUnknownKey))
