--- a/internal/explain/subjects.go
+++ b/internal/explain/subjects.go
@@ -80,7 +80,7 @@
 	if man == nil {
 		return &UnknownError{Kind: KindPool, Name: e.Name}
 	}
-	p, ok := man.ForPool(e.Name)
+	p, ok := man.FindPool(e.Name)
 	if !ok {
 		return &UnknownError{Kind: KindPool, Name: e.Name}
 	}
--- a/internal/manifest/manifest_test.go
+++ b/internal/manifest/manifest_test.go
@@ -176,7 +176,7 @@
 		Expect(m.MinAvailable("tabs")).To(Equal(2))
 		Expect(m.MinAvailable("audit")).To(BeZero())
 		Expect(m.ServicesOf("tabs")).To(HaveLen(2))
-		_, known := m.ForPool("x")
+		_, known := m.FindPool("x")
 		Expect(known).To(BeFalse())
 	})
 
--- a/internal/manifest/query.go
+++ b/internal/manifest/query.go
@@ -16,8 +16,8 @@
 	return s.Count
 }
 
-// ForPool returns the pool with this name.
-func (m *Manifest) ForPool(name string) (*Pool, bool) {
+// FindPool returns the pool with this name.
+func (m *Manifest) FindPool(name string) (*Pool, bool) {
 	for i := range m.Pools {
 		if m.Pools[i].Name == name {
 			return &m.Pools[i], true
@@ -26,8 +26,8 @@
 	return nil, false
 }
 
-// ForService returns the service with this name.
-func (m *Manifest) ForService(name string) (*Service, bool) {
+// FindService returns the service with this name.
+func (m *Manifest) FindService(name string) (*Service, bool) {
 	for i := range m.Services {
 		if m.Services[i].Name == name {
 			return &m.Services[i], true
--- a/internal/manifest/validate_services.go
+++ b/internal/manifest/validate_services.go
@@ -26,7 +26,7 @@
 // checkBudget rejects budgets that can never be met. A budget equal to the size of
 // the pool is allowed: maintenance then waits until a spare has been moved in.
 func (v *validator) checkBudget(at string, s *Service) {
-	pool, known := v.m.ForPool(s.Pool)
+	pool, known := v.m.FindPool(s.Pool)
 	if !known {
 		v.addFault(joinPath(at, "pool"), ReasonUnknownPool, "pool %q is not declared", s.Pool)
 	}
