--- a/internal/host/host.go
+++ b/internal/host/host.go
@@ -131,11 +131,11 @@
 			return published.AskPeer(ctx, n.peers, name, have)
 		}})
 	n.ingress = ingress.New(n.configs, calls, n.log)
-	front, err := n.startServer(n.set.Front.String(), n.requestDeadline.wrap(&platform.Front{Service: n.ingress}))
+	front, err := n.startServer(n.set.CallersListen.String(), n.requestDeadline.wrap(&platform.Front{Service: n.ingress}))
 	if err != nil {
 		return err
 	}
-	ready, err := n.startServer(n.set.Ready.String(), http.HandlerFunc(n.serveReadiness))
+	ready, err := n.startServer(n.set.ReadyListen.String(), http.HandlerFunc(n.serveReadiness))
 	if err != nil {
 		return err
 	}
@@ -189,7 +189,7 @@
 func (n *Node) startOperatorServer() (stop func(), err error) {
 	op, err := operator.New(operator.Options{
 		Process: operator.Process{ID: n.set.Node, Deployment: n.set.Deployment, Zone: n.set.Zone, Version: version.Version},
-		Listen:  n.set.Operator, Logger: n.log,
+		Listen:  n.set.OperatorListen, Logger: n.log,
 	})
 	if err != nil {
 		return nil, err
@@ -212,12 +212,12 @@
 			n.log.Warn("cannot close operator server", operator.Err(err))
 		}
 	}
-	if !n.set.Metrics.IsValid() {
+	if !n.set.MetricsListen.IsValid() {
 		return closeOperator, nil
 	}
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /metrics", func(w http.ResponseWriter, _ *http.Request) { metrics.WritePrometheus(w, true) })
-	server, err := n.startServer(n.set.Metrics.String(), mux)
+	server, err := n.startServer(n.set.MetricsListen.String(), mux)
 	if err != nil {
 		return closeOperator, err
 	}
@@ -272,7 +272,7 @@
 		Fleet: func(ctx context.Context, duty shards.Duty) {
 			fleetops.Run(ctx, fleetops.Options{Holder: n.set.Node, Member: member, Claims: duty, Claimed: duty.RecordClaim,
 				Store: store, Cloud: n.client, Pools: calls, Facts: n.fleetFacts, Logger: n.log,
-				Limits: fleetops.Limits{Holder: n.set.Node, MoveTime: n.set.Bounds.Move, MaintainTime: n.set.Bounds.Maintain, HolderTTL: n.set.Bounds.LeaseTTL}})
+				Limits: fleetops.Limits{Holder: n.set.Node, MoveTime: n.set.Bounds.MoveTime, MaintainTime: n.set.Bounds.MaintainTime, HolderTTL: n.set.Bounds.HolderTTL}})
 		},
 		AskMembers: func(ctx context.Context, node string) (shards.MembersResult, error) {
 			return shards.AskMembers(ctx, n.peers, node)
