--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -1,6 +1,7 @@
-// Package explain tells operators, from the fold and the planner's last
-// decisions, why something is as it is, what it waits for, and what would
-// unblock it. It decides nothing.
+// Package explain reports why an instance, pool, job or manifest is in its
+// current state, what it is waiting for, and what would unblock it. Its input
+// is the state folded from the fleet log with the planner's last decisions, or
+// the state dumps of nodes; it makes no decisions. cyclamenctl explain calls it.
 package explain
 
 import (
@@ -14,10 +15,9 @@
 	"cyclamenwheel/internal/pools"
 )
 
-// Kind is what can be explained.
+// Kind is the kind of object that can be explained.
 type Kind string
 
-// Kinds.
 const (
 	KindInstance Kind = "instance"
 	KindPool     Kind = "pool"
@@ -25,19 +25,20 @@
 	KindManifest Kind = "manifest"
 )
 
-// Explanation is the answer.
+// Explanation describes the state of one object.
 type Explanation struct {
 	Kind Kind   `json:"kind"`
 	Name string `json:"name"`
-	// Is states what is so, Why the recorded reasons, WaitsFor what it waits
-	// for, and Unblock what would let it go on.
+	// Is lists facts about the current state, Why the recorded reasons,
+	// WaitsFor the conditions that block progress, and Unblock what would
+	// resolve them.
 	Is       []string `json:"is"`
 	Why      []string `json:"why,omitempty"`
 	WaitsFor []string `json:"waits_for,omitempty"`
 	Unblock  []string `json:"unblock,omitempty"`
 }
 
-// UnknownError says that the fold has nothing of that name.
+// UnknownError reports that the folded state has no object of that name.
 type UnknownError struct {
 	Kind Kind
 	Name string
@@ -45,102 +46,104 @@
 
 func (e *UnknownError) Error() string { return fmt.Sprintf("no %s %q", e.Kind, e.Name) }
 
-// UnknownKindError says that there is no such kind.
+// UnknownKindError reports a kind that cannot be explained.
 type UnknownKindError struct{ Kind Kind }
 
 func (e *UnknownKindError) Error() string {
 	return fmt.Sprintf("can't explain a %q: instance, pool, job or manifest", e.Kind)
 }
 
-// current leaves out operations that the fold has seen end since the planner
-// looked: its view is a moment older.
-func current(st *fleetlog.State, view planner.View) planner.View {
-	var still []planner.Progress
+// dropEndedOperations removes operations from the planner's view that have
+// ended according to the folded state, which is newer than the view.
+func dropEndedOperations(st *fleetlog.State, view planner.View) planner.View {
+	var inProgress []planner.Progress
 	for _, op := range view.Progress {
 		if in := st.Pools.Instances[op.Instance]; in != nil && in.Operation == op.Operation {
-			still = append(still, op)
+			inProgress = append(inProgress, op)
 		}
 	}
-	view.Progress = still
+	view.Progress = inProgress
 	return view
 }
 
-// Of explains one thing. view is the planner's; its zero value, where no
-// planner answers, leaves out what is only being considered.
+// Of explains one object from the folded state and the planner's view. If no
+// planner answered, view is zero, and pending decisions are missing from the
+// result.
 func Of(st *fleetlog.State, view planner.View, kind Kind, name string) (Explanation, error) {
 	e := &Explanation{Kind: kind, Name: name}
-	view = current(st, view)
+	view = dropEndedOperations(st, view)
 	var err error
 	switch kind {
 	case KindInstance:
-		err = e.instance(st, view)
+		err = e.explainInstance(st, view)
 	case KindPool:
-		err = e.pool(st, view)
+		err = e.explainPool(st, view)
 	case KindJob:
-		err = e.job(st, view)
+		err = e.explainJob(st, view)
 	case KindManifest:
-		e.manifest(st, view)
+		e.explainManifest(st, view)
 	default:
 		err = &UnknownKindError{Kind: kind}
 	}
 	if !view.Holds {
-		e.waits("the planner's view: no process that holds the planner lease answered",
+		e.addWait("the planner's view: no process that holds the planner lease answered",
 			"start a cyclamen-control, or reach one with --process")
 	}
 	return *e, err
 }
 
-func (e *Explanation) is(format string, args ...any) {
+func (e *Explanation) addState(format string, args ...any) {
 	e.Is = append(e.Is, fmt.Sprintf(format, args...))
 }
 
-func (e *Explanation) why(format string, args ...any) {
+func (e *Explanation) addReason(format string, args ...any) {
 	e.Why = append(e.Why, fmt.Sprintf(format, args...))
 }
 
-// waits notes what it waits for and what would unblock that.
-func (e *Explanation) waits(what, unblock string) {
+// addWait adds a condition that blocks progress and what would resolve it.
+func (e *Explanation) addWait(what, unblock string) {
 	e.WaitsFor = append(e.WaitsFor, what)
 	if unblock != "" && !slices.Contains(e.Unblock, unblock) {
 		e.Unblock = append(e.Unblock, unblock)
 	}
 }
 
-func (e *Explanation) manifest(st *fleetlog.State, view planner.View) {
+func (e *Explanation) explainManifest(st *fleetlog.State, view planner.View) {
 	m := st.Manifest.Current()
 	if m == nil {
-		e.is("no manifest is in force")
-		e.waits("a first manifest", "cyclamenctl publish FILE --wait")
+		e.addState("no manifest is in force")
+		e.addWait("a first manifest", "cyclamenctl publish FILE --wait")
 		return
 	}
-	e.is("generation %d of deployment %s, published by %s, accepted at offset %d",
+	e.addState("generation %d of deployment %s, published by %s, accepted at offset %d",
 		st.Manifest.Generation, m.Deployment, st.Manifest.Operator, st.Manifest.Offset)
 	for _, p := range m.Pools {
-		e.is("pool %s: %d of %d instances serve, at least %d must",
+		e.addState("pool %s: %d of %d instances serve, at least %d must",
 			p.Name, st.Pools.Available(p.Name), p.Instances.Size(), st.Manifest.MinAvailable(p.Name))
 	}
 	for _, id := range slices.Sorted(maps.Keys(st.Pools.Instances)) {
 		if in := st.Pools.Instances[id]; in.Operation != "" {
-			e.why("%s is %s to %s: %s", id, in.Phase, orSpare(in.Target), in.Why)
+			e.addReason("%s is %s to %s: %s", id, in.Phase, poolOrSpares(in.Target), in.Why)
 		}
 	}
 	for _, op := range view.Progress {
-		e.operation(op)
+		e.addOperation(op)
 	}
-	e.spare(m.Buffer.Survive, view.Spare)
-	e.decisions(view, "")
+	e.addSpareCoverage(m.Buffer.Survive, view.Spare)
+	e.addPendingDecisions(view, "")
 }
 
-// spare tells whether the shared spare is enough for the loss it is meant for.
-func (e *Explanation) spare(domain manifest.FailureDomain, s pools.SpareNeed) {
-	e.is("%d spares; %d cover the loss of the worst %s", s.Held, s.Needed, domain)
+// addSpareCoverage reports whether the spares cover the loss of the worst
+// failure domain of the kind set in buffer.survive.
+func (e *Explanation) addSpareCoverage(domain manifest.FailureDomain, s pools.SpareNeed) {
+	e.addState("%d spares; %d cover the loss of the worst %s", s.Held, s.Needed, domain)
 	if missing := s.Missing(); missing > 0 {
-		e.waits(fmt.Sprintf("%d more spares: the loss of the worst %s would leave a service below its budget", missing, domain),
+		e.addWait(fmt.Sprintf("%d more spares: the loss of the worst %s would leave a service below its budget", missing, domain),
 			"more instances, smaller pools, lower budgets, or a smaller failure domain in buffer.survive")
 	}
 }
 
-func orSpare(pool string) string {
+func poolOrSpares(pool string) string {
 	if pool == "" {
 		return "the spares"
 	}
--- a/internal/explain/explain_test.go
+++ b/internal/explain/explain_test.go
@@ -32,9 +32,9 @@
 	return st
 }
 
-// An operator asks why an instance does not move on: an entry has not let go
-// of it. The answer names the entry, the cause, and what would help.
-func TestInstanceThatWaitsForAnEntry(t *testing.T) {
+// A drain waits for an entry that has not acknowledged it. The explanation of
+// the instance names the entry, the cause and a remedy.
+func TestInstanceWaitingForEntryAck(t *testing.T) {
 	g := NewWithT(t)
 	st := stateWith(t, pools.Instance{
 		ID: "w", Pool: "a", Phase: pools.PhaseDraining, Target: "a", Operation: "op", Why: "maintenance: revision 3",
@@ -49,8 +49,9 @@
 	g.Expect(e.Unblock).NotTo(BeEmpty())
 }
 
-// The planner's last round still lists an operation that the fold has seen end.
-func TestOperationThatHasEndedIsNotWaitedFor(t *testing.T) {
+// The planner's last round still lists an operation that has ended in the
+// newer folded state; the explanation must not report a wait for it.
+func TestEndedOperationIsNotListedAsWait(t *testing.T) {
 	g := NewWithT(t)
 	st := stateWith(t, pools.Instance{ID: "w", Pool: "a", Phase: pools.PhaseServing})
 	view := planner.View{Holds: true, Progress: []planner.Progress{{Instance: "w", Operation: "op", Asked: true}}}
@@ -59,7 +60,7 @@
 	g.Expect(e.WaitsFor).To(BeEmpty())
 }
 
-func TestPoolThatIsShort(t *testing.T) {
+func TestPoolWithShortfall(t *testing.T) {
 	g := NewWithT(t)
 	st := stateWith(t, pools.Instance{ID: "w", Pool: "a", Phase: pools.PhaseServing, Revision: 1})
 	view := planner.View{Holds: true, Moves: pools.Decision{Shortfalls: []pools.Shortfall{
@@ -72,7 +73,7 @@
 	g.Expect(e.Unblock).To(ContainElement(ContainSubstring("more instances")))
 }
 
-func TestWhatIsNotThere(t *testing.T) {
+func TestUnknownNamesAndKinds(t *testing.T) {
 	g := NewWithT(t)
 	st := stateWith(t, pools.Instance{ID: "w", Pool: "a", Phase: pools.PhaseServing})
 	for _, kind := range []explain.Kind{explain.KindInstance, explain.KindPool, explain.KindJob} {
--- a/internal/explain/nodes.go
+++ b/internal/explain/nodes.go
@@ -9,20 +9,20 @@
 	"cyclamenwheel/internal/shards"
 )
 
-// NodeDump is what a node on the users' platform says of itself.
+// NodeDump is the state dump of one node on the users' platform.
 type NodeDump struct {
-	// Node is where the node was asked, and Err why it has not answered.
+	// Node is the operator address of the node. Err says why it did not answer.
 	Node   string              `json:"node"`
 	Err    string              `json:"error,omitempty"`
 	Duties shards.Status       `json:"duties"`
 	Pools  []executor.PoolDump `json:"pools"`
 }
 
-// NotFoundError says that no node that answered knows of something.
+// NotFoundError reports that no answering node has the object.
 type NotFoundError struct {
 	Kind Kind
 	Name string
-	// Silent are the nodes that have not answered.
+	// Silent lists the nodes that did not answer.
 	Silent []string
 }
 
@@ -37,12 +37,12 @@
 	return text
 }
 
-// OfNodes explains a job or a pool by what nodes have said.
+// OfNodes explains a job or a pool from the state dumps of nodes.
 func OfNodes(dumps []NodeDump, kind Kind, name string) (Explanation, error) {
-	missing := &NotFoundError{Kind: kind, Name: name}
+	notFound := &NotFoundError{Kind: kind, Name: name}
 	for _, d := range dumps {
 		if d.Err != "" {
-			missing.Silent = append(missing.Silent, d.Node)
+			notFound.Silent = append(notFound.Silent, d.Node)
 		}
 	}
 	switch kind {
@@ -50,53 +50,54 @@
 		for _, d := range dumps {
 			for _, p := range d.Pools {
 				if i := slices.IndexFunc(p.Jobs, func(j executor.JobDump) bool { return j.ID == name }); i >= 0 {
-					return ofOpenJob(d, p, p.Jobs[i]), nil
+					return explainOpenJob(d, p, p.Jobs[i]), nil
 				}
 				if i := slices.IndexFunc(p.Failed, func(j executor.FailedDump) bool { return j.ID == name }); i >= 0 {
-					return ofFailedJob(d, p, p.Failed[i]), nil
+					return explainFailedJob(d, p, p.Failed[i]), nil
 				}
 			}
 		}
 	case KindPool:
-		if e, found := ofOwnedPool(dumps, name); found {
+		if e, found := explainPoolFromNodes(dumps, name); found {
 			return e, nil
 		}
 	default:
 		return Explanation{}, &UnknownKindError{kind}
 	}
-	return Explanation{}, missing
+	return Explanation{}, notFound
 }
 
-func ofOpenJob(d NodeDump, p executor.PoolDump, j executor.JobDump) Explanation {
+func explainOpenJob(d NodeDump, p executor.PoolDump, j executor.JobDump) Explanation {
 	e := Explanation{Kind: KindJob, Name: j.ID, Is: []string{
 		fmt.Sprintf("%s in pool %s, queue %s; owner %s, epoch %d", j.State, p.Summary.Pool, j.Queue, d.Node, p.Epoch),
 		fmt.Sprintf("%d tasks placed, tasks of %d steps waiting", j.Running, len(j.Waiting)),
-		objective(j.ObjectiveMs),
+		objectiveText(j.ObjectiveMs),
 	}}
 	e.WaitsFor, e.Unblock, e.Why = j.Waiting, j.Unblock, j.Crashes
 	return e
 }
 
-func ofFailedJob(d NodeDump, p executor.PoolDump, j executor.FailedDump) Explanation {
+func explainFailedJob(d NodeDump, p executor.PoolDump, j executor.FailedDump) Explanation {
 	return Explanation{Kind: KindJob, Name: j.ID, Why: []string{j.Reason}, Is: []string{
 		fmt.Sprintf("failed in pool %s, queue %s, %d ms ago; owner %s, epoch %d", p.Summary.Pool, j.Queue, j.EndedAgoMs, d.Node, p.Epoch)}}
 }
 
-func objective(ms int64) string {
+func objectiveText(ms int64) string {
 	if ms < 0 {
 		return fmt.Sprintf("late by %d ms: it comes after jobs that can still be in time", -ms)
 	}
 	return fmt.Sprintf("in time if it ends within %d ms", ms)
 }
 
-// ofOwnedPool explains a pool by its owner's word, or by whom the nodes take for it.
-func ofOwnedPool(dumps []NodeDump, name string) (Explanation, bool) {
+// explainPoolFromNodes explains a pool from the dump of its owner. If no owner
+// answered, it reports which node each answering node believes to be the owner.
+func explainPoolFromNodes(dumps []NodeDump, name string) (Explanation, bool) {
 	e := Explanation{Kind: KindPool, Name: name}
 	for _, d := range dumps {
 		for _, p := range d.Pools {
 			if p.Summary.Pool == name {
-				e.Is = append(e.Is, fmt.Sprintf("owner %s, epoch %d", d.Node, p.Epoch), loadOf(p.Summary))
-				e.WaitsFor = append(e.WaitsFor, closedEndpoints(p.Endpoints)...)
+				e.Is = append(e.Is, fmt.Sprintf("owner %s, epoch %d", d.Node, p.Epoch), loadText(p.Summary))
+				e.WaitsFor = append(e.WaitsFor, unavailableEndpoints(p.Endpoints)...)
 			}
 		}
 	}
@@ -118,15 +119,15 @@
 	return e, true
 }
 
-func loadOf(s executor.Summary) string {
+func loadText(s executor.Summary) string {
 	return fmt.Sprintf("%d endpoints with %.1f of %.1f cores in use, %.1f by lasting tasks; %d jobs open, %d tasks waiting",
 		s.Endpoints, cores(s.RunningCPUMilli), cores(s.CapacityMilli), cores(s.LastingCPUMilli), s.Jobs, s.WaitingTasks)
 }
 
 func cores(milli int) float64 { return float64(milli) / 1000 }
 
-// closedEndpoints says which endpoints take no tasks, and why.
-func closedEndpoints(endpoints []executor.EndpointDump) []string {
+// unavailableEndpoints lists the endpoints that accept no tasks, and why.
+func unavailableEndpoints(endpoints []executor.EndpointDump) []string {
 	var out []string
 	for _, e := range endpoints {
 		switch {
--- a/internal/explain/nodes_test.go
+++ b/internal/explain/nodes_test.go
@@ -9,24 +9,24 @@
 	"cyclamenwheel/internal/shards"
 )
 
-var _ = Describe("what nodes say", func() {
-	waits := executor.JobDump{ID: "00000000000000a1", Queue: "q", State: "queued", ObjectiveMs: -300,
+var _ = Describe("explanations from node dumps", func() {
+	waitingJob := executor.JobDump{ID: "00000000000000a1", Queue: "q", State: "queued", ObjectiveMs: -300,
 		Waiting: []string{"00000000000000a1.0.0.0: endpoints 4 full"}, Unblock: []string{"a task that ends"}}
 	owner := explain.NodeDump{Node: "127.0.0.1:1", Pools: []executor.PoolDump{{Epoch: 3, Summary: executor.Summary{Pool: "tabs", Endpoints: 4, CapacityMilli: 64000, Jobs: 1},
-		Jobs: []executor.JobDump{waits}, Endpoints: []executor.EndpointDump{{ID: "i-1", Silent: 2, LeaseEndsMs: 900}, {ID: "i-2"}}}}}
+		Jobs: []executor.JobDump{waitingJob}, Endpoints: []executor.EndpointDump{{ID: "i-1", Silent: 2, LeaseEndsMs: 900}, {ID: "i-2"}}}}}
 	other := explain.NodeDump{Node: "127.0.0.1:2", Duties: shards.Status{Duties: []shards.DutyStatus{{Duty: "rooms", Owner: "n-9"}}}}
 	silent := explain.NodeDump{Node: "127.0.0.1:3", Err: "no answer"}
 
-	It("explains an open job by its owner's word", func() {
-		e, err := explain.OfNodes([]explain.NodeDump{other, owner}, explain.KindJob, waits.ID)
+	It("explains an open job from the dump of its pool's owner", func() {
+		e, err := explain.OfNodes([]explain.NodeDump{other, owner}, explain.KindJob, waitingJob.ID)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(e.Is).To(ContainElements(ContainSubstring("queued in pool tabs"), ContainSubstring("late by 300 ms")))
-		Expect(e.WaitsFor).To(Equal(waits.Waiting))
-		Expect(e.Unblock).To(Equal(waits.Unblock))
+		Expect(e.WaitsFor).To(Equal(waitingJob.Waiting))
+		Expect(e.Unblock).To(Equal(waitingJob.Unblock))
 	})
 
-	It("says why a job was given up, and what speaks against the tasks of an open one", func() {
-		open := waits
+	It("reports why a job failed, and the crashes under the tasks of an open job", func() {
+		open := waitingJob
 		open.Crashes = []string{"00000000000000a1.0.0.0: 2 endpoints have crashed under it"}
 		pool := executor.PoolDump{Epoch: 3, Summary: executor.Summary{Pool: "tabs"}, Jobs: []executor.JobDump{open},
 			Failed: []executor.FailedDump{{ID: "00000000000000b2", Queue: "q", Reason: "task 00000000000000b2.0.0.0 is given up", EndedAgoMs: 40}}}
@@ -40,21 +40,21 @@
 		Expect(e.Why).To(Equal(open.Crashes))
 	})
 
-	It("explains a pool by its owner's word, and its endpoints that take nothing", func() {
+	It("explains a pool from its owner's dump and lists endpoints that accept no tasks", func() {
 		e, err := explain.OfNodes([]explain.NodeDump{owner}, explain.KindPool, "tabs")
 		Expect(err).NotTo(HaveOccurred())
 		Expect(e.Is).To(ContainElement(ContainSubstring("owner 127.0.0.1:1, epoch 3")))
 		Expect(e.WaitsFor).To(ConsistOf(ContainSubstring("i-1 has left 2 calls unanswered")))
 	})
 
-	It("says whom nodes take for the owner of a pool that nobody owns", func() {
+	It("reports the presumed owner of a pool that no answering node owns", func() {
 		e, err := explain.OfNodes([]explain.NodeDump{owner, other}, explain.KindPool, "rooms")
 		Expect(err).NotTo(HaveOccurred())
 		Expect(e.Is).To(ConsistOf("no node that answered owns it"))
 		Expect(e.Why).To(ConsistOf(ContainSubstring("takes n-9 for its owner")))
 	})
 
-	It("names the nodes that have not answered where nothing is known", func() {
+	It("names the nodes that did not answer if the object is not found", func() {
 		_, err := explain.OfNodes([]explain.NodeDump{owner, silent}, explain.KindJob, "00000000000000ff")
 		Expect(err).To(MatchError(And(ContainSubstring("never accepted"), ContainSubstring("not answered: 127.0.0.1:3"))))
 		_, err = explain.OfNodes([]explain.NodeDump{owner}, explain.KindManifest, "")
--- a/internal/explain/subjects.go
+++ b/internal/explain/subjects.go
@@ -11,61 +11,61 @@
 	"cyclamenwheel/internal/pools"
 )
 
-func (e *Explanation) instance(st *fleetlog.State, view planner.View) error {
+func (e *Explanation) explainInstance(st *fleetlog.State, view planner.View) error {
 	in := st.Pools.Instances[e.Name]
 	if in == nil {
 		return &UnknownError{Kind: KindInstance, Name: e.Name}
 	}
-	e.is("%s in %s since offset %d; zone %s, rack %s, maintenance revision %d",
-		in.Phase, orSpare(in.Pool), in.Since, in.Zone, in.Rack, in.Revision)
+	e.addState("%s in %s since offset %d; zone %s, rack %s, maintenance revision %d",
+		in.Phase, poolOrSpares(in.Pool), in.Since, in.Zone, in.Rack, in.Revision)
 	if in.Operation != "" {
-		e.is("operation %s leads to %s", in.Operation, orSpare(in.Target))
+		e.addState("operation %s leads to %s", in.Operation, poolOrSpares(in.Target))
 	}
 	if in.Why != "" {
-		e.why("last change: %s", in.Why)
+		e.addReason("last change: %s", in.Why)
 	}
 	for id, t := range st.Tasks.Tasks {
 		if t.Instance == in.ID {
-			e.is("runs task %s of job %s (%s)", id, t.Job, t.Why)
+			e.addState("runs task %s of job %s (%s)", id, t.Job, t.Why)
 		}
 	}
 	for _, op := range view.Progress {
 		if op.Instance == in.ID {
-			e.operation(op)
+			e.addOperation(op)
 		}
 	}
 	for _, w := range view.Moves.Waits {
 		if w.Move.Instance == in.ID {
-			e.moveWaits(w)
+			e.addMoveWait(w)
 		}
 	}
 	for _, h := range view.Waves.Halts {
 		if h.Instance == in.ID {
-			e.halt(h)
+			e.addMaintenanceHalt(h)
 		}
 	}
 	for _, q := range view.Tasks.Quarantine {
 		if q.Instance == in.ID {
-			e.waits("quarantine: "+string(q.Reason), "it is tried again after a while; reboot it to start afresh")
+			e.addWait("quarantine: "+string(q.Reason), "it is tried again after a while; reboot it to start afresh")
 		}
 	}
 	if in.Phase == pools.PhaseDown {
-		e.waits("the platform to list it as live again", "nothing: another instance takes its place where there is a spare")
+		e.addWait("the platform to list it as live again", "nothing: another instance takes its place where there is a spare")
 	}
 	return nil
 }
 
-// operation tells what a move or drain in progress waits for.
-func (e *Explanation) operation(op planner.Progress) {
+// addOperation reports what a move or drain in progress is waiting for.
+func (e *Explanation) addOperation(op planner.Progress) {
 	if op.Asked {
-		e.waits(fmt.Sprintf("%s: the platform to finish operation %s", op.Instance, op.Operation), "")
+		e.addWait(fmt.Sprintf("%s: the platform to finish operation %s", op.Instance, op.Operation), "")
 	}
 	for _, w := range op.Waiting {
-		e.waits(fmt.Sprintf("%s: entry %s (%s)", op.Instance, w.Member, w.Cause), unblockMember(w.Cause))
+		e.addWait(fmt.Sprintf("%s: entry %s (%s)", op.Instance, w.Member, w.Cause), unblockEntry(w.Cause))
 	}
 }
 
-func unblockMember(cause string) string {
+func unblockEntry(cause string) string {
 	switch cause {
 	case membership.CauseInFlight:
 		return "nothing: requests in flight end within their deadlines"
@@ -75,7 +75,7 @@
 	return ""
 }
 
-func (e *Explanation) pool(st *fleetlog.State, view planner.View) error {
+func (e *Explanation) explainPool(st *fleetlog.State, view planner.View) error {
 	man := st.Manifest.Current()
 	if man == nil {
 		return &UnknownError{Kind: KindPool, Name: e.Name}
@@ -85,59 +85,59 @@
 		return &UnknownError{Kind: KindPool, Name: e.Name}
 	}
 	phases := make(map[pools.Phase]int)
-	old := 0
+	belowRevision := 0
 	for _, in := range st.Pools.Instances {
 		if in.Pool != e.Name {
 			continue
 		}
 		phases[in.Phase]++
 		if in.Revision < p.Maintenance.Revision {
-			old++
+			belowRevision++
 		}
 	}
-	e.is("%d of %d instances serve, at least %d must; %d moving, %d draining, %d down",
+	e.addState("%d of %d instances serve, at least %d must; %d moving, %d draining, %d down",
 		phases[pools.PhaseServing], p.Instances.Size(), st.Manifest.MinAvailable(e.Name),
 		phases[pools.PhaseMoving], phases[pools.PhaseDraining], phases[pools.PhaseDown])
-	e.is("%d instances below maintenance revision %d", old, p.Maintenance.Revision)
+	e.addState("%d instances below maintenance revision %d", belowRevision, p.Maintenance.Revision)
 	for _, op := range view.Progress {
 		if in := st.Pools.Instances[op.Instance]; op.Target == e.Name || in != nil && in.Pool == e.Name {
-			e.operation(op)
+			e.addOperation(op)
 		}
 	}
-	e.decisions(view, e.Name)
+	e.addPendingDecisions(view, e.Name)
 	return nil
 }
 
-// decisions adds what the planner wants and can't do yet; of one pool, or of
-// all.
-func (e *Explanation) decisions(view planner.View, pool string) {
+// addPendingDecisions reports shortfalls and the moves and maintenance that the
+// planner cannot start yet, for one pool or, if pool is empty, for all.
+func (e *Explanation) addPendingDecisions(view planner.View, pool string) {
 	for _, s := range view.Moves.Shortfalls {
 		if pool == "" || s.Pool == pool {
-			e.waits(fmt.Sprintf("pool %s: %d instances missing (%s)", s.Pool, s.Missing, s.Reason), unblockShort(s.Reason))
+			e.addWait(fmt.Sprintf("pool %s: %d instances missing (%s)", s.Pool, s.Missing, s.Reason), unblockShortfall(s.Reason))
 		}
 	}
 	for _, w := range view.Moves.Waits {
 		if pool == "" || w.Move.From == pool || w.Move.To == pool {
-			e.moveWaits(w)
+			e.addMoveWait(w)
 		}
 	}
 	for _, h := range view.Waves.Halts {
 		if pool == "" || h.Pool == pool {
-			e.halt(h)
+			e.addMaintenanceHalt(h)
 		}
 	}
 }
 
-func (e *Explanation) moveWaits(w pools.Wait) {
+func (e *Explanation) addMoveWait(w pools.Wait) {
 	unblock := ""
 	if w.Reason == pools.WaitBudget {
 		unblock = "an instance of pool " + w.Move.From + " back in service, or a lower min_available"
 	}
-	e.waits(fmt.Sprintf("%s: move from %s to %s (%s) held by %s",
-		w.Move.Instance, orSpare(w.Move.From), orSpare(w.Move.To), w.Move.Reason, w.Reason), unblock)
+	e.addWait(fmt.Sprintf("%s: move from %s to %s (%s) held by %s",
+		w.Move.Instance, poolOrSpares(w.Move.From), poolOrSpares(w.Move.To), w.Move.Reason, w.Reason), unblock)
 }
 
-func unblockShort(r pools.ShortfallReason) string {
+func unblockShortfall(r pools.ShortfallReason) string {
 	switch r {
 	case pools.ShortNoInstance:
 		return "more instances from the platform, or a lower count in a manifest"
@@ -149,8 +149,8 @@
 	return ""
 }
 
-func (e *Explanation) halt(h maintenance.Halt) {
-	e.waits(fmt.Sprintf("pool %s: maintenance held by %s %s", h.Pool, h.Reason, h.Instance), unblockHalt(h.Reason))
+func (e *Explanation) addMaintenanceHalt(h maintenance.Halt) {
+	e.addWait(fmt.Sprintf("pool %s: maintenance held by %s %s", h.Pool, h.Reason, h.Instance), unblockHalt(h.Reason))
 }
 
 func unblockHalt(r maintenance.HaltReason) string {
@@ -165,7 +165,7 @@
 	return "nothing: it goes on by itself"
 }
 
-func (e *Explanation) job(st *fleetlog.State, view planner.View) error {
+func (e *Explanation) explainJob(st *fleetlog.State, view planner.View) error {
 	job, ok := st.Manifest.Current().JobsByName()[e.Name]
 	if !ok {
 		return &UnknownError{Kind: KindJob, Name: e.Name}
@@ -174,20 +174,20 @@
 	for _, t := range st.Tasks.Tasks {
 		if t.Job == e.Name {
 			placed++
-			e.why("task %d on %s: %s", t.Index, t.Instance, t.Why)
+			e.addReason("task %d on %s: %s", t.Index, t.Instance, t.Why)
 		}
 	}
 	h := st.Tasks.History.Jobs[e.Name]
-	e.is("%d of %d tasks placed in pool %s, %d done, %d failures since the last success",
+	e.addState("%d of %d tasks placed in pool %s, %d done, %d failures since the last success",
 		placed, job.Tasks, job.Pool, len(h.Done), h.Failures)
 	for _, s := range view.Tasks.SetAside {
 		if s.Job == e.Name {
-			e.waits("set aside: "+string(s.Reason), unblockJob(s.Reason))
+			e.addWait("set aside: "+string(s.Reason), unblockJob(s.Reason))
 		}
 	}
 	for _, w := range view.Tasks.Waiting {
 		if w.Job == e.Name {
-			e.waits(fmt.Sprintf("%d tasks: %s", w.Tasks, w.Reason), unblockJob(w.Reason))
+			e.addWait(fmt.Sprintf("%d tasks: %s", w.Tasks, w.Reason), unblockJob(w.Reason))
 		}
 	}
 	return nil
