--- a/internal/ctl/accounts.go
+++ b/internal/ctl/accounts.go
@@ -22,8 +22,8 @@
 		Name: "accounts", Summary: "Show what client accounts use of their limits in each pool, their shares, and what waits or was refused.",
 		Args: "[ACCOUNT]",
 		Flags: func(sub *flaggy.Subcommand) {
-			conn.flags(sub)
-			nodesFlag(sub, &nodes)
+			conn.addFlags(sub)
+			addNodesFlag(sub, &nodes)
 			sub.Bool(&asJSON, "", "json", "Print as JSON.")
 		},
 		Run: func(ctx context.Context, streams Streams, args []string) error {
@@ -34,7 +34,7 @@
 			if err != nil {
 				return err
 			}
-			rows := accountRows(askNodes(ctx, hc, nodes))
+			rows := accountRows(fetchNodeDumps(ctx, hc, nodes))
 			if len(args) == 1 {
 				rows = slices.DeleteFunc(rows, func(r accountRow) bool { return r.Account != args[0] })
 			}
@@ -46,14 +46,15 @@
 	}
 }
 
-// accountRow is an account's part of a pool.
+// accountRow is the usage of one account in one pool.
 type accountRow struct {
 	executor.AccountDump
 	Pool  string `json:"pool"`
 	Owner string `json:"owner"`
 }
 
-// accountRows are those of all pools whose owners answered.
+// accountRows returns the rows of all pools whose owners answered, sorted by
+// account and pool.
 func accountRows(dumps []explain.NodeDump) []accountRow {
 	rows := []accountRow{}
 	for _, d := range dumps {
@@ -84,5 +85,5 @@
 		fmt.Fprintf(w, "%s\t%s\t%s\t%.1f\t%s\t%s\t%d\t%d\t%d ms ago\n", r.Account, r.Pool, r.Owner,
 			float64(r.Used.CPUMilli)/1000, limit, share, r.Waiting, r.Refused, r.ToldAgoMs)
 	}
-	return output(w.Flush())
+	return outputError(w.Flush())
 }
--- a/internal/ctl/checksettings.go
+++ b/internal/ctl/checksettings.go
@@ -20,7 +20,7 @@
 			sub.Bool(&asJSON, "", "json", "Print the result as JSON.")
 		},
 		Run: func(_ context.Context, streams Streams, args []string) error {
-			table, files, err := tableFor("check-settings", args)
+			table, files, err := selectTable("check-settings", args)
 			if err != nil {
 				return err
 			}
@@ -31,7 +31,7 @@
 			for _, file := range files {
 				reports = append(reports, checkSettings(file, table))
 			}
-			return finish(streams.Out, reports, asJSON)
+			return printReports(streams.Out, reports, asJSON)
 		},
 	}
 }
@@ -43,7 +43,7 @@
 	if errors.As(err, &faults) {
 		for _, f := range faults.Faults {
 			report.Faults = append(report.Faults, Finding{
-				Field: fieldOf(f), Reason: string(f.Reason), Detail: f.Detail, Line: f.Line,
+				Field: faultField(f), Reason: string(f.Reason), Detail: f.Detail, Line: f.Line,
 			})
 		}
 	}
@@ -51,8 +51,8 @@
 	return report
 }
 
-// fieldOf names section and key without the line, which stands by itself.
-func fieldOf(f settings.Fault) string {
+// faultField formats section and key; the line number has a field of its own.
+func faultField(f settings.Fault) string {
 	if f.Section == "" {
 		return ""
 	}
--- a/internal/ctl/command.go
+++ b/internal/ctl/command.go
@@ -1,5 +1,8 @@
-// Package ctl holds the commands of cyclamenctl, one file each. Commands
-// returns them all; main only calls Main.
+// Package ctl implements cyclamenctl, the operators' command line tool, with
+// one file per command. Commands read manifests and settings files, the fleet
+// log and the operator ports of processes; publish appends to the log and certs
+// writes certificate files. cmd/cyclamenctl calls Main, and the
+// tests call Main and Commands.
 package ctl
 
 import (
@@ -11,7 +14,6 @@
 	"github.com/integrii/flaggy"
 )
 
-// programName is how operators call it.
 const programName = "cyclamenctl"
 
 // Streams are a command's input and output.
@@ -25,17 +27,17 @@
 type Command struct {
 	Name    string
 	Summary string
-	// Args names the arguments in the help, such as "FILE...".
+	// Args describes the arguments in the help text, such as "FILE...".
 	Args string
 	// Flags declares the command's flags; nil for none.
 	Flags func(*flaggy.Subcommand)
-	// Run gets the arguments that are not flags. Its error decides the exit
-	// code; see ExitCode.
+	// Run receives the arguments that are not flags. ExitCode maps its error to
+	// the exit code.
 	Run func(ctx context.Context, streams Streams, args []string) error
 }
 
-// Commands returns every command, in the order of the help. Each call makes
-// new ones, because a command keeps its flags' values.
+// Commands returns all commands in the order of the help text. Each call
+// creates new ones, because a command stores the values of its flags.
 func Commands() []*Command {
 	return []*Command{
 		publishCommand(),
@@ -53,7 +55,7 @@
 	}
 }
 
-// Main runs the command that args name and returns the exit code.
+// Main runs the command named in args and returns the exit code.
 func Main(ctx context.Context, args []string, streams Streams) int {
 	err := run(ctx, args, streams)
 	if err != nil {
@@ -76,28 +78,28 @@
 		if !sub.Used {
 			continue
 		}
-		if err := refuseMisplaced(sub, args); err != nil {
+		if err := checkCommandFirst(sub, args); err != nil {
 			return err
 		}
-		if err := refuseUnknownFlags(p.Parser, sub, args); err != nil {
+		if err := checkKnownFlags(p.Parser, sub, args); err != nil {
 			return err
 		}
-		return p.runOne(ctx, streams, commands[i])
+		return p.runCommand(ctx, streams, commands[i])
 	}
-	return p.runNone(streams)
+	return p.runWithoutCommand(streams)
 }
 
-// parser holds the flags that every command has.
+// parser adds the flags common to all commands to the library's parser.
 type parser struct {
 	*flaggy.Parser
 	help, version bool
 }
 
-// newParser declares commands to the flag library. Its help on unexpected
-// arguments is off because it has no list of positional arguments: with it off
-// they are collected as trailing ones. Its own help and version flags are off
-// because it takes an argument "help" or "version" for the flag of that name,
-// also where it is the name of a job.
+// newParser registers the commands with the flag library. The library's help on
+// unexpected arguments is off, because the library has no lists of positional
+// arguments; with it off, they are collected as trailing arguments. The
+// library's own help and version flags are off, because it treats an argument
+// "help" or "version" as the flag of that name even if it is a job's name.
 func newParser(commands []*Command) *parser {
 	p := &parser{Parser: flaggy.NewParser(programName)}
 	p.Description = "Operates a cyclamenwheel deployment."
@@ -117,7 +119,7 @@
 	return p
 }
 
-func (p *parser) runOne(ctx context.Context, streams Streams, command *Command) error {
+func (p *parser) runCommand(ctx context.Context, streams Streams, command *Command) error {
 	switch {
 	case p.help:
 		p.ShowHelp()
@@ -128,8 +130,8 @@
 	return command.Run(ctx, streams, p.TrailingArguments)
 }
 
-// runNone is for a command line that names no known command.
-func (p *parser) runNone(streams Streams) error {
+// runWithoutCommand handles a command line that names no known command.
+func (p *parser) runWithoutCommand(streams Streams) error {
 	switch {
 	case p.help:
 		return writeHelp(streams.Out)
@@ -141,8 +143,9 @@
 	return &UsageError{Detail: fmt.Sprintf("no command given; see %s help", programName)}
 }
 
-// replaceBareDash gives standard input a name, and refuses what has none: the
-// flag library panics on an argument that is empty or only dashes.
+// replaceBareDash replaces "-" by the name of standard input, and rejects
+// arguments without a name: the flag library panics on an argument that is
+// empty or consists of dashes only.
 func replaceBareDash(args []string) ([]string, error) {
 	replaced := make([]string, 0, len(args))
 	for _, arg := range args {
@@ -158,10 +161,10 @@
 	return replaced, nil
 }
 
-// refuseMisplaced insists that the command comes first. The flag library takes
-// a later argument for the command as well: a misspelt command whose argument
-// is the name of another one would run that other one.
-func refuseMisplaced(sub *flaggy.Subcommand, args []string) error {
+// checkCommandFirst requires the command to be the first argument. The flag
+// library accepts it in a later position too, so a misspelt command whose
+// argument is the name of another command would run that other command.
+func checkCommandFirst(sub *flaggy.Subcommand, args []string) error {
 	for _, arg := range args {
 		if strings.HasPrefix(arg, "-") {
 			continue
@@ -174,9 +177,9 @@
 	return nil
 }
 
-// refuseUnknownFlags does what the flag library leaves undone with its help on
-// unexpected arguments off: a misspelt flag would be dropped silently.
-func refuseUnknownFlags(p *flaggy.Parser, sub *flaggy.Subcommand, args []string) error {
+// checkKnownFlags rejects unknown flags. With help on unexpected arguments off,
+// the flag library silently ignores a misspelt flag.
+func checkKnownFlags(p *flaggy.Parser, sub *flaggy.Subcommand, args []string) error {
 	for _, arg := range args {
 		if arg == "--" {
 			return nil
--- a/internal/ctl/connect.go
+++ b/internal/ctl/connect.go
@@ -18,18 +18,18 @@
 )
 
 const (
-	// callLimit bounds one question to a process.
-	callLimit = 3 * time.Second
-	// maxAnswer bounds a process's answer; a dump of the aim's fleet is about
-	// 5 MB.
-	maxAnswer = 64 << 20
-	// logPage is how many records are read at a time.
-	logPage = 512
-	// logWait is how long a read waits for a record that is on its way.
-	logWait = time.Second
+	// callTimeout bounds one request to a process.
+	callTimeout = 3 * time.Second
+	// maxResponseBytes bounds a response body; a dump of a fleet of the target
+	// size is about 5 MB.
+	maxResponseBytes = 64 << 20
+	// logPageSize is the number of records in one read of the log.
+	logPageSize = 512
+	// logReadWait is how long a read waits for a record that is being appended.
+	logReadWait = time.Second
 )
 
-// UnreachableError says that a process did not answer.
+// UnreachableError reports that a process gave no usable response.
 type UnreachableError struct {
 	Addr  string
 	Cause error
@@ -37,29 +37,29 @@
 
 func (e *UnreachableError) Error() string { return fmt.Sprintf("process at %s: %v", e.Addr, e.Cause) }
 
-// Unwrap returns the cause.
 func (e *UnreachableError) Unwrap() error { return e.Cause }
 
-// StatusError says that a process answered with an HTTP failure.
+// StatusError reports a response with an HTTP status other than 200.
 type StatusError struct{ Status int }
 
 func (e *StatusError) Error() string { return fmt.Sprintf("answered with status %d", e.Status) }
 
-// NoStateError says that the log holds neither its beginning nor a snapshot.
+// NoStateError reports that the state cannot be folded, because the log holds
+// neither its first record nor a snapshot.
 type NoStateError struct{}
 
 func (*NoStateError) Error() string {
 	return "the log has been trimmed and holds no snapshot: name a running process with --process"
 }
 
-// connection is how a command reaches the platform and the processes.
+// connection holds the flags for reaching the platform and the processes.
 type connection struct {
 	platformURL   string
 	process       string
 	ca, cert, key string
 }
 
-func (c *connection) flags(sub *flaggy.Subcommand) {
+func (c *connection) addFlags(sub *flaggy.Subcommand) {
 	c.platformURL = "http://127.0.0.1:8500"
 	sub.String(&c.platformURL, "p", "platform", "URL of the platform.")
 	sub.String(&c.process, "", "process", "Operator address (host:port) of one process; finds the others when the log is down.")
@@ -72,16 +72,17 @@
 	return platform.NewClient(c.platformURL, &http.Client{Transport: &http.Transport{}})
 }
 
-// operatorsClient asks operators' ports.
-type operatorsClient struct {
+// operatorClient sends requests to the operator ports of processes.
+type operatorClient struct {
 	*http.Client
-	// secure reports whether ports beyond loopback are asked over TLS. The transport's
-	// own configuration can't tell: its first call sets that, CA or not.
-	secure bool
+	// useTLS reports whether non-loopback addresses are called over TLS. The
+	// transport's TLSClientConfig does not show this: the first request sets it
+	// even if no CA was given.
+	useTLS bool
 }
 
-// httpClient returns the client for operators' ports.
-func (c *connection) httpClient() (*operatorsClient, error) {
+// httpClient returns a client for the operator ports of processes.
+func (c *connection) httpClient() (*operatorClient, error) {
 	t := &http.Transport{}
 	if c.ca != "" {
 		conf, err := certs.LoadTLS(c.ca, c.cert, c.key, certs.RoleEntry, certs.RoleControl)
@@ -90,12 +91,12 @@
 		}
 		t.TLSClientConfig = conf
 	}
-	return &operatorsClient{Client: &http.Client{Transport: t, Timeout: callLimit}, secure: c.ca != ""}, nil
+	return &operatorClient{Client: &http.Client{Transport: t, Timeout: callTimeout}, useTLS: c.ca != ""}, nil
 }
 
-// ask gets JSON from an operators' port.
-func ask(ctx context.Context, hc *operatorsClient, addr, path string, into any) error {
-	data, err := askBytes(ctx, hc, addr, path)
+// getJSON requests a path from an operator port and decodes the JSON response.
+func getJSON(ctx context.Context, hc *operatorClient, addr, path string, into any) error {
+	data, err := getBytes(ctx, hc, addr, path)
 	if err != nil {
 		return err
 	}
@@ -105,7 +106,7 @@
 	return nil
 }
 
-func askBytes(ctx context.Context, hc *operatorsClient, addr, path string) ([]byte, error) {
+func getBytes(ctx context.Context, hc *operatorClient, addr, path string) ([]byte, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, operatorURL(hc, addr)+path, nil)
 	if err != nil {
 		return nil, &UnreachableError{Addr: addr, Cause: err}
@@ -118,28 +119,28 @@
 	if resp.StatusCode != http.StatusOK {
 		return nil, &UnreachableError{Addr: addr, Cause: &StatusError{Status: resp.StatusCode}}
 	}
-	data, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswer))
+	data, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes))
 	if err != nil {
 		return nil, &UnreachableError{Addr: addr, Cause: err}
 	}
 	return data, nil
 }
 
-func operatorURL(hc *operatorsClient, addr string) string {
+func operatorURL(hc *operatorClient, addr string) string {
 	ap, err := netip.ParseAddrPort(addr)
 	loopback := err == nil && ap.Addr().IsLoopback()
-	if hc.secure && !loopback {
+	if hc.useTLS && !loopback {
 		return "https://" + addr
 	}
 	return "http://" + addr
 }
 
-// follower folds the log for a command.
+// follower reads the log and folds its records for a command.
 type follower struct {
 	log     platform.Log
 	replica *fleetlog.Replica
 	next    uint64
-	// onApply, if set, is called after each record folded.
+	// onApply, if set, is called after each record is applied.
 	onApply func(fleetlog.Applied)
 }
 
@@ -147,12 +148,13 @@
 	return &follower{log: log, replica: fleetlog.NewReplica(), next: 1}
 }
 
-// state is the fold so far.
+// state returns the state folded so far.
 func (f *follower) state() *fleetlog.State { return f.replica.State() }
 
-// read takes one page of the log; atHead tells that there is no more yet.
+// read reads and applies one page of the log; atHead reports that there are no
+// further records yet.
 func (f *follower) read(ctx context.Context, wait time.Duration) (applied []fleetlog.Applied, atHead bool, err error) {
-	page, err := f.log.Read(ctx, f.next, logPage, wait)
+	page, err := f.log.Read(ctx, f.next, logPageSize, wait)
 	var trimmed *platform.TrimmedError
 	if errors.As(err, &trimmed) {
 		f.next = trimmed.First
@@ -182,8 +184,8 @@
 	return out
 }
 
-// toHead folds all that is in the log now.
-func (f *follower) toHead(ctx context.Context) error {
+// catchUp reads the log up to its current head.
+func (f *follower) catchUp(ctx context.Context) error {
 	for {
 		_, atHead, err := f.read(ctx, 0)
 		if err != nil {
@@ -199,10 +201,11 @@
 	}
 }
 
-// verdictOf folds until the record with that id and returns what became of it.
-func (f *follower) verdictOf(ctx context.Context, id fleetlog.ID) (fleetlog.Applied, error) {
+// awaitVerdict reads the log until the record with that id and returns its
+// result.
+func (f *follower) awaitVerdict(ctx context.Context, id fleetlog.ID) (fleetlog.Applied, error) {
 	for {
-		applied, _, err := f.read(ctx, logWait)
+		applied, _, err := f.read(ctx, logReadWait)
 		if err != nil && ctx.Err() != nil {
 			return fleetlog.Applied{}, ctx.Err()
 		}
--- a/internal/ctl/connect_test.go
+++ b/internal/ctl/connect_test.go
@@ -10,10 +10,10 @@
 	. "github.com/onsi/gomega"
 )
 
-// An operator without a CA asks several processes at once, and one of them again. The
-// first call sets the transport's TLS configuration; taken for the operator's own, it
-// made later calls to ports beyond loopback go over TLS, while others read it.
-func TestWithoutACAPortsAreAskedInTheClear(t *testing.T) {
+// Without a CA, requests use plain HTTP. The first request sets the transport's
+// TLS configuration; deciding by that configuration sent later requests to
+// non-loopback addresses over TLS and was a data race between parallel requests.
+func TestPlainHTTPWithoutCA(t *testing.T) {
 	g := NewWithT(t)
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte("{}")) }))
 	defer server.Close()
@@ -24,14 +24,14 @@
 	for range 4 {
 		wg.Go(func() {
 			var into struct{}
-			if err := ask(context.Background(), hc, addr, "/dump", &into); err != nil {
+			if err := getJSON(context.Background(), hc, addr, "/dump", &into); err != nil {
 				t.Error(err)
 			}
 		})
 	}
 	wg.Wait()
 	g.Expect(operatorURL(hc, "10.0.0.1:1")).To(Equal("http://10.0.0.1:1"))
-	hc.secure = true
+	hc.useTLS = true
 	g.Expect(operatorURL(hc, "10.0.0.1:1")).To(Equal("https://10.0.0.1:1"))
 	g.Expect(operatorURL(hc, addr)).To(Equal("http://" + addr))
 }
--- a/internal/ctl/ctl_test.go
+++ b/internal/ctl/ctl_test.go
@@ -24,7 +24,8 @@
 
 const examples = "../../examples"
 
-// run returns the exit code and what was printed to each stream.
+// run runs the tool and returns the exit code, standard output and standard
+// error.
 func run(stdin string, args ...string) (int, string, string) {
 	var out, err bytes.Buffer
 	code := ctl.Main(context.Background(), args, ctl.Streams{In: strings.NewReader(stdin), Out: &out, Err: &err})
@@ -40,7 +41,7 @@
 		Expect(strings.Count(out, ": valid\n")).To(Equal(len(files)))
 	})
 
-	It("names file, place, field and reason, for each of several files", func() {
+	It("reports file, position, field and reason for each of several files", func() {
 		bad := filepath.Join(GinkgoT().TempDir(), "bad.json")
 		Expect(os.WriteFile(bad, []byte("{\n\"pool\": []}"), 0o600)).To(Succeed())
 		code, out, errs := run("{}", "validate", bad, "-", examples+"/portlouis/manifest.json")
@@ -51,7 +52,7 @@
 		Expect(errs).To(ContainSubstring("5 faults in 2 files"))
 	})
 
-	It("prints JSON for pipelines, wherever the flag stands", func() {
+	It("prints JSON with the flag before or after the files", func() {
 		for _, args := range [][]string{{"validate", "--json", "-"}, {"validate", "-", "--json"}} {
 			code, out, _ := run("{} {}", args...)
 			Expect(code).To(Equal(ctl.ExitInvalidInput))
@@ -62,7 +63,7 @@
 		}
 	})
 
-	It("stops reading a file that never ends", func() {
+	It("rejects an endless file and an unreadable one", func() {
 		code, out, _ := run("", "validate", "/dev/zero", "/nonexistent")
 		Expect(code).To(Equal(ctl.ExitInvalidInput))
 		Expect(out).To(And(ContainSubstring("too_large"), ContainSubstring("unreadable_file")))
@@ -83,7 +84,7 @@
 		}
 	})
 
-	It("serves nodes as well", func() {
+	It("prints the reference of node settings and reports faults in a node's file", func() {
 		code, out, _ := run("", "settings", "node")
 		Expect(code).To(Equal(ctl.ExitOK))
 		Expect(out).To(ContainSubstring("keep_ended"))
@@ -94,7 +95,7 @@
 		Expect(out).To(And(ContainSubstring("grace"), ContainSubstring("zone")))
 	})
 
-	It("names the faults of the wrong daemon's file", func() {
+	It("reports faults in a settings file of another daemon", func() {
 		code, out, _ := run("", "check-settings", "control", examples+"/portlouis/entry.ini")
 		Expect(code).To(Equal(ctl.ExitInvalidInput))
 		Expect(out).To(ContainSubstring("[callers]: unknown_section"))
@@ -102,7 +103,7 @@
 })
 
 var _ = Describe("certs", func() {
-	It("writes the files", func() {
+	It("writes the key file of an operator", func() {
 		dir := GinkgoT().TempDir()
 		code, _, errs := run("", "certs", "--dir", dir, "--deployment=portlouis", "entry/e-1", "operator/ops")
 		Expect(code).To(Equal(ctl.ExitOK), errs)
@@ -111,7 +112,7 @@
 })
 
 var _ = Describe("command line", func() {
-	DescribeTable("is refused", func(args ...string) {
+	DescribeTable("is rejected as a usage error", func(args ...string) {
 		code, _, errs := run("", args...)
 		Expect(code).To(Equal(ctl.ExitUsage))
 		Expect(errs).NotTo(BeEmpty())
@@ -129,7 +130,7 @@
 		Entry("with a malformed id", "certs", "--dir", os.TempDir(), "--deployment", "d", "boss/x"),
 	)
 
-	It("helps and names its version", func() {
+	It("prints help and version", func() {
 		code, out, _ := run("", "help")
 		Expect(code).To(Equal(ctl.ExitOK))
 		for _, c := range ctl.Commands() {
@@ -142,7 +143,7 @@
 		}
 	})
 
-	DescribeTable("exit codes follow the error's type through wrappers", func(err error, want int) {
+	DescribeTable("exit code of a wrapped error depends on its type", func(err error, want int) {
 		Expect(ctl.ExitCode(errors.Wrap(err, "publish"))).To(Equal(want))
 	},
 		Entry(nil, &ctl.ConflictError{}, ctl.ExitConflict),
--- a/internal/ctl/dump.go
+++ b/internal/ctl/dump.go
@@ -13,8 +13,8 @@
 	return &Command{
 		Name: "dump", Summary: "Print the state dump of every process, or of --process alone, as JSON.",
 		Flags: func(sub *flaggy.Subcommand) {
-			conn.flags(sub)
-			nodesFlag(sub, &nodes)
+			conn.addFlags(sub)
+			addNodesFlag(sub, &nodes)
 			sub.String(&section, "", "section", "Only this section.")
 		},
 		Run: func(ctx context.Context, streams Streams, _ []string) error {
@@ -27,14 +27,14 @@
 				path += "?section=" + section
 			}
 			if conn.process != "" {
-				var one json.RawMessage
-				if err := ask(ctx, hc, conn.process, path, &one); err != nil {
+				var dump json.RawMessage
+				if err := getJSON(ctx, hc, conn.process, path, &dump); err != nil {
 					return err
 				}
-				return encode(streams.Out, one)
+				return encode(streams.Out, dump)
 			}
 			if nodes != "" {
-				return encode(streams.Out, dumpAll(ctx, hc, path, addressesOf(nodes)))
+				return encode(streams.Out, fetchDumps(ctx, hc, path, addressesByName(nodes)))
 			}
 			members, err := conn.members(ctx, hc)
 			if err != nil {
@@ -44,21 +44,22 @@
 			for _, m := range members {
 				addrs[m.ID] = m.OperatorAddr
 			}
-			return encode(streams.Out, dumpAll(ctx, hc, path, addrs))
+			return encode(streams.Out, fetchDumps(ctx, hc, path, addrs))
 		},
 	}
 }
 
-// dumpAll asks each process, by name and address, for its dump.
-func dumpAll(ctx context.Context, hc *operatorsClient, path string, addrs map[string]string) map[string]any {
+// fetchDumps requests the dump of each process; addrs maps names to addresses.
+// For a process that does not answer, the result holds the error.
+func fetchDumps(ctx context.Context, hc *operatorClient, path string, addrs map[string]string) map[string]any {
 	all := make(map[string]any, len(addrs))
 	for name, addr := range addrs {
-		var one json.RawMessage
-		if err := ask(ctx, hc, addr, path, &one); err != nil {
+		var dump json.RawMessage
+		if err := getJSON(ctx, hc, addr, path, &dump); err != nil {
 			all[name] = map[string]string{"error": err.Error()}
 			continue
 		}
-		all[name] = one
+		all[name] = dump
 	}
 	return all
 }
--- a/internal/ctl/exit.go
+++ b/internal/ctl/exit.go
@@ -9,7 +9,7 @@
 	"cyclamenwheel/internal/platform"
 )
 
-// Exit codes. Build pipelines decide by them, so they are stable.
+// Exit codes. They are stable, because build pipelines depend on them.
 const (
 	ExitOK                  = 0
 	ExitFailure             = 1
@@ -20,7 +20,7 @@
 	ExitTimeout             = 6
 )
 
-// ExitCode tells the exit code for a command's error.
+// ExitCode returns the exit code for a command's error.
 func ExitCode(err error) int {
 	var (
 		usage       *UsageError
--- a/internal/ctl/explain.go
+++ b/internal/ctl/explain.go
@@ -21,8 +21,8 @@
 		Name: "explain", Summary: "Tell why something is as it is, what it waits for, and what would unblock it.",
 		Args: "instance|pool|job|manifest [NAME]",
 		Flags: func(sub *flaggy.Subcommand) {
-			conn.flags(sub)
-			nodesFlag(sub, &nodes)
+			conn.addFlags(sub)
+			addNodesFlag(sub, &nodes)
 			sub.Bool(&asJSON, "", "json", "Print as JSON.")
 		},
 		Run: func(ctx context.Context, streams Streams, args []string) error {
@@ -37,7 +37,7 @@
 			if len(args) == 2 {
 				name = args[1]
 			}
-			e, err := explanation(ctx, hc, &conn, nodes, explain.Kind(args[0]), name)
+			e, err := fetchExplanation(ctx, hc, &conn, nodes, explain.Kind(args[0]), name)
 			if err != nil {
 				return err
 			}
@@ -49,42 +49,44 @@
 	}
 }
 
-// explanation asks the nodes if they are named, and the log and the planner otherwise.
-func explanation(ctx context.Context, hc *operatorsClient, conn *connection, nodes string, kind explain.Kind, name string) (explain.Explanation, error) {
+// fetchExplanation explains an object from the dumps of nodes if --nodes is
+// set, and from the log and the planner's view otherwise.
+func fetchExplanation(ctx context.Context, hc *operatorClient, conn *connection, nodes string, kind explain.Kind, name string) (explain.Explanation, error) {
 	if nodes != "" {
-		return explain.OfNodes(askNodes(ctx, hc, nodes), kind, name)
+		return explain.OfNodes(fetchNodeDumps(ctx, hc, nodes), kind, name)
 	}
-	st, err := conn.fold(ctx, hc)
+	st, err := conn.fleetState(ctx, hc)
 	if err != nil {
 		return explain.Explanation{}, err
 	}
 	return explain.Of(st, plannerView(ctx, hc, st), kind, name)
 }
 
-// fold returns the folded state: from the log, or from the named process.
-func (c *connection) fold(ctx context.Context, hc *operatorsClient) (*fleetlog.State, error) {
+// fleetState returns the folded state, from the process named by --process or
+// else from the log.
+func (c *connection) fleetState(ctx context.Context, hc *operatorClient) (*fleetlog.State, error) {
 	if c.process != "" {
-		encoded, err := askBytes(ctx, hc, c.process, "/fold")
+		encoded, err := getBytes(ctx, hc, c.process, "/fold")
 		if err != nil {
 			return nil, err
 		}
 		return fleetlog.DecodeState(encoded)
 	}
 	f := newFollower(c.platform())
-	if err := f.toHead(ctx); err != nil {
+	if err := f.catchUp(ctx); err != nil {
 		return nil, err
 	}
 	return f.state(), nil
 }
 
-// plannerView asks the holder of the planner lease for its last decisions; the
-// zero View where it does not answer.
-func plannerView(ctx context.Context, hc *operatorsClient, st *fleetlog.State) planner.View {
+// plannerView requests the last decisions from the holder of the planner lease.
+// It returns the zero View if the holder does not answer.
+func plannerView(ctx context.Context, hc *operatorClient, st *fleetlog.State) planner.View {
 	var dump struct {
 		Planner planner.View `json:"planner"`
 	}
 	for _, m := range st.Members.WithRole(membership.RoleControl) {
-		if m.ID == st.Lease.Holder && ask(ctx, hc, m.OperatorAddr, "/dump?section=planner", &dump) == nil {
+		if m.ID == st.Lease.Holder && getJSON(ctx, hc, m.OperatorAddr, "/dump?section=planner", &dump) == nil {
 			return dump.Planner
 		}
 	}
@@ -103,5 +105,5 @@
 			}
 		}
 	}
-	return output(err)
+	return outputError(err)
 }
--- a/internal/ctl/nodes.go
+++ b/internal/ctl/nodes.go
@@ -12,19 +12,21 @@
 	"cyclamenwheel/internal/explain"
 )
 
-// nodesFlag declares --nodes, with which a command asks nodes on the users' platform.
-func nodesFlag(sub *flaggy.Subcommand, into *string) {
+// addNodesFlag declares --nodes, which makes a command query nodes on the users'
+// platform.
+func addNodesFlag(sub *flaggy.Subcommand, into *string) {
 	sub.String(into, "", "nodes", "Operator addresses (host:port,...) of nodes on the users' platform, to ask instead.")
 }
 
-// askNodes asks all nodes side by side. One that does not answer is told of.
-func askNodes(ctx context.Context, hc *operatorsClient, addrs string) []explain.NodeDump {
+// fetchNodeDumps requests the dumps of all nodes in parallel. For a node that
+// does not answer, Err of its dump is set.
+func fetchNodeDumps(ctx context.Context, hc *operatorClient, addrs string) []explain.NodeDump {
 	list := strings.Split(addrs, ",")
 	dumps := make([]explain.NodeDump, len(list))
 	var wg sync.WaitGroup
 	for i, addr := range list {
 		wg.Go(func() {
-			if err := ask(ctx, hc, addr, "/dump?section=duties&section=pools", &dumps[i]); err != nil {
+			if err := getJSON(ctx, hc, addr, "/dump?section=duties&section=pools", &dumps[i]); err != nil {
 				dumps[i].Err = err.Error()
 			}
 			dumps[i].Node = addr
@@ -34,8 +36,9 @@
 	return dumps
 }
 
-// addressesOf returns addresses by themselves as names.
-func addressesOf(list string) map[string]string {
+// addressesByName splits a list of addresses and maps each to itself, as nodes
+// given with --nodes have no other name.
+func addressesByName(list string) map[string]string {
 	addrs := map[string]string{}
 	for _, addr := range strings.Split(list, ",") {
 		addrs[addr] = addr
@@ -43,26 +46,27 @@
 	return addrs
 }
 
-// showNodes prints what nodes know of the duties.
-func showNodes(ctx context.Context, out io.Writer, hc *operatorsClient, addrs string, asJSON bool) error {
-	dumps := askNodes(ctx, hc, addrs)
+// showDuties fetches and prints which node owns each duty, as each node reports
+// it.
+func showDuties(ctx context.Context, out io.Writer, hc *operatorClient, addrs string, asJSON bool) error {
+	dumps := fetchNodeDumps(ctx, hc, addrs)
 	if asJSON {
 		return encode(out, dumps)
 	}
-	return printNodes(out, dumps)
+	return printDuties(out, dumps)
 }
 
-// printNodes prints who has which duty, as each node knows it.
-func printNodes(out io.Writer, dumps []explain.NodeDump) error {
+// printDuties prints the owner of each duty as each node reports it.
+func printDuties(out io.Writer, dumps []explain.NodeDump) error {
 	for _, d := range dumps {
 		if d.Err != "" {
 			if _, err := fmt.Fprintf(out, "%s: %s\n", d.Node, d.Err); err != nil {
-				return output(err)
+				return outputError(err)
 			}
 			continue
 		}
 		if _, err := fmt.Fprintf(out, "%s: members read %d ms ago\n", d.Node, d.Duties.MembersAgeMs); err != nil {
-			return output(err)
+			return outputError(err)
 		}
 		for _, duty := range d.Duties.Duties {
 			where := "with " + duty.Owner
@@ -70,7 +74,7 @@
 				where = fmt.Sprintf("here, epoch %d", duty.Epoch)
 			}
 			if _, err := fmt.Fprintf(out, "  %-20s %s\n", duty.Duty, where); err != nil {
-				return output(err)
+				return outputError(err)
 			}
 		}
 	}
--- a/internal/ctl/publish.go
+++ b/internal/ctl/publish.go
@@ -18,27 +18,28 @@
 
 const (
 	defaultPublishTimeout = 30 * time.Second
-	// inForcePoll is how often processes are asked; it bounds the error of the
-	// roll-out time printed.
-	inForcePoll = 20 * time.Millisecond
+	// inForcePollInterval is the pause between polls of the entries; it bounds
+	// the error of the printed roll-out time.
+	inForcePollInterval = 20 * time.Millisecond
 )
 
 // Published is the result of publish.
 type Published struct {
 	Generation uint64 `json:"generation"`
 	Offset     uint64 `json:"offset"`
-	// InForceMillis is the time from before the append until every live entry
-	// reported the generation; 0 without --wait.
+	// InForceMillis is the time from just before the append until every live
+	// entry reported the generation; 0 without --wait.
 	InForceMillis int64 `json:"in_force_ms"`
 	Entries       int   `json:"entries"`
 }
 
-// RejectedError says that the fold refused a manifest.
+// RejectedError reports that the manifest was rejected when its record was
+// applied.
 type RejectedError struct{ Reason, Detail string }
 
 func (e *RejectedError) Error() string { return "manifest refused: " + e.Reason + ": " + e.Detail }
 
-// WaitingError says which entries had not reported a generation in time.
+// WaitingError lists the entries that did not report a generation in time.
 type WaitingError struct {
 	Generation uint64
 	Missing    []string
@@ -48,7 +49,7 @@
 	return fmt.Sprintf("generation %d is accepted, and not yet reported by %v", e.Generation, e.Missing)
 }
 
-// Unwrap marks it as a timeout.
+// Unwrap makes the error count as a timeout for ExitCode.
 func (e *WaitingError) Unwrap() error { return context.DeadlineExceeded }
 
 type publisher struct {
@@ -65,7 +66,7 @@
 	return &Command{
 		Name: "publish", Summary: "Publish a manifest.", Args: "FILE",
 		Flags: func(sub *flaggy.Subcommand) {
-			p.conn.flags(sub)
+			p.conn.addFlags(sub)
 			sub.Bool(&p.wait, "w", "wait", "Wait until it is in force on every live entry.")
 			sub.Int(&p.basedOn, "", "based-on", "Generation that the change was made for; the one in force now by default.")
 			sub.String(&p.operator, "", "operator", "Name shown to those who lose a race.")
@@ -89,7 +90,7 @@
 	}
 	report := checkManifest(streams, args[0])
 	if !report.Valid {
-		return finish(streams.Out, []FileReport{report}, p.asJSON)
+		return printReports(streams.Out, []FileReport{report}, p.asJSON)
 	}
 	raw, err := readInput(streams.In, args[0], manifest.MaxBytes)
 	if err != nil {
@@ -104,20 +105,21 @@
 	return p.print(streams.Out, result)
 }
 
-// publish appends the manifest once and waits for the verdict. A lost answer
-// is followed by the same record, which the fold takes once.
+// publish appends the manifest and waits for the verdict. If the response to
+// the append is lost, the same record is appended again; it is applied only
+// once.
 func (p *publisher) publish(ctx context.Context, raw []byte) (Published, error) {
 	log := p.conn.platform()
 	f := newFollower(log)
-	if err := f.toHead(ctx); err != nil {
+	if err := f.catchUp(ctx); err != nil {
 		return Published{}, err
 	}
-	based := f.state().Manifest.Generation
+	basedOn := f.state().Manifest.Generation
 	if p.basedOn >= 0 {
-		based = uint64(p.basedOn)
+		basedOn = uint64(p.basedOn)
 	}
 	rec, err := fleetlog.NewRecord(fleetlog.KindPublish, p.operator, 0,
-		manifest.Publish{BasedOn: based, Raw: raw, Operator: p.operator})
+		manifest.Publish{BasedOn: basedOn, Raw: raw, Operator: p.operator})
 	if err != nil {
 		return Published{}, err
 	}
@@ -125,11 +127,11 @@
 	if uncertain, err := fleetlog.AppendUntil(ctx, log, rec); err != nil && !uncertain {
 		return Published{}, err
 	}
-	applied, err := f.verdictOf(ctx, rec.ID)
+	applied, err := f.awaitVerdict(ctx, rec.ID)
 	if err != nil {
 		return Published{}, err
 	}
-	if err := judge(applied, f.state()); err != nil {
+	if err := verdictError(applied, f.state()); err != nil {
 		return Published{}, err
 	}
 	out := Published{Generation: f.state().Manifest.Generation, Offset: applied.Offset}
@@ -141,7 +143,7 @@
 	return out, err
 }
 
-func judge(a fleetlog.Applied, st *fleetlog.State) error {
+func verdictError(a fleetlog.Applied, st *fleetlog.State) error {
 	switch {
 	case a.Verdict.Accepted:
 		return nil
@@ -153,8 +155,8 @@
 	return &RejectedError{Reason: string(a.Verdict.Reason), Detail: a.Verdict.Detail}
 }
 
-// awaitInForce asks every entry in the members until all report the
-// generation. Members that join meanwhile folded it before they became ready.
+// awaitInForce polls the entries among the members until all report the
+// generation. An entry that joins later has applied it before becoming ready.
 func (p *publisher) awaitInForce(ctx context.Context, f *follower, generation uint64) (int, error) {
 	hc, err := p.conn.httpClient()
 	if err != nil {
@@ -167,7 +169,7 @@
 			var st struct {
 				Detail node.Status `json:"detail"`
 			}
-			if err := ask(ctx, hc, m.OperatorAddr, "/status", &st); err != nil || st.Detail.Generation < generation {
+			if err := getJSON(ctx, hc, m.OperatorAddr, "/status", &st); err != nil || st.Detail.Generation < generation {
 				missing = append(missing, m.ID)
 			}
 		}
@@ -177,9 +179,9 @@
 		select {
 		case <-ctx.Done():
 			return len(entries), &WaitingError{Generation: generation, Missing: missing}
-		case <-time.After(inForcePoll):
+		case <-time.After(inForcePollInterval):
 		}
-		// An entry that has left meanwhile is not waited for.
+		// Stop waiting for entries that have left.
 		if _, _, err := f.read(ctx, 0); err == nil {
 			entries = f.state().Members.WithRole(membership.RoleEntry)
 		}
@@ -194,16 +196,16 @@
 	if err == nil && p.wait {
 		_, err = fmt.Fprintf(out, "in force on %d entries after %d ms\n", r.Entries, r.InForceMillis)
 	}
-	return output(err)
+	return outputError(err)
 }
 
 func encode(out io.Writer, v any) error {
 	enc := json.NewEncoder(out)
 	enc.SetIndent("", "  ")
-	return output(enc.Encode(v))
+	return outputError(enc.Encode(v))
 }
 
-func output(err error) error {
+func outputError(err error) error {
 	if err == nil {
 		return nil
 	}
--- a/internal/ctl/report.go
+++ b/internal/ctl/report.go
@@ -7,12 +7,12 @@
 	"os"
 )
 
-// stdinName stands for standard input among file names, as does "-".
+// stdinName is the file name for standard input; "-" is replaced by it.
 const stdinName = "/dev/stdin"
 
-// Finding is one fault of a checked file, as printed.
+// Finding is one fault in a checked file, in its printed form.
 type Finding struct {
-	// Field names the place: a field of a manifest, or section and key.
+	// Field is the path of a manifest field, or section and key of a setting.
 	Field  string `json:"field,omitempty"`
 	Reason string `json:"reason"`
 	Detail string `json:"detail"`
@@ -24,13 +24,14 @@
 type FileReport struct {
 	File  string `json:"file"`
 	Valid bool   `json:"valid"`
-	// Hash identifies a valid manifest's content.
+	// Hash identifies the content of a valid manifest.
 	Hash   string    `json:"hash,omitempty"`
 	Faults []Finding `json:"faults"`
 }
 
-// finish prints reports and returns *InvalidInputError if any has faults.
-func finish(w io.Writer, reports []FileReport, asJSON bool) error {
+// printReports prints reports and returns *InvalidInputError if any file is
+// invalid.
+func printReports(w io.Writer, reports []FileReport, asJSON bool) error {
 	write := writeText
 	if asJSON {
 		write = writeJSON
@@ -73,7 +74,7 @@
 	return nil
 }
 
-// String puts the place first, as compilers do.
+// String formats the finding like a compiler message, with the position first.
 func (f Finding) String() string {
 	text := f.Reason + ": " + f.Detail
 	if f.Field != "" {
@@ -88,8 +89,8 @@
 	return text
 }
 
-// readInput reads a file, or standard input, up to limit bytes and one more,
-// so that a reader of the result sees that there was too much.
+// readInput reads at most limit+1 bytes from a file or standard input. A result
+// longer than limit shows that the input is too large.
 func readInput(stdin io.Reader, name string, limit int64) ([]byte, error) {
 	source := stdin
 	if name != stdinName {
--- a/internal/ctl/settings.go
+++ b/internal/ctl/settings.go
@@ -7,8 +7,8 @@
 	"cyclamenwheel/internal/settings"
 )
 
-// daemons are what settings can be asked for.
-var daemons = map[string]func() settings.Table{
+// settingsTables returns the settings table of each daemon.
+var settingsTables = map[string]func() settings.Table{
 	"entry":   settings.EntryTable,
 	"control": settings.ControlTable,
 	"node":    settings.NodeTable,
@@ -20,7 +20,7 @@
 		Summary: "Print the reference of a daemon's settings as an INI file.",
 		Args:    "entry|control|node",
 		Run: func(_ context.Context, streams Streams, args []string) error {
-			table, rest, err := tableFor("settings", args)
+			table, rest, err := selectTable("settings", args)
 			if err != nil {
 				return err
 			}
@@ -35,12 +35,13 @@
 	}
 }
 
-// tableFor takes the daemon's name off args.
-func tableFor(command string, args []string) (settings.Table, []string, error) {
+// selectTable returns the table of the daemon named by the first argument, and
+// the remaining arguments.
+func selectTable(command string, args []string) (settings.Table, []string, error) {
 	if len(args) == 0 {
 		return settings.Table{}, nil, &UsageError{Detail: command + ": name the daemon, entry, control or node"}
 	}
-	table, known := daemons[args[0]]
+	table, known := settingsTables[args[0]]
 	if !known {
 		return settings.Table{}, nil, &UsageError{Detail: fmt.Sprintf("%s: %q is none of entry, control and node", command, args[0])}
 	}
--- a/internal/ctl/settled.go
+++ b/internal/ctl/settled.go
@@ -12,26 +12,28 @@
 	"cyclamenwheel/internal/pools"
 )
 
-// settledPoll is how often the fold is looked at while nothing is appended.
-const settledPoll = 200 * time.Millisecond
+// settledReadWait bounds one read of the log, and so the interval between checks
+// while nothing is appended.
+const settledReadWait = 200 * time.Millisecond
 
-// Settled is the result of settled: the fleet is as the manifest says.
+// Settled is the result of the settled command: the fleet matches the manifest.
 type Settled struct {
 	Generation uint64         `json:"generation"`
 	Pools      map[string]int `json:"pools"`
 	Spares     int            `json:"spares"`
 	// Moves counts committed moves between pools since the manifest in force
-	// was accepted, MovesDoneMillis the time from then to the last of them.
+	// was accepted. MovesDoneMillis is the time from then to the last of them.
 	Moves           int   `json:"moves"`
 	MovesDoneMillis int64 `json:"moves_done_ms"`
 }
 
-// NotSettledError says what is still missing.
+// NotSettledError reports the first difference between fleet and manifest at
+// the timeout.
 type NotSettledError struct{ Detail string }
 
 func (e *NotSettledError) Error() string { return "not settled: " + e.Detail }
 
-// Unwrap marks it as a timeout.
+// Unwrap makes the error count as a timeout for ExitCode.
 func (e *NotSettledError) Unwrap() error { return context.DeadlineExceeded }
 
 func settledCommand() *Command {
@@ -41,7 +43,7 @@
 	return &Command{
 		Name: "settled", Summary: "Wait until every pool has its instances and no operation is in progress.",
 		Flags: func(sub *flaggy.Subcommand) {
-			conn.flags(sub)
+			conn.addFlags(sub)
 			sub.Duration(&timeout, "t", "timeout", "How long to wait.")
 			sub.Bool(&asJSON, "", "json", "Print as JSON.")
 		},
@@ -57,27 +59,27 @@
 			}
 			_, err = fmt.Fprintf(streams.Out, "generation %d: %d moves done after %d ms; pools %v, %d spares\n",
 				result.Generation, result.Moves, result.MovesDoneMillis, result.Pools, result.Spares)
-			return output(err)
+			return outputError(err)
 		},
 	}
 }
 
-// moveCounter counts moves as it follows the fold.
+// moveCounter counts moves between pools by comparing successive states.
 type moveCounter struct {
-	poolOf     map[string]string
-	generation uint64
-	moves      int
-	lastMillis int64
+	poolOf         map[string]string
+	generation     uint64
+	moves          int
+	lastMoveMillis int64
 }
 
 func (c *moveCounter) observe(st *fleetlog.State) {
 	if st.Manifest.Generation != c.generation {
-		c.generation, c.moves, c.lastMillis = st.Manifest.Generation, 0, 0
+		c.generation, c.moves, c.lastMoveMillis = st.Manifest.Generation, 0, 0
 	}
 	for id, in := range st.Pools.Instances {
 		if was, known := c.poolOf[id]; known && was != in.Pool {
 			c.moves++
-			c.lastMillis = st.TimeMillis - st.Manifest.TimeMillis
+			c.lastMoveMillis = st.TimeMillis - st.Manifest.TimeMillis
 		}
 		c.poolOf[id] = in.Pool
 	}
@@ -90,22 +92,23 @@
 			counter.observe(f.state())
 		}
 	}
-	missing := "nothing read yet"
+	difference := "nothing read yet"
 	for {
-		_, atHead, err := f.read(ctx, settledPoll)
+		_, atHead, err := f.read(ctx, settledReadWait)
 		if atHead && err == nil {
-			if missing = unsettled(f.state()); missing == "" {
+			if difference = firstDifference(f.state()); difference == "" {
 				return settledResult(f.state(), counter), nil
 			}
 		}
 		if ctx.Err() != nil {
-			return Settled{}, &NotSettledError{Detail: missing}
+			return Settled{}, &NotSettledError{Detail: difference}
 		}
 	}
 }
 
-// unsettled names the first difference between fleet and manifest.
-func unsettled(st *fleetlog.State) string {
+// firstDifference describes a difference between fleet and manifest; it is
+// empty if the fleet has settled.
+func firstDifference(st *fleetlog.State) string {
 	man := st.Manifest.Current()
 	if man == nil {
 		return "no manifest in force"
@@ -121,13 +124,13 @@
 			return fmt.Sprintf("pool %s has %d of %d instances", p.Name, have, p.Instances.Size())
 		}
 	}
-	return wanted(st)
+	return firstPendingMove(st)
 }
 
-// wanted names the first move that the planner has yet to begin: where
-// instances are to change places, every pool has the right number of them all
-// the time.
-func wanted(st *fleetlog.State) string {
+// firstPendingMove describes a move that the planner has not begun yet. Counting
+// the instances of each pool is not enough: if instances are to swap pools, the
+// counts are right before the swap has begun.
+func firstPendingMove(st *fleetlog.State) string {
 	in := pools.Input{Manifest: st.Manifest.Current()}
 	for _, inst := range st.Pools.Instances {
 		in.Instances = append(in.Instances, inst)
@@ -146,7 +149,7 @@
 func settledResult(st *fleetlog.State, c *moveCounter) Settled {
 	out := Settled{
 		Generation: st.Manifest.Generation, Pools: make(map[string]int),
-		Moves: c.moves, MovesDoneMillis: c.lastMillis,
+		Moves: c.moves, MovesDoneMillis: c.lastMoveMillis,
 	}
 	for _, in := range st.Pools.Instances {
 		if in.Pool == "" {
--- a/internal/ctl/settled_test.go
+++ b/internal/ctl/settled_test.go
@@ -15,8 +15,9 @@
 	"cyclamenwheel/internal/standin"
 )
 
-// logOf starts a platform whose log holds records of the given bodies.
-func logOf(records ...fleetlog.Record) string {
+// startPlatformWithLog starts a platform whose log holds the given records, and
+// returns its URL.
+func startPlatformWithLog(records ...fleetlog.Record) string {
 	GinkgoHelper()
 	s := standin.New(standin.Options{Fleet: standin.FleetSpec{
 		Zones: []standin.ZoneSpec{{Name: "a", Racks: 1}}, InstancesPerRack: 2,
@@ -33,15 +34,16 @@
 	return s.URL()
 }
 
-func record(kind fleetlog.Kind, epoch uint64, body any) fleetlog.Record {
+func newRecord(kind fleetlog.Kind, epoch uint64, body any) fleetlog.Record {
 	GinkgoHelper()
 	r, err := fleetlog.NewRecord(kind, "control-1", epoch, body)
 	Expect(err).NotTo(HaveOccurred())
 	return r
 }
 
-// listed is a manifest with one instance in each of two pools.
-func listed(tabs, charges string) manifest.Publish {
+// manifestListing returns the publication of a manifest that lists one instance
+// in each of two pools.
+func manifestListing(tabs, charges string) manifest.Publish {
 	GinkgoHelper()
 	m := manifest.Manifest{
 		Version: manifest.Version, Deployment: "d", Buffer: manifest.Buffer{Survive: manifest.DomainInstance},
@@ -56,24 +58,24 @@
 }
 
 var _ = Describe("settled", func() {
-	fleet := func(m manifest.Publish) string {
-		return logOf(
-			record(fleetlog.KindPublish, 0, m),
-			record(fleetlog.KindLeaseClaim, 0, planlease.Claim{Holder: "control-1", BootID: "b"}),
-			record(fleetlog.KindSeen, 1, pools.Seen{List: 1, Facts: []pools.Fact{
+	startFleet := func(m manifest.Publish) string {
+		return startPlatformWithLog(
+			newRecord(fleetlog.KindPublish, 0, m),
+			newRecord(fleetlog.KindLeaseClaim, 0, planlease.Claim{Holder: "control-1", BootID: "b"}),
+			newRecord(fleetlog.KindSeen, 1, pools.Seen{List: 1, Facts: []pools.Fact{
 				{ID: "w001", BootID: "b1", Zone: "a", Rack: "r", Pool: "tabs"},
 				{ID: "w002", BootID: "b2", Zone: "a", Rack: "r", Pool: "charges"},
 			}}))
 	}
-	It("is reached when every pool has the instances listed", func() {
-		code, _, errs := run("", "settled", "--platform", fleet(listed("w001", "w002")), "--timeout", "10s")
+	It("succeeds when every pool has the instances listed", func() {
+		code, _, errs := run("", "settled", "--platform", startFleet(manifestListing("w001", "w002")), "--timeout", "10s")
 		Expect(code).To(Equal(ctl.ExitOK), errs)
 	})
-	// The manifest lets two instances change places. Every pool has the right
-	// number of instances before the planner has begun anything; an operator's
-	// script that goes on there goes on too early.
-	It("is not reached while pools have the right number of the wrong instances", func() {
-		code, _, errs := run("", "settled", "--platform", fleet(listed("w002", "w001")), "--timeout", "500ms")
+	// The manifest swaps two instances between pools. Every pool has the right
+	// number of instances before the planner has begun the swap; a script of an
+	// operator must not continue at that point.
+	It("waits while pools have the right number of the wrong instances", func() {
+		code, _, errs := run("", "settled", "--platform", startFleet(manifestListing("w002", "w001")), "--timeout", "500ms")
 		Expect(code).To(Equal(ctl.ExitTimeout), errs)
 		Expect(errs).To(ContainSubstring("w001 is to move to charges"))
 	})
--- a/internal/ctl/status.go
+++ b/internal/ctl/status.go
@@ -12,7 +12,7 @@
 	"cyclamenwheel/internal/operator"
 )
 
-// processStatus is the answer of one process's /status.
+// processStatus is the /status response of one process.
 type processStatus struct {
 	Process   operator.Process   `json:"process"`
 	Readiness operator.Readiness `json:"readiness"`
@@ -20,18 +20,18 @@
 	Err       string             `json:"error,omitempty"`
 }
 
-// members returns the processes: as one of them knows them, or as the log
-// says.
-func (c *connection) members(ctx context.Context, hc *operatorsClient) ([]node.MemberStatus, error) {
+// members returns the member processes as reported by the process named by
+// --process, or else as folded from the log.
+func (c *connection) members(ctx context.Context, hc *operatorClient) ([]node.MemberStatus, error) {
 	if c.process != "" {
 		var st processStatus
-		if err := ask(ctx, hc, c.process, "/status", &st); err != nil {
+		if err := getJSON(ctx, hc, c.process, "/status", &st); err != nil {
 			return nil, err
 		}
 		return st.Detail.Members, nil
 	}
 	f := newFollower(c.platform())
-	if err := f.toHead(ctx); err != nil {
+	if err := f.catchUp(ctx); err != nil {
 		return nil, err
 	}
 	var out []node.MemberStatus
@@ -50,8 +50,8 @@
 	return &Command{
 		Name: "status", Summary: "Show every process: generation in force, offset, readiness.",
 		Flags: func(sub *flaggy.Subcommand) {
-			conn.flags(sub)
-			nodesFlag(sub, &nodes)
+			conn.addFlags(sub)
+			addNodesFlag(sub, &nodes)
 			sub.Bool(&asJSON, "", "json", "Print as JSON.")
 		},
 		Run: func(ctx context.Context, streams Streams, _ []string) error {
@@ -60,13 +60,13 @@
 				return err
 			}
 			if nodes != "" {
-				return showNodes(ctx, streams.Out, hc, nodes, asJSON)
+				return showDuties(ctx, streams.Out, hc, nodes, asJSON)
 			}
 			members, err := conn.members(ctx, hc)
 			if err != nil {
 				return err
 			}
-			all := askAll(ctx, hc, members)
+			all := fetchStatuses(ctx, hc, members)
 			if asJSON {
 				return encode(streams.Out, all)
 			}
@@ -75,10 +75,10 @@
 	}
 }
 
-func askAll(ctx context.Context, hc *operatorsClient, members []node.MemberStatus) []processStatus {
+func fetchStatuses(ctx context.Context, hc *operatorClient, members []node.MemberStatus) []processStatus {
 	all := make([]processStatus, len(members))
 	for i, m := range members {
-		if err := ask(ctx, hc, m.OperatorAddr, "/status", &all[i]); err != nil {
+		if err := getJSON(ctx, hc, m.OperatorAddr, "/status", &all[i]); err != nil {
 			all[i] = processStatus{Process: operator.Process{ID: m.ID, Zone: m.Zone}, Err: err.Error()}
 		}
 	}
@@ -105,5 +105,5 @@
 		fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%d\t%s\t%s\n",
 			m.ID, m.Role, m.Zone, st.Detail.Generation, st.Detail.Offset, planner, ready)
 	}
-	return output(w.Flush())
+	return outputError(w.Flush())
 }
--- a/internal/ctl/validate.go
+++ b/internal/ctl/validate.go
@@ -8,7 +8,7 @@
 	"cyclamenwheel/internal/manifest"
 )
 
-// reasonUnreadable marks a file that could not be read.
+// reasonUnreadable is the reason reported for a file that could not be read.
 const reasonUnreadable = "unreadable_file"
 
 func validateCommand() *Command {
@@ -28,7 +28,7 @@
 			for _, file := range args {
 				reports = append(reports, checkManifest(streams, file))
 			}
-			return finish(streams.Out, reports, asJSON)
+			return printReports(streams.Out, reports, asJSON)
 		},
 	}
 }
