--- a/internal/certs/memory.go
+++ b/internal/certs/authority.go
@@ -7,17 +7,17 @@
 	"encoding/pem"
 )
 
-// Authority is a CA outside of files, for processes without a disk that keep
-// it with the platform.
-type Authority struct{ ca *authority }
+// Authority is a CA held in memory, for processes without a disk that store it
+// on the platform.
+type Authority struct{ ca *signingCA }
 
-// NewAuthority makes a CA for a deployment and returns it with its certificate
-// and private key in PEM.
+// NewAuthority generates a CA for a deployment and returns it with its
+// certificate and private key in PEM form.
 func NewAuthority(deployment string) (a *Authority, certPEM, keyPEM []byte, err error) {
-	if !nameForm.MatchString(deployment) {
+	if !namePattern.MatchString(deployment) {
 		return nil, nil, nil, &MalformedIDError{Deployment: deployment}
 	}
-	ca, der, err := makeAuthority(deployment)
+	ca, der, err := generateCA(deployment)
 	if err != nil {
 		return nil, nil, nil, err
 	}
@@ -32,7 +32,7 @@
 	return pem.EncodeToMemory(&pem.Block{Type: kind, Bytes: der})
 }
 
-// ParseAuthority reads what NewAuthority returned.
+// ParseAuthority parses the PEM certificate and key returned by NewAuthority.
 func ParseAuthority(certPEM, keyPEM []byte) (*Authority, error) {
 	certBlock, _ := pem.Decode(certPEM)
 	keyBlock, _ := pem.Decode(keyPEM)
@@ -51,16 +51,16 @@
 	if !ok {
 		return nil, &NotPEMError{Want: "ECDSA " + pemPrivateKey}
 	}
-	return &Authority{&authority{cert: cert, key: key}}, nil
+	return &Authority{&signingCA{cert: cert, key: key}}, nil
 }
 
-// Issue makes a certificate for a process and returns its credentials.
+// Issue issues a certificate for a process and returns its credentials.
 func (a *Authority) Issue(deployment string, role Role, id string) (*Credentials, error) {
-	l, err := parseLeaf(deployment, string(role)+"/"+id)
+	l, err := parseLeafRequest(deployment, string(role)+"/"+id)
 	if err != nil {
 		return nil, err
 	}
-	der, key, err := a.ca.makeLeaf(l)
+	der, key, err := a.ca.generateLeaf(l)
 	if err != nil {
 		return nil, err
 	}
@@ -71,7 +71,7 @@
 	roots := x509.NewCertPool()
 	roots.AddCert(a.ca.cert)
 	c := &Credentials{}
-	c.current.Store(&material{roots: roots, identity: l.identity,
+	c.current.Store(&keyMaterial{roots: roots, identity: l.identity,
 		pair: tls.Certificate{Certificate: [][]byte{der}, PrivateKey: key, Leaf: cert}})
 	return c, nil
 }
--- a/internal/certs/certs_test.go
+++ b/internal/certs/certs_test.go
@@ -20,21 +20,21 @@
 	RunSpecs(t, "certs")
 }
 
-func load(dir string, role certs.Role, id string) *certs.Credentials {
+func loadCredentials(dir string, role certs.Role, id string) *certs.Credentials {
 	c, err := certs.Load(filepath.Join(dir, certs.CAFile),
 		filepath.Join(dir, certs.CertFile(role, id)), filepath.Join(dir, certs.KeyFile(role, id)))
 	ExpectWithOffset(1, err).NotTo(HaveOccurred())
 	return c
 }
 
-// outcome is the error that each side of a handshake met, and the client's
-// state.
-type outcome struct {
+// handshakeResult holds the error of each side of a handshake, and the client's
+// connection state.
+type handshakeResult struct {
 	server, client error
 	state          tls.ConnectionState
 }
 
-func handshake(server, client *tls.Config) outcome {
+func handshake(server, client *tls.Config) handshakeResult {
 	a, b := net.Pipe()
 	defer a.Close()
 	defer b.Close()
@@ -54,10 +54,11 @@
 	if clientErr != nil {
 		b.Close()
 	} else {
-		// Takes the server's ticket or alert off the pipe, which has no buffer.
+		// Reads the server's session ticket or alert: the pipe has no buffer, so
+		// the server would block.
 		go func() { _, _ = conn.Read(make([]byte, 1)) }()
 	}
-	return outcome{server: <-done, client: clientErr, state: conn.ConnectionState()}
+	return handshakeResult{server: <-done, client: clientErr, state: conn.ConnectionState()}
 }
 
 var _ = Describe("certificates", func() {
@@ -67,10 +68,10 @@
 		Expect(certs.Create(dir, "portlouis", "entry/e-1@10.0.0.5", "control/c-1", "operator/ops")).To(Succeed())
 	})
 
-	It("lets both sides know each other", func() {
+	It("authenticates both sides of a connection", func() {
 		result := handshake(
-			load(dir, certs.RoleEntry, "e-1").Config(certs.RoleControl),
-			load(dir, certs.RoleControl, "c-1").Config(certs.RoleEntry))
+			loadCredentials(dir, certs.RoleEntry, "e-1").Config(certs.RoleControl),
+			loadCredentials(dir, certs.RoleControl, "c-1").Config(certs.RoleEntry))
 		Expect(result.server).NotTo(HaveOccurred())
 		Expect(result.client).NotTo(HaveOccurred())
 		peer, err := certs.PeerIdentity(result.state)
@@ -78,30 +79,31 @@
 		Expect(peer.String()).To(Equal("cyclamen://portlouis/entry/e-1"))
 	})
 
-	It("refuses a role that may not connect", func() {
+	It("rejects a peer whose role is not accepted", func() {
 		result := handshake(
-			load(dir, certs.RoleEntry, "e-1").Config(certs.RoleEntry, certs.RoleControl),
-			load(dir, certs.RoleOperator, "ops").Config())
+			loadCredentials(dir, certs.RoleEntry, "e-1").Config(certs.RoleEntry, certs.RoleControl),
+			loadCredentials(dir, certs.RoleOperator, "ops").Config())
 		var refused *certs.RefusedPeerError
 		Expect(errors.As(result.server, &refused)).To(BeTrue(), "%v", result.server)
 		Expect(refused.Peer.ID).To(Equal("ops"))
 	})
 
-	It("refuses a peer of another CA on both sides", func() {
+	It("rejects a peer of another CA on both sides", func() {
 		other := GinkgoT().TempDir()
 		Expect(certs.Create(other, "portlouis", "entry/e-1")).To(Succeed())
-		own, foreign := load(dir, certs.RoleEntry, "e-1").Config(), load(other, certs.RoleEntry, "e-1").Config()
+		own, foreign := loadCredentials(dir, certs.RoleEntry, "e-1").Config(), loadCredentials(other, certs.RoleEntry, "e-1").Config()
 		var untrusted *certs.UntrustedPeerError
 		result := handshake(foreign, own)
 		Expect(errors.As(result.client, &untrusted)).To(BeTrue(), "%v", result.client)
 
-		// A client that trusts anybody reaches the server's own check.
+		// Without its own check, the client completes its part of the handshake
+		// and the server's check is exercised.
 		foreign.VerifyConnection = nil
 		result = handshake(own, foreign)
 		Expect(errors.As(result.server, &untrusted)).To(BeTrue(), "%v", result.server)
 	})
 
-	It("refuses a peer of another deployment under the same CA file", func() {
+	It("rejects a peer of another deployment whose CA is in the CA file", func() {
 		other := GinkgoT().TempDir()
 		Expect(certs.Create(other, "kelaniya", "entry/e-1")).To(Succeed())
 		bundle := filepath.Join(dir, certs.CAFile)
@@ -110,21 +112,21 @@
 		theirs, err := os.ReadFile(filepath.Join(other, certs.CAFile))
 		Expect(err).NotTo(HaveOccurred())
 		Expect(os.WriteFile(bundle, append(ours, theirs...), 0o600)).To(Succeed())
-		result := handshake(load(other, certs.RoleEntry, "e-1").Config(), load(dir, certs.RoleEntry, "e-1").Config())
+		result := handshake(loadCredentials(other, certs.RoleEntry, "e-1").Config(), loadCredentials(dir, certs.RoleEntry, "e-1").Config())
 		var refused *certs.RefusedPeerError
 		Expect(errors.As(result.client, &refused)).To(BeTrue(), "%v", result.client)
 	})
 
-	It("refuses a client without a certificate", func() {
-		client := load(dir, certs.RoleControl, "c-1").Config()
+	It("rejects a client without a certificate", func() {
+		client := loadCredentials(dir, certs.RoleControl, "c-1").Config()
 		client.GetClientCertificate = func(*tls.CertificateRequestInfo) (*tls.Certificate, error) {
 			return &tls.Certificate{}, nil
 		}
-		Expect(handshake(load(dir, certs.RoleEntry, "e-1").Config(), client).server).To(HaveOccurred())
+		Expect(handshake(loadCredentials(dir, certs.RoleEntry, "e-1").Config(), client).server).To(HaveOccurred())
 	})
 
-	It("takes a renewed certificate into use without a restart", func() {
-		c := load(dir, certs.RoleEntry, "e-1")
+	It("uses a renewed certificate without a restart", func() {
+		c := loadCredentials(dir, certs.RoleEntry, "e-1")
 		pair, err := c.Config().GetCertificate(nil)
 		Expect(err).NotTo(HaveOccurred())
 		before := pair.Leaf.SerialNumber
@@ -136,8 +138,8 @@
 		Expect(c.NotAfter()).To(BeTemporally(">", time.Now().Add(24*time.Hour)))
 	})
 
-	It("keeps the previous pair while the new one is half written", func() {
-		c := load(dir, certs.RoleEntry, "e-1")
+	It("keeps the previous key pair while the new one is partly written", func() {
+		c := loadCredentials(dir, certs.RoleEntry, "e-1")
 		key := filepath.Join(dir, certs.KeyFile(certs.RoleEntry, "e-1"))
 		good, err := os.ReadFile(key)
 		Expect(err).NotTo(HaveOccurred())
@@ -150,7 +152,7 @@
 		Expect(c.ReloadError()).NotTo(HaveOccurred())
 	})
 
-	It("keeps private keys from other users", func() {
+	It("makes private keys readable to their owner only", func() {
 		for _, name := range []string{certs.CAKeyFile, certs.KeyFile(certs.RoleEntry, "e-1")} {
 			info, err := os.Stat(filepath.Join(dir, name))
 			Expect(err).NotTo(HaveOccurred())
@@ -158,7 +160,7 @@
 		}
 	})
 
-	It("names what is wrong with an id, a directory or a file", func() {
+	It("returns a typed error for a malformed id, a directory with a foreign CA and a missing file", func() {
 		var malformed *certs.MalformedIDError
 		for _, id := range []string{"entry", "boss/x", "entry/../x", "entry/x@host"} {
 			Expect(errors.As(certs.Create(dir, "portlouis", id), &malformed)).To(BeTrue(), id)
--- a/internal/certs/create.go
+++ b/internal/certs/create.go
@@ -15,17 +15,17 @@
 	"time"
 )
 
-// Lifetimes of what Create issues. They suit a trial; production brings its
-// own certificates with the same URI.
+// Lifetimes of the certificates that Create issues. They suit trial deployments;
+// production deployments supply their own certificates with the same URIs.
 const (
 	caLifetime   = 365 * 24 * time.Hour
 	leafLifetime = 90 * 24 * time.Hour
-	// clockSkew dates certificates back, so that a peer whose clock is behind
-	// accepts a new one.
+	// clockSkew is how far NotBefore is backdated, so that a peer whose clock is
+	// behind accepts a new certificate.
 	clockSkew = 5 * time.Minute
 )
 
-// Files of the CA inside the directory.
+// Names of the CA's files in the directory passed to Create.
 const (
 	CAFile    = "ca.pem"
 	CAKeyFile = "ca-key.pem"
@@ -42,27 +42,27 @@
 	serialBits = 127
 )
 
-// CertFile names a leaf's certificate inside the directory.
+// CertFile returns the file name of an issued certificate.
 func CertFile(role Role, id string) string { return string(role) + "-" + id + ".pem" }
 
-// KeyFile names the private key that belongs to CertFile.
+// KeyFile returns the file name of the private key that belongs to CertFile.
 func KeyFile(role Role, id string) string { return string(role) + "-" + id + "-key.pem" }
 
-type authority struct {
+type signingCA struct {
 	cert *x509.Certificate
 	key  *ecdsa.PrivateKey
 }
 
-// Create issues a certificate to each id, written role/id or role/id@ip,ip,
-// and puts the files into dir. A CA that is already there is used again, so
-// that calling it again renews leaves.
+// Create issues a certificate for each of ids, in the form role/id or
+// role/id@ip,ip, and writes the files to dir. It reuses a CA that exists in
+// dir, so a repeated call renews the issued certificates.
 func Create(dir, deployment string, ids ...string) error {
-	if !nameForm.MatchString(deployment) {
+	if !namePattern.MatchString(deployment) {
 		return &MalformedIDError{Deployment: deployment}
 	}
-	leaves := make([]leaf, 0, len(ids))
+	leaves := make([]leafRequest, 0, len(ids))
 	for _, id := range ids {
-		l, err := parseLeaf(deployment, id)
+		l, err := parseLeafRequest(deployment, id)
 		if err != nil {
 			return err
 		}
@@ -71,7 +71,7 @@
 	if err := os.MkdirAll(dir, dirMode); err != nil {
 		return &FileError{Path: dir, Cause: err}
 	}
-	ca, err := openAuthority(dir, deployment)
+	ca, err := loadOrCreateCA(dir, deployment)
 	if err != nil {
 		return err
 	}
@@ -83,10 +83,10 @@
 	return nil
 }
 
-func openAuthority(dir, deployment string) (*authority, error) {
+func loadOrCreateCA(dir, deployment string) (*signingCA, error) {
 	path := filepath.Join(dir, CAFile)
 	if _, err := os.Stat(path); os.IsNotExist(err) {
-		return newAuthority(dir, deployment)
+		return createCAFiles(dir, deployment)
 	}
 	cert, err := readCertificate(path)
 	if err != nil {
@@ -99,18 +99,18 @@
 	if err != nil {
 		return nil, err
 	}
-	return &authority{cert: cert, key: key}, nil
+	return &signingCA{cert: cert, key: key}, nil
 }
 
-func newAuthority(dir, deployment string) (*authority, error) {
-	ca, der, err := makeAuthority(deployment)
+func createCAFiles(dir, deployment string) (*signingCA, error) {
+	ca, der, err := generateCA(deployment)
 	if err != nil {
 		return nil, err
 	}
 	return ca, writePair(filepath.Join(dir, CAFile), filepath.Join(dir, CAKeyFile), der, ca.key)
 }
 
-func makeAuthority(deployment string) (*authority, []byte, error) {
+func generateCA(deployment string) (*signingCA, []byte, error) {
 	now := time.Now()
 	template := &x509.Certificate{
 		Subject:               pkix.Name{Organization: []string{deployment}, CommonName: deployment + " CA"},
@@ -125,7 +125,7 @@
 	if err != nil {
 		return nil, nil, &GenerateError{Cause: err}
 	}
-	ca := &authority{cert: template, key: key}
+	ca := &signingCA{cert: template, key: key}
 	der, err := ca.sign(template, key)
 	if err != nil {
 		return nil, nil, err
@@ -136,8 +136,8 @@
 	return ca, der, nil
 }
 
-func (ca *authority) issue(dir string, l leaf) error {
-	der, key, err := ca.makeLeaf(l)
+func (ca *signingCA) issue(dir string, l leafRequest) error {
+	der, key, err := ca.generateLeaf(l)
 	if err != nil {
 		return err
 	}
@@ -145,7 +145,7 @@
 	return writePair(filepath.Join(dir, CertFile(id.Role, id.ID)), filepath.Join(dir, KeyFile(id.Role, id.ID)), der, key)
 }
 
-func (ca *authority) makeLeaf(l leaf) ([]byte, *ecdsa.PrivateKey, error) {
+func (ca *signingCA) generateLeaf(l leafRequest) ([]byte, *ecdsa.PrivateKey, error) {
 	now := time.Now()
 	id := l.identity
 	template := &x509.Certificate{
@@ -170,7 +170,7 @@
 	return der, key, err
 }
 
-func (ca *authority) sign(template *x509.Certificate, key *ecdsa.PrivateKey) ([]byte, error) {
+func (ca *signingCA) sign(template *x509.Certificate, key *ecdsa.PrivateKey) ([]byte, error) {
 	serial, err := rand.Int(rand.Reader, new(big.Int).Lsh(big.NewInt(1), serialBits))
 	if err != nil {
 		return nil, &GenerateError{Cause: err}
@@ -194,8 +194,8 @@
 	return writePEM(certPath, pemCertificate, der, certMode)
 }
 
-// writePEM replaces the file in one step: a process that reloads at this
-// moment sees the old content or the new, never a part.
+// writePEM replaces the file atomically: a process that reloads it concurrently
+// reads either the old content or the new.
 func writePEM(path, kind string, der []byte, mode os.FileMode) error {
 	temp, err := os.CreateTemp(filepath.Dir(path), ".tmp-*")
 	if err != nil {
--- a/internal/certs/errors.go
+++ b/internal/certs/errors.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// FileError says that a file could not be read, written or understood.
+// FileError reports that a file could not be read, written or parsed.
 type FileError struct {
 	Path  string
 	Cause error
@@ -13,13 +13,13 @@
 // Unwrap returns the cause.
 func (e *FileError) Unwrap() error { return e.Cause }
 
-// NotPEMError says that a file holds no PEM block of the wanted type.
+// NotPEMError reports that the input holds no PEM block of the wanted type.
 type NotPEMError struct{ Want string }
 
 func (e *NotPEMError) Error() string { return "no PEM block of type " + e.Want }
 
-// MalformedIDError says that an identity to issue is not role/id[@ip,...] with
-// a known role, or that the deployment's name is malformed.
+// MalformedIDError reports that a requested identity is not role/id[@ip,...]
+// with a valid role, or that the deployment's name is malformed.
 type MalformedIDError struct{ Deployment, ID string }
 
 func (e *MalformedIDError) Error() string {
@@ -27,21 +27,23 @@
 		e.ID, e.Deployment)
 }
 
-// NoIdentityError says that a certificate carries no single valid identity.
+// NoIdentityError reports that a certificate does not carry exactly one
+// identity, or that the identity is invalid.
 type NoIdentityError struct{ Subject string }
 
 func (e *NoIdentityError) Error() string {
 	return fmt.Sprintf("certificates: no identity in the certificate of %q", e.Subject)
 }
 
-// ForeignCAError says that a directory holds the CA of another deployment.
+// ForeignCAError reports that a directory holds the CA of another deployment.
 type ForeignCAError struct{ Dir, Have, Want string }
 
 func (e *ForeignCAError) Error() string {
 	return fmt.Sprintf("certificates: %s holds the CA of deployment %q, not of %q", e.Dir, e.Have, e.Want)
 }
 
-// GenerateError says that a key or certificate could not be made.
+// GenerateError reports that a key or certificate could not be generated or
+// decoded.
 type GenerateError struct{ Cause error }
 
 func (e *GenerateError) Error() string { return fmt.Sprintf("certificates: generate: %v", e.Cause) }
@@ -49,8 +51,8 @@
 // Unwrap returns the cause.
 func (e *GenerateError) Unwrap() error { return e.Cause }
 
-// UntrustedPeerError says that a peer's certificate does not verify against
-// the deployment's CA, or has expired.
+// UntrustedPeerError reports that a peer's certificate does not verify against
+// the trusted CAs, or has expired.
 type UntrustedPeerError struct{ Cause error }
 
 func (e *UntrustedPeerError) Error() string {
@@ -60,10 +62,11 @@
 // Unwrap returns the cause.
 func (e *UntrustedPeerError) Unwrap() error { return e.Cause }
 
-// RefusedPeerError says that a peer is known and may not connect here.
+// RefusedPeerError reports that an authenticated peer has a deployment or role
+// that is not accepted.
 type RefusedPeerError struct {
 	Peer Identity
-	// Deployment and Roles are what is accepted.
+	// Deployment and Roles are the accepted values.
 	Deployment string
 	Roles      []Role
 }
--- a/internal/certs/identity.go
+++ b/internal/certs/identity.go
@@ -1,7 +1,8 @@
-// Package certs makes and loads the certificates by which processes and
-// operators know each other. Who a peer is stands in the certificate's URI, so
-// that it holds wherever the peer runs: addresses change with every
-// replacement of an instance.
+// Package certs issues and loads the TLS certificates that authenticate
+// processes and operators to each other. A peer's identity (deployment, role
+// and id) is a URI in its certificate and doesn't depend on its address, because
+// addresses change whenever an instance is replaced. The daemons, the nodes and
+// cyclamenctl call it to create certificates and to configure TLS connections.
 package certs
 
 import (
@@ -13,23 +14,23 @@
 	"strings"
 )
 
-// Role is what a certificate's holder may act as.
+// Role is the role that a certificate grants to its holder.
 type Role string
 
-// Roles.
 const (
 	RoleEntry    Role = "entry"
 	RoleControl  Role = "control"
 	RoleOperator Role = "operator"
 )
 
-// uriScheme marks the identity among a certificate's URIs.
+// uriScheme distinguishes the identity from other URIs of a certificate.
 const uriScheme = "cyclamen"
 
-// nameForm suits URIs, file names and metrics labels alike.
-var nameForm = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._-]{0,62}$`)
+// namePattern restricts names to those valid in URIs, file names and metrics
+// labels.
+var namePattern = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._-]{0,62}$`)
 
-// Identity is who a certificate was issued to.
+// Identity identifies the holder of a certificate.
 type Identity struct {
 	Deployment string `json:"deployment"`
 	Role       Role   `json:"role"`
@@ -39,15 +40,15 @@
 // String returns the identity's URI.
 func (i Identity) String() string { return i.URI().String() }
 
-// URI returns what the certificate carries as its subject alternative name.
+// URI returns the URI that the certificate carries as subject alternative name.
 func (i Identity) URI() *url.URL {
 	return &url.URL{Scheme: uriScheme, Host: i.Deployment, Path: "/" + string(i.Role) + "/" + i.ID}
 }
 
-// valid tells whether every part is well formed and the role known.
+// valid reports whether all parts are well formed and the role exists.
 func (i Identity) valid() bool {
-	known := i.Role == RoleEntry || i.Role == RoleControl || i.Role == RoleOperator
-	return known && nameForm.MatchString(i.Deployment) && nameForm.MatchString(i.ID)
+	roleExists := i.Role == RoleEntry || i.Role == RoleControl || i.Role == RoleOperator
+	return roleExists && namePattern.MatchString(i.Deployment) && namePattern.MatchString(i.ID)
 }
 
 // IdentityOf reads the identity from a certificate. It does not verify the
@@ -67,7 +68,7 @@
 	return found[0], nil
 }
 
-// PeerIdentity returns who is at the other end of a connection whose handshake
+// PeerIdentity returns the identity of the peer of a connection whose handshake
 // used a Config of this package.
 func PeerIdentity(state tls.ConnectionState) (Identity, error) {
 	if len(state.PeerCertificates) == 0 {
@@ -76,22 +77,22 @@
 	return IdentityOf(state.PeerCertificates[0])
 }
 
-// leaf is one certificate to issue.
-type leaf struct {
+// leafRequest describes one certificate to issue.
+type leafRequest struct {
 	identity Identity
 	ips      []netip.Addr
 }
 
-// parseLeaf reads role/id or role/id@ip,ip.
-func parseLeaf(deployment, text string) (leaf, error) {
+// parseLeafRequest parses role/id or role/id@ip,ip.
+func parseLeafRequest(deployment, text string) (leafRequest, error) {
 	name, addresses, hasAddresses := strings.Cut(text, "@")
 	role, id, _ := strings.Cut(name, "/")
-	l := leaf{
+	l := leafRequest{
 		identity: Identity{Deployment: deployment, Role: Role(role), ID: id},
 		ips:      []netip.Addr{netip.AddrFrom4([4]byte{127, 0, 0, 1})},
 	}
 	if !l.identity.valid() {
-		return leaf{}, &MalformedIDError{Deployment: deployment, ID: text}
+		return leafRequest{}, &MalformedIDError{Deployment: deployment, ID: text}
 	}
 	if !hasAddresses {
 		return l, nil
@@ -99,7 +100,7 @@
 	for address := range strings.SplitSeq(addresses, ",") {
 		ip, err := netip.ParseAddr(address)
 		if err != nil {
-			return leaf{}, &MalformedIDError{Deployment: deployment, ID: text}
+			return leafRequest{}, &MalformedIDError{Deployment: deployment, ID: text}
 		}
 		l.ips = append(l.ips, ip)
 	}
--- a/internal/certs/load.go
+++ b/internal/certs/load.go
@@ -10,29 +10,29 @@
 	"time"
 )
 
-// Credentials are a process's own certificate and the CA it trusts. The files
-// are read again when they change, so that a renewal needs no restart.
+// Credentials hold a process's certificate and the CA it trusts. Changed files
+// are reloaded, so that a renewal needs no restart.
 type Credentials struct {
 	ca, cert, key string
 
-	// reloading admits one reader of the files at a time.
-	reloading sync.Mutex
-	current   atomic.Pointer[material]
-	lastErr   atomic.Pointer[error]
+	// reloadMu serializes reloads.
+	reloadMu sync.Mutex
+	current  atomic.Pointer[keyMaterial]
+	lastErr  atomic.Pointer[error]
 }
 
-// material is one consistent reading of the three files.
-type material struct {
-	stamps   [3]os.FileInfo
-	pair     tls.Certificate
-	roots    *x509.CertPool
-	identity Identity
+// keyMaterial is the content of one consistent read of the three files.
+type keyMaterial struct {
+	fileInfos [3]os.FileInfo
+	pair      tls.Certificate
+	roots     *x509.CertPool
+	identity  Identity
 }
 
 // Load reads the PEM files of a CA, a certificate and its private key.
 func Load(ca, cert, key string) (*Credentials, error) {
 	c := &Credentials{ca: ca, cert: cert, key: key}
-	m, err := c.read()
+	m, err := c.loadFiles()
 	if err != nil {
 		return nil, err
 	}
@@ -49,42 +49,42 @@
 	return c.Config(roles...), nil
 }
 
-// Identity returns who the certificate was issued to.
-func (c *Credentials) Identity() Identity { return c.fresh().identity }
+// Identity returns the identity in the certificate.
+func (c *Credentials) Identity() Identity { return c.reloadIfChanged().identity }
 
 // NotAfter returns when the certificate in use expires.
-func (c *Credentials) NotAfter() time.Time { return c.fresh().pair.Leaf.NotAfter }
+func (c *Credentials) NotAfter() time.Time { return c.reloadIfChanged().pair.Leaf.NotAfter }
 
-// ReloadError returns why changed files could not be taken into use; nil where
-// the files in use are the newest.
+// ReloadError returns why changed files could not be loaded, or nil if the
+// current files are in use.
 func (c *Credentials) ReloadError() error {
-	c.fresh()
+	c.reloadIfChanged()
 	if err := c.lastErr.Load(); err != nil {
 		return *err
 	}
 	return nil
 }
 
-// Config serves both sides of a connection: mutual, TLS 1.3, and open only to
-// peers of the same deployment in one of roles, or in any role if none is
-// given.
+// Config returns a configuration for mutual TLS 1.3 that both clients and
+// servers can use. It accepts only peers of the same deployment in one of the
+// roles, or in any role if none is given.
 //
-// The library's own check of names is off, because a peer is known by its URI
-// and not by the address it has today. verify takes its place on every
-// connection, resumed ones included, on both sides.
+// The standard hostname check is off, because a peer is identified by its URI
+// and not by its current address. Instead, verify checks the peer on every
+// connection, including resumed ones, on both sides.
 func (c *Credentials) Config(roles ...Role) *tls.Config {
 	return &tls.Config{
 		MinVersion:         tls.VersionTLS13,
 		ClientAuth:         tls.RequireAnyClientCert,
 		InsecureSkipVerify: true,
-		// For users of the Config that verify chains themselves. They see a
-		// renewed CA after a restart only; verify sees it at once.
-		RootCAs: c.fresh().roots,
+		// For users of the Config that verify chains themselves. They use a
+		// renewed CA only after a restart; verify uses it immediately.
+		RootCAs: c.reloadIfChanged().roots,
 		GetCertificate: func(*tls.ClientHelloInfo) (*tls.Certificate, error) {
-			return &c.fresh().pair, nil
+			return &c.reloadIfChanged().pair, nil
 		},
 		GetClientCertificate: func(*tls.CertificateRequestInfo) (*tls.Certificate, error) {
-			return &c.fresh().pair, nil
+			return &c.reloadIfChanged().pair, nil
 		},
 		VerifyConnection: func(state tls.ConnectionState) error {
 			return c.verify(state, roles)
@@ -93,7 +93,7 @@
 }
 
 func (c *Credentials) verify(state tls.ConnectionState, roles []Role) error {
-	m := c.fresh()
+	m := c.reloadIfChanged()
 	peer, err := PeerIdentity(state)
 	if err != nil {
 		return err
@@ -116,23 +116,23 @@
 	return nil
 }
 
-// fresh returns the newest usable material. It costs three calls of stat for a
-// handshake, which is far below the cost of the handshake itself.
+// reloadIfChanged returns the newest usable key material. It costs three stat
+// calls for each handshake, far less than the handshake itself.
 //
-// A certificate and its key are two files and cannot be replaced in one step.
-// Read between the two they do not match; the previous pair then stays in use
-// and the next handshake tries again.
-func (c *Credentials) fresh() *material {
-	have := c.current.Load()
+// A certificate and its key are two files and cannot be replaced atomically. If
+// they are read between the two writes, they do not match; the previous pair
+// then stays in use and the next handshake retries.
+func (c *Credentials) reloadIfChanged() *keyMaterial {
+	current := c.current.Load()
 	if c.cert == "" {
-		return have // never in files
+		return current // issued in memory, without files
 	}
-	if stamps, err := c.stat(); err == nil && unchanged(have.stamps, stamps) {
-		return have
+	if fileInfos, err := c.statFiles(); err == nil && sameFiles(current.fileInfos, fileInfos) {
+		return current
 	}
-	c.reloading.Lock()
-	defer c.reloading.Unlock()
-	m, err := c.read()
+	c.reloadMu.Lock()
+	defer c.reloadMu.Unlock()
+	m, err := c.loadFiles()
 	if err != nil {
 		c.lastErr.Store(&err)
 		return c.current.Load()
@@ -142,10 +142,10 @@
 	return m
 }
 
-// read stamps the files before reading them: a change in between is then seen
-// as one by the next call.
-func (c *Credentials) read() (*material, error) {
-	stamps, err := c.stat()
+// loadFiles calls stat before it reads the files, so that the next call detects
+// a change made in between.
+func (c *Credentials) loadFiles() (*keyMaterial, error) {
+	fileInfos, err := c.statFiles()
 	if err != nil {
 		return nil, err
 	}
@@ -165,22 +165,22 @@
 	if !roots.AppendCertsFromPEM(data) {
 		return nil, &FileError{Path: c.ca, Cause: &NotPEMError{Want: pemCertificate}}
 	}
-	return &material{stamps: stamps, pair: pair, roots: roots, identity: identity}, nil
+	return &keyMaterial{fileInfos: fileInfos, pair: pair, roots: roots, identity: identity}, nil
 }
 
-func (c *Credentials) stat() ([3]os.FileInfo, error) {
-	var stamps [3]os.FileInfo
+func (c *Credentials) statFiles() ([3]os.FileInfo, error) {
+	var fileInfos [3]os.FileInfo
 	for i, path := range []string{c.ca, c.cert, c.key} {
 		info, err := os.Stat(path)
 		if err != nil {
-			return stamps, &FileError{Path: path, Cause: err}
+			return fileInfos, &FileError{Path: path, Cause: err}
 		}
-		stamps[i] = info
+		fileInfos[i] = info
 	}
-	return stamps, nil
+	return fileInfos, nil
 }
 
-func unchanged(a, b [3]os.FileInfo) bool {
+func sameFiles(a, b [3]os.FileInfo) bool {
 	for i := range a {
 		same := os.SameFile(a[i], b[i]) && a[i].ModTime().Equal(b[i].ModTime()) && a[i].Size() == b[i].Size()
 		if !same {
