--- a/cmd/cyclamen-control/main.go
+++ b/cmd/cyclamen-control/main.go
@@ -1,5 +1,6 @@
-// Command cyclamen-control follows the log and contends for the planner lease;
-// the holder plans moves, maintenance and job placement.
+// Command cyclamen-control follows the fleet log and competes for the planner
+// lease; the lease holder plans moves, maintenance and job placement. Package
+// daemon implements it.
 package main
 
 import (
--- a/cmd/cyclamen-entry/main.go
+++ b/cmd/cyclamen-entry/main.go
@@ -1,4 +1,5 @@
-// Command cyclamen-entry takes callers' requests and sends them to endpoints.
+// Command cyclamen-entry receives callers' requests and forwards them to
+// endpoints. Package daemon implements it.
 package main
 
 import (
--- a/cmd/cyclamen-measure/main.go
+++ b/cmd/cyclamen-measure/main.go
@@ -1,5 +1,5 @@
-// Command cyclamen-measure runs a suite of measurements and prints markdown
-// tables.
+// Command cyclamen-measure runs a benchmark suite, named by its only argument,
+// and prints the results as markdown tables.
 package main
 
 import (
@@ -11,11 +11,10 @@
 	"strings"
 )
 
-// suites are the measurements by name. Each file of this command adds its own
-// in init.
+// suites maps names to benchmark suites. The other files of this command
+// register theirs in init.
 var suites = map[string]func(io.Writer) error{}
 
-// Exit codes.
 const (
 	exitFailed = 1
 	exitUsage  = 2
--- a/cmd/cyclamen-node/main.go
+++ b/cmd/cyclamen-node/main.go
@@ -1,5 +1,6 @@
-// Command cyclamen-node runs one node of the system on the users' platform: it
-// answers callers and owns the pools that the group gives it.
+// Command cyclamen-node runs one node on the users' platform. The node serves
+// callers and owns the pools assigned to it among the group of nodes. It reads
+// its settings from the file named by an environment variable.
 package main
 
 import "C"
@@ -12,11 +13,12 @@
 	"cyclamenwheel/internal/settings"
 )
 
-// settingsVariable names the variable that holds the path of the settings.
-const settingsVariable = "CYCLAMENWHEEL_NODE_FILE"
+// settingsPathEnv names the environment variable with the path of the settings
+// file.
+const settingsPathEnv = "CYCLAMENWHEEL_NODE_FILE"
 
 func main() {
-	path := os.Getenv(settingsVariable)
+	path := os.Getenv(settingsPathEnv)
 	set, err := settings.LoadNode(path)
 	if err == nil {
 		err = host.Run(set, path)
--- a/cmd/cyclamen-standin/main.go
+++ b/cmd/cyclamen-standin/main.go
@@ -1,5 +1,6 @@
-// Command cyclamen-standin runs a small platform with workers' endpoints, for
-// tests and the demo, and drives callers' load at entries.
+// Command cyclamen-standin simulates a small platform with the endpoints of its
+// workers, from a fleet description, for tests and the demo. Its load subcommand
+// generates callers' requests to entries and checks the results.
 package main
 
 import (
@@ -21,32 +22,32 @@
 // Exit codes.
 const (
 	exitFailure = 1
-	// exitPromise tells that requests were lost, doubled or answered wrongly.
-	exitPromise = 3
+	// exitCheckFailed reports that the check of the load's results failed, for
+	// example because requests were lost, executed twice or answered wrongly.
+	exitCheckFailed = 3
 )
 
-// settings are all flags.
-type settings struct {
-	fleetFile string
-	standin   standin.Options
-	load      load.Options
-	loadUsed  bool
+type options struct {
+	fleetFile    string
+	standin      standin.Options
+	load         load.Options
+	loadSelected bool
 }
 
 func main() {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
 	logger := slog.New(slog.NewJSONHandler(os.Stderr, nil))
-	cfg := parse()
-	if cfg.loadUsed {
-		os.Exit(drive(ctx, cfg.load, logger))
+	cfg := parseFlags()
+	if cfg.loadSelected {
+		os.Exit(runLoad(ctx, cfg.load, logger))
 	}
 	cfg.standin.Logger = logger
 	os.Exit(serve(ctx, cfg, logger))
 }
 
-func parse() *settings {
-	cfg := &settings{standin: standin.Options{Listen: "127.0.0.1:8500", Control: "127.0.0.1:8501",
+func parseFlags() *options {
+	cfg := &options{standin: standin.Options{Listen: "127.0.0.1:8500", Control: "127.0.0.1:8501",
 		Retention: standin.DefaultRetention, Reboot: standin.DefaultReboot,
 		DrainLimit: standin.DefaultDrainLimit, Lag: 500 * time.Millisecond, ReportLag: time.Second}}
 	flaggy.SetName("cyclamen-standin")
@@ -65,14 +66,15 @@
 	sub := loadCommand(&cfg.load)
 	flaggy.AttachSubcommand(sub, 1)
 	flaggy.Parse()
-	cfg.loadUsed = sub.Used
-	cfg.load.Entries = splitAll(cfg.load.Entries)
-	cfg.load.Services = splitAll(cfg.load.Services)
+	cfg.loadSelected = sub.Used
+	cfg.load.Entries = splitCommas(cfg.load.Entries)
+	cfg.load.Services = splitCommas(cfg.load.Services)
 	return cfg
 }
 
-// splitAll splits comma separated values: flaggy only collects repeated flags.
-func splitAll(values []string) []string {
+// splitCommas splits comma-separated values, because flaggy only collects
+// repeated flags.
+func splitCommas(values []string) []string {
 	var out []string
 	for _, v := range values {
 		out = append(out, strings.Split(v, ",")...)
@@ -99,16 +101,16 @@
 	return sub
 }
 
-func serve(ctx context.Context, cfg *settings, logger *slog.Logger) int {
+func serve(ctx context.Context, cfg *options, logger *slog.Logger) int {
 	spec, err := standin.ReadFleet(cfg.fleetFile)
 	if err != nil {
-		logger.Error("fleet not read", "file", cfg.fleetFile, "error", err.Error())
+		logger.Error("cannot read the fleet description", "file", cfg.fleetFile, "error", err.Error())
 		return exitFailure
 	}
 	cfg.standin.Fleet = spec
 	s := standin.New(cfg.standin)
 	if err := s.Start(); err != nil {
-		logger.Error("not started", "error", err.Error())
+		logger.Error("cannot start the simulated platform", "error", err.Error())
 		return exitFailure
 	}
 	<-ctx.Done()
@@ -117,7 +119,7 @@
 	return 0
 }
 
-func drive(ctx context.Context, opts load.Options, logger *slog.Logger) int {
+func runLoad(ctx context.Context, opts load.Options, logger *slog.Logger) int {
 	sum, err := load.Run(ctx, opts)
 	if err != nil {
 		logger.Error("load failed", "error", err.Error())
@@ -126,11 +128,11 @@
 	enc := json.NewEncoder(os.Stdout)
 	enc.SetIndent("", "  ")
 	if err := enc.Encode(sum); err != nil {
-		logger.Error("summary not written", "error", err.Error())
+		logger.Error("cannot write the summary", "error", err.Error())
 		return exitFailure
 	}
 	if !sum.OK() {
-		return exitPromise
+		return exitCheckFailed
 	}
 	return 0
 }
--- a/cmd/cyclamen-trial/main.go
+++ b/cmd/cyclamen-trial/main.go
@@ -1,7 +1,8 @@
-// Command cyclamen-trial runs whole deployments on this machine: a stand-in of
-// the platform with its endpoints, and real nodes. The demo brings jobs through
-// a maintenance wave and the loss of an endpoint and a node; the soak breaks
-// things at random. Both end with 0 only if nothing was lost or doubled.
+// Command cyclamen-trial runs a complete deployment on the local machine: a
+// simulated platform with its endpoints, and real node processes. demo runs jobs
+// during a maintenance wave and the loss of an endpoint and a node, soak injects
+// random faults, and cost measures the processor time of a task. demo and soak
+// exit with 0 only if nothing was lost or executed twice.
 package main
 
 import (
@@ -19,14 +20,15 @@
 )
 
 const (
-	host = "jobs.example"
-	// readyLimit bounds the start of a deployment.
-	readyLimit = 30 * time.Second
-	exitBroken = 1
-	exitUsage  = 2
+	jobsHost = "jobs.example"
+	// readyTimeout bounds the wait for all nodes to become ready.
+	readyTimeout   = 30 * time.Second
+	exitViolations = 1
+	exitUsage      = 2
 )
 
-// shapes are pools and their instances, as the two users have them.
+// shapes maps the names of the two users' deployments to their pools and the
+// number of instances in each.
 var shapes = map[string]map[string]int{
 	"portlouis": {"tabdesk": 8, "shiftbook": 9, "roompost": 11, "payhouse": 12, wire.SparePool: 8},
 	"kelaniya":  {"fieldlog": 9, "inspectsvc": 9, "readings": 11, "faultdesk": 12, wire.SparePool: 8},
@@ -56,7 +58,7 @@
 	}
 	flaggy.Parse()
 	if cost.Used {
-		os.Exit(measure(o))
+		os.Exit(measureCost(o))
 	}
 	if !demo.Used && !soak.Used || shapes[o.shape] == nil {
 		flaggy.ShowHelp("name demo, soak or cost, and a known shape")
@@ -65,8 +67,8 @@
 	os.Exit(run(o, soak.Used))
 }
 
-func run(o options, random bool) int {
-	report, dir, err := play(o, random)
+func run(o options, randomFaults bool) int {
+	report, dir, err := runScenario(o, randomFaults)
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		return exitUsage
@@ -79,43 +81,44 @@
 	fmt.Println(string(out))
 	if !report.Whole() {
 		fmt.Println("BROKEN; seed", o.seed, "logs in", dir)
-		return exitBroken
+		return exitViolations
 	}
 	fmt.Println("nothing lost, nothing doubled; seed", o.seed)
 	return 0
 }
 
-func play(o options, random bool) (report trial.Report, dir string, err error) {
-	dir, err = deploy(o, shapes[o.shape], trial.SoakAccounts, func(c *trial.Cluster, pools []string, _ string) error {
-		if !random {
-			go planned(c, pools[0])
+func runScenario(o options, randomFaults bool) (report trial.Report, dir string, err error) {
+	dir, err = withDeployment(o, shapes[o.shape], trial.SoakAccounts, func(c *trial.Cluster, pools []string, _ string) error {
+		if !randomFaults {
+			go injectDemoFaults(c, pools[0])
 		}
-		report = trial.Soak(c, host, pools, o.seed, time.Duration(o.seconds)*time.Second, random)
+		report = trial.Soak(c, jobsHost, pools, o.seed, time.Duration(o.seconds)*time.Second, randomFaults)
 		return nil
 	})
 	return report, dir, err
 }
 
-// costlyShape is a pool that is large enough to fill a node in its turn of demand.
-var costlyShape = map[string]int{"pool": 96}
+// costShape has one pool, large enough to occupy a node fully at peak demand.
+var costShape = map[string]int{"pool": 96}
 
-// Load of the measurement: tasks as short and as many as a large pool's.
+// Load: the task length and job rate of a large pool.
 const (
 	costJobs   = 100
 	costWidth  = 8
 	costWorkMs = 300
-	// oneCore is what a node usually has on the platform.
-	oneCore = "GOMAXPROCS=1"
+	// singleCoreEnv limits a node to one core, as nodes usually have on the
+	// platform.
+	singleCoreEnv = "GOMAXPROCS=1"
 )
 
-// measure prints what a task costs the nodes.
-func measure(o options) int {
+// measureCost prints the processor time that nodes use for each task.
+func measureCost(o options) int {
 	var cost trial.Cost
-	_, err := deploy(o, costlyShape, nil, func(c *trial.Cluster, pools []string, dir string) (err error) {
-		cost, err = trial.MeasureCost(c, host, trial.Load{Pool: pools[0], JobsPerSecond: costJobs, Width: costWidth,
+	_, err := withDeployment(o, costShape, nil, func(c *trial.Cluster, pools []string, dir string) (err error) {
+		cost, err = trial.MeasureCost(c, jobsHost, trial.Load{Pool: pools[0], JobsPerSecond: costJobs, Width: costWidth,
 			WorkMs: costWorkMs, Lasts: time.Duration(o.seconds) * time.Second}, dir)
 		return err
-	}, oneCore)
+	}, singleCoreEnv)
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		return exitUsage
@@ -128,9 +131,9 @@
 	return 0
 }
 
-// deploy runs a platform and its nodes for as long as use takes, and returns where
-// their logs are. env is added to the nodes' environment.
-func deploy(o options, shape map[string]int, accounts []wire.Account, use func(c *trial.Cluster, pools []string, dir string) error, env ...string) (dir string, err error) {
+// withDeployment runs a platform and its nodes while it calls use, and returns
+// the directory of their logs. env is added to the nodes' environment.
+func withDeployment(o options, shape map[string]int, accounts []wire.Account, use func(c *trial.Cluster, pools []string, dir string) error, env ...string) (dir string, err error) {
 	dir = o.logs
 	if dir == "" {
 		if dir, err = os.MkdirTemp("", "cyclamen-trial-"); err != nil {
@@ -148,9 +151,9 @@
 			pools = append(pools, pool)
 		}
 	}
-	slices.Sort(pools) // one seed, one run
+	slices.Sort(pools) // makes runs with one seed repeatable
 	platform.SetAccounts(accounts...)
-	if err := platform.Publish(1, host, pools...); err != nil {
+	if err := platform.Publish(1, jobsHost, pools...); err != nil {
 		return dir, err
 	}
 	c, err := trial.Start(o.program, dir, platform, o.nodes, env...)
@@ -163,7 +166,7 @@
 }
 
 func awaitReady(c *trial.Cluster) {
-	for end := time.Now().Add(readyLimit); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
+	for end := time.Now().Add(readyTimeout); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
 		ready := true
 		for _, n := range c.Nodes() {
 			ready = ready && n.Ready()
@@ -174,9 +177,9 @@
 	}
 }
 
-// planned is the demo's trouble: a wave over one pool, an endpoint that dies and
-// a node that is killed and started again.
-func planned(c *trial.Cluster, pool string) {
+// injectDemoFaults runs the disruptions of the demo: a maintenance wave over one
+// pool, the crash of an endpoint, and the kill and restart of a node.
+func injectDemoFaults(c *trial.Cluster, pool string) {
 	report := func(what string, err error) {
 		if err != nil {
 			fmt.Fprintln(os.Stderr, what+":", err)
--- a/cmd/cyclamenctl/main.go
+++ b/cmd/cyclamenctl/main.go
@@ -1,4 +1,6 @@
-// Command cyclamenctl is the operators' tool.
+// Command cyclamenctl is the operators' command line tool. It publishes
+// manifests, inspects the processes of a deployment, and issues certificates.
+// Package ctl implements its commands.
 package main
 
 import (
