--- a/internal/pause/pause.go
+++ b/internal/pause/pause.go
@@ -1,4 +1,5 @@
-// Package pause waits without outlasting a context.
+// Package pause implements a sleep that ends early if a context is cancelled.
+// Background loops call it between retries and polls.
 package pause
 
 import (
@@ -6,7 +7,7 @@
 	"time"
 )
 
-// For waits for d or until ctx ends.
+// For waits until d has passed or ctx is done.
 func For(ctx context.Context, d time.Duration) {
 	t := time.NewTimer(d)
 	defer t.Stop()
--- a/internal/rendezvous/rendezvous.go
+++ b/internal/rendezvous/rendezvous.go
@@ -1,6 +1,7 @@
-// Package rendezvous assigns keys to members by highest random weight. Every
-// process that knows the same members names the same owner without asking
-// anybody, and a member that comes or goes moves only its own share of keys.
+// Package rendezvous assigns keys to members by rendezvous hashing (highest
+// random weight). Processes with the same list of members compute the same owner
+// without coordination, and when a member joins or leaves only its own share of
+// the keys moves. The idempotency and shards packages call it to find owners.
 package rendezvous
 
 import (
@@ -12,7 +13,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Owner returns the member with the highest weight for key; ok is false where
+// Owner returns the member with the highest weight for key; ok is false if
 // there are no members. The order of members doesn't matter.
 func Owner(key []byte, members []string) (owner string, ok bool) {
 	keySum := xxhash.Sum64(key)
@@ -26,8 +27,8 @@
 	return owner, ok
 }
 
-// Ranked returns the members by falling weight for key: the owner first, then
-// the one that would own the key without it, and so on.
+// Ranked returns the members by descending weight for key: the owner, then the
+// member that would own the key if the owner left, and so on.
 func Ranked(key []byte, members []string) []string {
 	keySum := xxhash.Sum64(key)
 	ranked := slices.Clone(members)
@@ -40,8 +41,8 @@
 	return ranked
 }
 
-// Weighted returns the members by falling score for key, where a member's
-// chance of being first is its share of all weights.
+// Weighted returns the members by descending score for key. The probability
+// that a member is first is its share of the sum of all weights.
 func Weighted(key []byte, weights map[string]float64) []string {
 	keySum := xxhash.Sum64(key)
 	scores := make(map[string]float64, len(weights))
@@ -59,8 +60,8 @@
 	return ranked
 }
 
-// weight mixes the two hashes with the finalizer of a 64-bit hash, so that
-// members whose own hashes are close don't share their fate on every key.
+// weight mixes the hashes of key and member with the finalizer of a 64-bit hash,
+// so that members with similar hashes get independent weights for each key.
 func weight(keySum uint64, member string) uint64 {
 	const prime1, prime2 = 0xff51afd7ed558ccd, 0xc4ceb9fe1a85ec53
 	h := keySum ^ xxhash.Sum64String(member)
--- a/internal/rendezvous/rendezvous_test.go
+++ b/internal/rendezvous/rendezvous_test.go
@@ -19,7 +19,7 @@
 	const keys = 20000
 	key := func(i int) []byte { return binary.BigEndian.AppendUint64(nil, uint64(i)) }
 
-	It("spreads keys evenly and moves only those of the member that left", func() {
+	It("distributes keys evenly and moves only the keys of a member that left", func() {
 		count := map[string]int{}
 		without := slices.Delete(slices.Clone(members), 2, 3)
 		for i := range keys {
--- a/internal/shutdown/shutdown.go
+++ b/internal/shutdown/shutdown.go
@@ -1,5 +1,7 @@
-// Package shutdown ends a process in order: out of the balancer first, then no
-// new work, then what is in flight, then what others wait for.
+// Package shutdown runs the steps of a graceful shutdown in order, each with a
+// time limit. The usual order is: leave the load balancer, stop accepting work,
+// finish requests in flight, then release what other processes wait for. The
+// daemons and the nodes call it with their steps when they stop.
 package shutdown
 
 import (
@@ -12,18 +14,18 @@
 // Step is one part of a graceful shutdown.
 type Step struct {
 	Name string
-	// Limit bounds the step; the next one follows whatever became of it.
+	// Limit bounds the step; the next step runs regardless of its result.
 	Limit time.Duration
 	Run   func(context.Context) error
 }
 
-// IncompleteError says which steps did not end well.
+// IncompleteError lists the steps that failed.
 type IncompleteError struct{ Steps []string }
 
 func (e *IncompleteError) Error() string { return fmt.Sprintf("shutdown incomplete: %v", e.Steps) }
 
-// Run takes the steps in order. A failed step does not stop the later ones: an
-// entry that cannot reach the log must still let requests in flight end.
+// Run runs the steps in order. A failed step does not prevent the later ones: an
+// entry that cannot reach the log must still let requests in flight finish.
 func Run(ctx context.Context, log *slog.Logger, steps []Step) error {
 	var failed []string
 	for _, s := range steps {
@@ -48,8 +50,8 @@
 	return s.Run(ctx)
 }
 
-// Wait returns a step that only waits, such as for a balancer to notice that
-// the process is no longer ready.
+// Wait returns a step that only waits, for example until the load balancer has
+// noticed that the process is no longer ready.
 func Wait(name string, d time.Duration) Step {
 	return Step{Name: name, Limit: d + time.Second, Run: func(ctx context.Context) error {
 		t := time.NewTimer(d)
--- a/internal/version/version.go
+++ b/internal/version/version.go
@@ -1,5 +1,5 @@
-// Package version holds the version that all binaries of one build share.
+// Package version holds the version of the build, which all binaries share.
+// They report it on the command line and in their status.
 package version
 
-// Version of this build.
 const Version = "0.1.0"
