--- a/internal/explain/nodes.go
+++ b/internal/explain/nodes.go
@@ -22,8 +22,8 @@
 type NotFoundError struct {
 	Kind Kind
 	Name string
-	// Silent lists the nodes that did not answer.
-	Silent []string
+	// Unanswered lists the nodes that did not answer.
+	Unanswered []string
 }
 
 func (e *NotFoundError) Error() string {
@@ -31,8 +31,8 @@
 	if e.Kind == KindJob {
 		text += " open or failed: it has ended otherwise, was never accepted, or its pool has no owner"
 	}
-	if len(e.Silent) > 0 {
-		text += "; not answered: " + strings.Join(e.Silent, ", ")
+	if len(e.Unanswered) > 0 {
+		text += "; not answered: " + strings.Join(e.Unanswered, ", ")
 	}
 	return text
 }
@@ -42,7 +42,7 @@
 	notFound := &NotFoundError{Kind: kind, Name: name}
 	for _, d := range dumps {
 		if d.Err != "" {
-			notFound.Silent = append(notFound.Silent, d.Node)
+			notFound.Unanswered = append(notFound.Unanswered, d.Node)
 		}
 	}
 	switch kind {
