--- a/internal/certs/load.go
+++ b/internal/certs/load.go
@@ -123,12 +123,12 @@
 // they are read between the two writes, they do not match; the previous pair
 // then stays in use and the next handshake retries.
 func (c *Credentials) reloadIfChanged() *keyMaterial {
-	current := c.current.Load()
+	inUse := c.current.Load()
 	if c.cert == "" {
-		return current // issued in memory, without files
+		return inUse // issued in memory, without files
 	}
-	if fileInfos, err := c.statFiles(); err == nil && sameFiles(current.fileInfos, fileInfos) {
-		return current
+	if fileInfos, err := c.statFiles(); err == nil && sameFiles(inUse.fileInfos, fileInfos) {
+		return inUse
 	}
 	c.reloadMu.Lock()
 	defer c.reloadMu.Unlock()
--- a/internal/ctl/publish.go
+++ b/internal/ctl/publish.go
@@ -114,12 +114,12 @@
 	if err := f.catchUp(ctx); err != nil {
 		return Published{}, err
 	}
-	basedOn := f.state().Manifest.Generation
+	baseGeneration := f.state().Manifest.Generation
 	if p.basedOn >= 0 {
-		basedOn = uint64(p.basedOn)
+		baseGeneration = uint64(p.basedOn)
 	}
 	rec, err := fleetlog.NewRecord(fleetlog.KindPublish, p.operator, 0,
-		manifest.Publish{BasedOn: basedOn, Raw: raw, Operator: p.operator})
+		manifest.Publish{BasedOn: baseGeneration, Raw: raw, Operator: p.operator})
 	if err != nil {
 		return Published{}, err
 	}
