--- a/internal/ctl/explain.go
+++ b/internal/ctl/explain.go
@@ -59,7 +59,7 @@
 	if err != nil {
 		return explain.Explanation{}, err
 	}
-	return explain.Of(st, plannerView(ctx, hc, st), kind, name)
+	return explain.FromFleet(st, plannerView(ctx, hc, st), kind, name)
 }
 
 // fleetState returns the folded state, from the process named by --process or
--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -66,10 +66,10 @@
 	return view
 }
 
-// Of explains one object from the folded state and the planner's view. If no
+// FromFleet explains one object from the folded state and the planner's view. If no
 // planner answered, view is zero, and pending decisions are missing from the
 // result.
-func Of(st *fleetlog.State, view planner.View, kind Kind, name string) (Explanation, error) {
+func FromFleet(st *fleetlog.State, view planner.View, kind Kind, name string) (Explanation, error) {
 	e := &Explanation{Kind: kind, Name: name}
 	view = dropEndedOperations(st, view)
 	var err error
--- a/internal/explain/explain_test.go
+++ b/internal/explain/explain_test.go
@@ -42,7 +42,7 @@
 	view := planner.View{Holds: true, Progress: []planner.Progress{{
 		Instance: "w", Operation: "op", Waiting: []membership.Waiting{{Member: "entry-2", Cause: membership.CauseNotAcked}},
 	}}}
-	e, err := explain.Of(st, view, explain.KindInstance, "w")
+	e, err := explain.FromFleet(st, view, explain.KindInstance, "w")
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(e.Why).To(ContainElement(ContainSubstring("revision 3")))
 	g.Expect(e.WaitsFor).To(ContainElement(ContainSubstring("entry-2 (not_acknowledged)")))
@@ -55,7 +55,7 @@
 	g := NewWithT(t)
 	st := stateWith(t, pools.Instance{ID: "w", Pool: "a", Phase: pools.PhaseServing})
 	view := planner.View{Holds: true, Progress: []planner.Progress{{Instance: "w", Operation: "op", Asked: true}}}
-	e, err := explain.Of(st, view, explain.KindInstance, "w")
+	e, err := explain.FromFleet(st, view, explain.KindInstance, "w")
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(e.WaitsFor).To(BeEmpty())
 }
@@ -66,7 +66,7 @@
 	view := planner.View{Holds: true, Moves: pools.Decision{Shortfalls: []pools.Shortfall{
 		{Pool: "a", Missing: 1, Reason: pools.ShortNoInstance}, {Pool: "b", Missing: 9, Reason: pools.ShortNoInstance},
 	}}}
-	e, err := explain.Of(st, view, explain.KindPool, "a")
+	e, err := explain.FromFleet(st, view, explain.KindPool, "a")
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(e.Is).To(ContainElements(ContainSubstring("1 of 2 instances serve, at least 1 must"), ContainSubstring("1 instances below maintenance revision 3")))
 	g.Expect(e.WaitsFor).To(HaveLen(1))
@@ -77,9 +77,9 @@
 	g := NewWithT(t)
 	st := stateWith(t, pools.Instance{ID: "w", Pool: "a", Phase: pools.PhaseServing})
 	for _, kind := range []explain.Kind{explain.KindInstance, explain.KindPool, explain.KindJob} {
-		_, err := explain.Of(st, planner.View{}, kind, "nothing")
+		_, err := explain.FromFleet(st, planner.View{}, kind, "nothing")
 		g.Expect(err).To(BeAssignableToTypeOf(&explain.UnknownError{}))
 	}
-	_, err := explain.Of(st, planner.View{}, "team", "x")
+	_, err := explain.FromFleet(st, planner.View{}, "team", "x")
 	g.Expect(err).To(BeAssignableToTypeOf(&explain.UnknownKindError{}))
 }
