--- a/internal/ctl/explain.go
+++ b/internal/ctl/explain.go
@@ -53,7 +53,7 @@
 // set, and from the log and the planner's view otherwise.
 func fetchExplanation(ctx context.Context, hc *operatorClient, conn *connection, nodes string, kind explain.Kind, name string) (explain.Explanation, error) {
 	if nodes != "" {
-		return explain.OfNodes(fetchNodeDumps(ctx, hc, nodes), kind, name)
+		return explain.FromNodes(fetchNodeDumps(ctx, hc, nodes), kind, name)
 	}
 	st, err := conn.fleetState(ctx, hc)
 	if err != nil {
--- a/internal/explain/nodes.go
+++ b/internal/explain/nodes.go
@@ -37,8 +37,8 @@
 	return text
 }
 
-// OfNodes explains a job or a pool from the state dumps of nodes.
-func OfNodes(dumps []NodeDump, kind Kind, name string) (Explanation, error) {
+// FromNodes explains a job or a pool from the state dumps of nodes.
+func FromNodes(dumps []NodeDump, kind Kind, name string) (Explanation, error) {
 	notFound := &NotFoundError{Kind: kind, Name: name}
 	for _, d := range dumps {
 		if d.Err != "" {
