--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -66,8 +66,8 @@
 	return view
 }
 
-// FromFleet explains one object from the folded state and the planner's view. If no
-// planner answered, view is zero, and pending decisions are missing from the
+// FromFleet explains one object from the folded state and the planner's view. If
+// no planner answered, view is zero, and pending decisions are missing from the
 // result.
 func FromFleet(st *fleetlog.State, view planner.View, kind Kind, name string) (Explanation, error) {
 	e := &Explanation{Kind: kind, Name: name}
