--- a/internal/explain/explain_test.go
+++ b/internal/explain/explain_test.go
@@ -32,9 +32,9 @@
 	return st
 }
 
-// An operator asks why an instance does not move on: an entry has not let go
-// of it. The answer names the entry, the cause, and what would help.
-func TestInstanceThatWaitsForAnEntry(t *testing.T) {
+// A drain waits for an entry that has not acknowledged it. The explanation of
+// the instance names the entry, the cause and a remedy.
+func TestInstanceWaitingForEntryAck(t *testing.T) {
 	g := NewWithT(t)
 	st := stateWith(t, pools.Instance{
 		ID: "w", Pool: "a", Phase: pools.PhaseDraining, Target: "a", Operation: "op", Why: "maintenance: revision 3",
@@ -42,43 +42,44 @@
 	view := planner.View{Holds: true, Progress: []planner.Progress{{
 		Instance: "w", Operation: "op", Waiting: []membership.Waiting{{Member: "entry-2", Cause: membership.CauseNotAcked}},
 	}}}
-	e, err := explain.Of(st, view, explain.KindInstance, "w")
+	e, err := explain.FromFleet(st, view, explain.KindInstance, "w")
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(e.Why).To(ContainElement(ContainSubstring("revision 3")))
 	g.Expect(e.WaitsFor).To(ContainElement(ContainSubstring("entry-2 (not_acknowledged)")))
 	g.Expect(e.Unblock).NotTo(BeEmpty())
 }
 
-// The planner's last round still lists an operation that the fold has seen end.
-func TestOperationThatHasEndedIsNotWaitedFor(t *testing.T) {
+// The planner's last round still lists an operation that has ended in the
+// newer folded state; the explanation must not report a wait for it.
+func TestEndedOperationIsNotListedAsWait(t *testing.T) {
 	g := NewWithT(t)
 	st := stateWith(t, pools.Instance{ID: "w", Pool: "a", Phase: pools.PhaseServing})
 	view := planner.View{Holds: true, Progress: []planner.Progress{{Instance: "w", Operation: "op", Asked: true}}}
-	e, err := explain.Of(st, view, explain.KindInstance, "w")
+	e, err := explain.FromFleet(st, view, explain.KindInstance, "w")
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(e.WaitsFor).To(BeEmpty())
 }
 
-func TestPoolThatIsShort(t *testing.T) {
+func TestPoolWithShortfall(t *testing.T) {
 	g := NewWithT(t)
 	st := stateWith(t, pools.Instance{ID: "w", Pool: "a", Phase: pools.PhaseServing, Revision: 1})
 	view := planner.View{Holds: true, Moves: pools.Decision{Shortfalls: []pools.Shortfall{
 		{Pool: "a", Missing: 1, Reason: pools.ShortNoInstance}, {Pool: "b", Missing: 9, Reason: pools.ShortNoInstance},
 	}}}
-	e, err := explain.Of(st, view, explain.KindPool, "a")
+	e, err := explain.FromFleet(st, view, explain.KindPool, "a")
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(e.Is).To(ContainElements(ContainSubstring("1 of 2 instances serve, at least 1 must"), ContainSubstring("1 instances below maintenance revision 3")))
 	g.Expect(e.WaitsFor).To(HaveLen(1))
 	g.Expect(e.Unblock).To(ContainElement(ContainSubstring("more instances")))
 }
 
-func TestWhatIsNotThere(t *testing.T) {
+func TestUnknownNamesAndKinds(t *testing.T) {
 	g := NewWithT(t)
 	st := stateWith(t, pools.Instance{ID: "w", Pool: "a", Phase: pools.PhaseServing})
 	for _, kind := range []explain.Kind{explain.KindInstance, explain.KindPool, explain.KindJob} {
-		_, err := explain.Of(st, planner.View{}, kind, "nothing")
+		_, err := explain.FromFleet(st, planner.View{}, kind, "nothing")
 		g.Expect(err).To(BeAssignableToTypeOf(&explain.UnknownError{}))
 	}
-	_, err := explain.Of(st, planner.View{}, "team", "x")
+	_, err := explain.FromFleet(st, planner.View{}, "team", "x")
 	g.Expect(err).To(BeAssignableToTypeOf(&explain.UnknownKindError{}))
 }
