--- a/internal/executor/accounts.go
+++ b/internal/executor/accounts.go
@@ -65,8 +65,8 @@
 	return false
 }
 
-// dropIdleAccounts drops accounts that have no waiting jobs: their next jobs start afresh with the
-// share they get.
+// dropIdleAccounts drops accounts that have no waiting jobs: for their next jobs, the time at the share is
+// counted anew.
 func (c *Core) dropIdleAccounts() {
 	if len(c.atShareSince) == 0 {
 		return
--- a/internal/executor/core.go
+++ b/internal/executor/core.go
@@ -86,7 +86,7 @@
 	epoch  int64
 	limits Limits
 
-	// jobs and endpoints are all that are known, by id.
+	// jobs and endpoints are all those known to this owner, by id.
 	jobs      map[string]*job
 	endpoints map[string]*endpoint
 	// terms are the next values of endpoint.term for endpoints that were removed, by id.
@@ -356,7 +356,8 @@
 	id, addr, zone, kind, rack string
 	// startedMs is when the incarnation started, in ms since 1970; 0 if unknown.
 	startedMs int64
-	// term counts the incarnations that this owner has seen; it is the low part of the fencing token.
+	// term counts the incarnations that this owner has seen, and is the low part of the fencing token.
+	// It is unrelated to the terms of a queue (routing.Terms).
 	term int
 	// capacity is as in the newest entry in service discovery.
 	capacity Resources
@@ -539,7 +540,7 @@
 	return out
 }
 
-// Accepting is the context under which a job is submitted.
+// Accepting is what Submit needs besides the job: its queue, the queue's terms and the account.
 type Accepting struct {
 	Queue string
 	Terms routing.Terms
--- a/internal/executor/crashes.go
+++ b/internal/executor/crashes.go
@@ -8,7 +8,7 @@
 // Poison tasks: tasks that crash their endpoints. Load: a task crashes each endpoint that starts
 // it, with everything that runs there. Restarted without a limit, it takes one endpoint after
 // another out of its pool for some seconds, each with a dozen healthy runs. A crashed endpoint
-// lists no ends: only the set of runs that its incarnation had is known, and most were healthy.
+// lists no ends: only the set of runs that it had is known, and most of these were healthy.
 //
 // So the end of an incarnation counts as evidence against the tasks whose runs it took. A suspect
 // task runs only where no run of another job is new (isolation.go): if that endpoint crashes as well,
@@ -43,8 +43,8 @@
 	// Crashes counts the incarnations that ended with its runs on them.
 	Crashes int `cbor:"1,keyasint"`
 	// Isolated counts those of them in which its run was new and no run of another job was. Several
-	// crashes in a row at one address count once: an endpoint may crash by itself whenever it is
-	// back.
+	// crashes in a row at one address count once: an endpoint may crash by itself each time it
+	// has restarted.
 	Isolated int `cbor:"2,keyasint,omitempty"`
 	// Addr is the address of the last crash counted in Isolated.
 	Addr string `cbor:"4,keyasint,omitempty"`
@@ -228,8 +228,8 @@
 }
 
 // awaitsCrashReports reports whether a task must not be started yet because too many endpoints that
-// it may have crashed are unresponsive. Each shows whether it crashed once it reports, or
-// is back as another incarnation. One that is gone for good never does, hence the timeout.
+// it may have crashed are unresponsive. The next report of each shows whether it is still the same
+// incarnation. An endpoint that never returns sends none, hence the timeout.
 func (c *Core) awaitsCrashReports(now time.Duration, t *task) bool {
 	if t.run < poisonCrashes || len(c.unreportedLosses) == 0 {
 		return false
--- a/internal/executor/dump.go
+++ b/internal/executor/dump.go
@@ -29,7 +29,7 @@
 	EndedAgoMs int64  `json:"ended_ago_ms"`
 }
 
-// StartsDump describes the limit of starts in flight.
+// StartsDump describes the starts in flight and their limit.
 type StartsDump struct {
 	UnderWay int `json:"under_way"`
 	// Limit is how many starts may be in flight.
@@ -99,7 +99,7 @@
 	// refused since this owner claimed the pool.
 	Waiting int `json:"waiting"`
 	Refused int `json:"refused"`
-	// ToldAgoMs is how long ago the holder of the shares last reported them.
+	// ToldAgoMs is how long ago this pool's shares of the accounts' limits were last received.
 	ToldAgoMs int64 `json:"told_ago_ms"`
 }
 
--- a/internal/executor/explain.go
+++ b/internal/executor/explain.go
@@ -183,8 +183,8 @@
 	return obstacleNone
 }
 
-// taskObstacle returns what prevents a task from starting on an endpoint however much capacity its
-// short tasks leave.
+// taskObstacle returns what prevents a task from starting on an endpoint regardless of the endpoint's
+// free capacity.
 func (c *Core) taskObstacle(now time.Duration, t *task, e *endpoint) string {
 	s := t.step.spec
 	switch {
--- a/internal/executor/handover.go
+++ b/internal/executor/handover.go
@@ -6,7 +6,7 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// keyHandover is the key of the last record of an owner that hands over its pool in order.
+// keyHandover is the key of the last record of an owner that hands over its pool as it shuts down.
 const keyHandover = "h"
 
 // handoverRecord has how much longer the leases that an owner granted may last. The owner grants
@@ -14,8 +14,8 @@
 //
 // Without it, a successor that can't reach an endpoint has to wait until its predecessor's proof of
 // ownership has expired, and for one more lease. Load: nodes are restarted one after the other, and
-// a pool changes owner every few seconds; the wait starts again with each owner, and the tasks of a
-// crashed endpoint stay unavailable as long as the restarts go on.
+// a pool changes owner every few seconds. Each new owner would start that wait anew, and the tasks of
+// a crashed endpoint would not be restarted until the last node is back.
 type handoverRecord struct {
 	// Epoch is the owner's epoch; only its direct successor uses the record.
 	Epoch int64 `cbor:"1,keyasint"`
--- a/internal/executor/incarnation.go
+++ b/internal/executor/incarnation.go
@@ -15,16 +15,16 @@
 
 func (e *endpoint) incarnation() Incarnation { return Incarnation{ID: e.id, StartedMs: e.startedMs} }
 
-// The lowest termBits of a fencing token count the incarnations that an owner has seen under one id;
-// the bits above are its epoch.
+// The lowest termBits of a fencing token are the endpoint's term, which counts the incarnations that
+// an owner has seen under one id; the bits above are the owner's epoch.
 const termBits = 20
 
 // fence is the fencing token for orders to an endpoint. It rises with each incarnation: one that has
 // received its own token rejects orders meant for earlier incarnations.
 func (c *Core) fence(e *endpoint) int64 { return c.epoch<<termBits | int64(e.term) }
 
-// forgetEndpoint drops an endpoint. The next term keeps earlier orders from taking effect should its
-// id return.
+// forgetEndpoint drops an endpoint. Should its id be listed again, the next term keeps earlier orders
+// from taking effect.
 func (c *Core) forgetEndpoint(e *endpoint) {
 	delete(c.endpoints, e.id)
 	c.terms[e.id] = e.term + 1
@@ -33,8 +33,8 @@
 
 // observeIncarnation applies the start time of the incarnation that sent an answer or an entry in
 // service discovery. A request under the endpoint's present fencing token was sent after the known
-// incarnation had started, so a different start time is a later incarnation, whatever the time of
-// day says.
+// incarnation had started, so a different start time is that of a later incarnation, even if it is
+// the earlier time: wall clocks may be set back.
 func (c *Core) observeIncarnation(now time.Duration, e *endpoint, startedMs int64) {
 	switch {
 	case startedMs == 0 || startedMs == e.startedMs:
--- a/internal/executor/orders.go
+++ b/internal/executor/orders.go
@@ -8,7 +8,7 @@
 // Results of orders.
 const (
 	OrderDone OrderResult = iota
-	// OrderUnanswered: no answer came; the order may have been carried out, or may be later.
+	// OrderUnanswered: no answer came; the order may have been carried out, or may still be.
 	OrderUnanswered
 	// OrderFenced: the endpoint has seen a newer epoch.
 	OrderFenced
--- a/internal/executor/place.go
+++ b/internal/executor/place.go
@@ -18,7 +18,7 @@
 }
 
 // isOpen reports whether a task may be placed on the endpoint now. An endpoint that has not
-// answered its last lease renewal gets none: a start sent there would block its task until the
+// answered its last poll gets none: a start sent there would block its task until the
 // lease has expired.
 func (c *Core) isOpen(now time.Duration, e *endpoint) bool {
 	return c.endpointObstacle(now, e) == obstacleNone
@@ -59,9 +59,9 @@
 }
 
 // Decide places the tasks that can be placed. Jobs are taken in the order of sortOpen, but those
-// that can no longer end within their objective come last. Load: a phase of high demand begins
-// with two seconds of backlog. First come, first served would make every job of it late by that
-// much. Deferring the jobs that are late in any case lets the others end in time, and a job in
+// that can no longer end within their objective come last. Load: a demand peak begins with two
+// seconds of backlog. First come, first served would make every job of it late by that much.
+// Deferring the jobs that are late in any case lets the others end on time, and a job that is on
 // time is worth many late ones.
 func (c *Core) Decide(now time.Duration) {
 	c.abandonExpired(now)
@@ -327,9 +327,9 @@
 	// packLongRunningBonus is a bonus that packs long-running tasks onto few endpoints, so that the
 	// others can be moved and maintained without stopping any.
 	packLongRunningBonus = 2.0
-	// vacatedSoonPenalty keeps long-running tasks off endpoints that a maintenance wave is still
-	// to take. There they would be stopped and moved a second time, and the disruption budget
-	// for that is what makes waves late.
+	// vacatedSoonPenalty keeps long-running tasks off endpoints that the maintenance wave in progress
+	// has yet to vacate. There they would be stopped and moved a second time, and the disruption
+	// budget for that is what makes waves late.
 	vacatedSoonPenalty = 3.0
 	// failurePenalty, per consecutive failure, makes endpoints whose runs fail the last choice.
 	failurePenalty = 0.5
--- a/internal/executor/reserve.go
+++ b/internal/executor/reserve.go
@@ -3,7 +3,7 @@
 import "time"
 
 // Reservations. Load: a pool under peak demand is full of short tasks that end one by one while
-// an endpoint with long-running tasks crashes or leaves. The capacity that a short task frees
+// an endpoint with long-running tasks crashes or is vacated. The capacity that a short task frees
 // is smaller than a long-running task needs and goes to the next short one, so that
 // long-running tasks wait as long as the peak lasts and their users see an outage. An endpoint
 // reserved for a long-running task gets no more short ones, so that enough capacity becomes
--- a/internal/executor/speed.go
+++ b/internal/executor/speed.go
@@ -10,7 +10,7 @@
 // seconds, or make no progress, while they are healthy, answer at once and complete each task.
 // A job with about ten tasks spread over the pool almost always has one on such an endpoint,
 // and the whole job is late; detecting them by completed runs would take five runs. Endpoints
-// report progress with each renewal, so a slow endpoint is detected within half a second. It
+// report progress with each answer to a poll, so a slow endpoint is detected within half a second. It
 // then gets one task at a time as a probe for its recovery, and a run that would take longer
 // there than from its start elsewhere is stopped and restarted elsewhere.
 //
--- a/internal/executor/start_limit.go
+++ b/internal/executor/start_limit.go
@@ -7,13 +7,13 @@
 
 // Limit of starts in flight. Load: a demand peak asks for more starts per second than the
 // owner's processor or link carries. Sent all at once, each start queues behind the others
-// until its answer arrives after the timeout and it is sent again; lease renewals and the
+// until its answer arrives after the timeout and it is sent again; polls and the journal
 // store's answers wait in the same queue, leases expire, and throughput falls as load rises. So
 // the owner keeps only as many starts in flight as are answered without a rise in latency.
-// Starts beyond the limit stay undecided: their slots go to the best job at a later moment, and
-// they occupy no capacity meanwhile.
+// Starts beyond the limit stay undecided: they occupy no capacity, and a slot that becomes free goes
+// to the job that is best by then.
 //
-// Renewals and stops are not limited: running tasks must continue, and ends free capacity.
+// Polls and stops are not limited: running tasks must continue, and ends free capacity.
 const (
 	// initialStartLimit applies before any answer was measured.
 	initialStartLimit = 64
--- a/internal/executor/submit.go
+++ b/internal/executor/submit.go
@@ -26,12 +26,12 @@
 
 // Reasons of refusals.
 const (
-	// RefusedBacklog means that the job could not end in time behind the accepted work.
+	// RefusedBacklog means that the job could not end within its objective behind the accepted work.
 	RefusedBacklog = "backlog"
 	// RefusedIDTaken means that the id belongs to a job of another caller.
 	RefusedIDTaken = "id-taken"
-	// RefusedAccountBacklog means that the job could not end in time behind other jobs of its
-	// account, which is at its limit.
+	// RefusedAccountBacklog means that the job could not end within its objective behind other jobs
+	// of its account, which is at its limit.
 	RefusedAccountBacklog = "account-backlog"
 	// RefusedAccount means that a part of the job exceeds its account's limit by itself.
 	RefusedAccount = "account-limit"
@@ -243,8 +243,8 @@
 }
 
 // Admission control. Load: a queue receives five times its mean rate for seconds, more than its
-// pool can run. Accepting all of it would make every job late, and a late job earns a fifteenth
-// of one in time. So a job that could not end within its objective behind the work already
+// pool can run. Accepting all of it would make every job late, and a late job is worth a
+// fifteenth of one that is on time. So a job that could not end within its objective behind the work already
 // accepted is refused at once, with the time after which the backlog will have drained.
 const (
 	// minRetryAfter is one second because HTTP's Retry-After counts in seconds.
--- a/internal/executor/vacate.go
+++ b/internal/executor/vacate.go
@@ -22,18 +22,17 @@
 	StartedMs int64
 }
 
-// Vacate requests that an endpoint is cleared of tasks, so that its instance can be moved or
-// maintained. It returns how many are left. With none left, nothing is placed on the endpoint
-// for vacateFor unless the request is withdrawn. Tasks that end by themselves are not stopped
-// unless hurry is set. The request applies to the endpoint's instance, and so to an incarnation
-// that starts meanwhile.
-func (c *Core) Vacate(now time.Duration, id string, hurry bool) (v Vacancy, known bool) {
-	// An endpoint that service discovery does not list yet is kept clear from the moment
-	// that it is listed.
+// Vacate requests that an endpoint is vacated, so that its instance can be moved or maintained, and
+// returns how many tasks are left on it. No tasks are placed there for vacateFor after a request.
+// Long-running tasks are stopped within their disruption budgets, other tasks only if stopTasks is
+// set. The request applies to the endpoint's instance, and so to an incarnation that starts
+// meanwhile.
+func (c *Core) Vacate(now time.Duration, id string, stopTasks bool) (v Vacancy, known bool) {
+	// An endpoint that service discovery does not list yet counts as vacating once it is listed.
 	e := c.endpoint(id)
 	c.vacate(now, e)
 	c.stopLongRunning(now, e)
-	if hurry {
+	if stopTasks {
 		for t := range e.tasks {
 			if !t.step.spec.LongRunning {
 				c.requestStop(t, "instance leaves")
