--- a/internal/fleetops/incoming.go
+++ b/internal/fleetops/incoming.go
@@ -29,13 +29,13 @@
 	return sum
 }
 
-// Loans is, for each pool, the processor capacity on its way there, and the capacity that could be
-// requested at once: switched-off instances and the surplus of other pools.
-func (s *State) Loans(now time.Duration, pools []string) map[string][]executor.IncomingCapacity {
+// IncomingCapacity is, for each pool, the CPU capacity on its way there, and the capacity that could
+// be requested at once: switched-off instances and the surplus of other pools.
+func (s *State) IncomingCapacity(now time.Duration, pools []string) map[string][]executor.IncomingCapacity {
 	unit := s.meanInstanceCPU()
 	idle := s.idleSpareCPU()
 	balances := s.balances(now, unit)
-	loans := make(map[string][]executor.IncomingCapacity, len(pools))
+	incoming := make(map[string][]executor.IncomingCapacity, len(pools))
 	for _, pool := range pools {
 		available := idle
 		for _, b := range balances {
@@ -43,9 +43,9 @@
 				available -= b.shortfall()
 			}
 		}
-		loans[pool] = append(s.incomingInstances(now, pool), executor.IncomingCapacity{CPUMilli: int(available), InMs: (s.limits.MoveTime + joinTime).Milliseconds()})
+		incoming[pool] = append(s.incomingInstances(now, pool), executor.IncomingCapacity{CPUMilli: int(available), InMs: (s.limits.MoveTime + joinTime).Milliseconds()})
 	}
-	return loans
+	return incoming
 }
 
 // incomingInstances are the instances on their way to a pool.
--- a/internal/fleetops/run.go
+++ b/internal/fleetops/run.go
@@ -50,8 +50,8 @@
 	Clears []Clear
 	// Due are endpoints whose instances a wave will need soon.
 	Due []string
-	// Loans is the processor capacity on its way to the pool, or available to it.
-	Loans []executor.IncomingCapacity
+	// IncomingCapacity is the CPU capacity on its way to the pool, or available to it.
+	IncomingCapacity []executor.IncomingCapacity
 	// Shares are the pool's shares of accounts' limits.
 	Shares quota.Ask
 }
@@ -332,14 +332,14 @@
 	for _, c := range actions.Clears {
 		byPool[c.Pool] = append(byPool[c.Pool], c)
 	}
-	loans := r.state.Loans(planlease.Boottime(), pools)
+	incoming := r.state.IncomingCapacity(planlease.Boottime(), pools)
 	for _, pool := range pools {
 		if r.clearInFlight[pool] {
 			continue
 		}
 		r.clearInFlight[pool] = true
 		items := byPool[pool]
-		call := ClearCall{Clears: items, Due: actions.Due[pool], Loans: loans[pool], Shares: r.shares.Ask(pool)}
+		call := ClearCall{Clears: items, Due: actions.Due[pool], IncomingCapacity: incoming[pool], Shares: r.shares.Ask(pool)}
 		go func() {
 			asked := planlease.Boottime()
 			answer := r.opts.Pools.Clear(ctx, pool, call)
--- a/internal/shards/calls.go
+++ b/internal/shards/calls.go
@@ -76,8 +76,8 @@
 type VacateCall struct {
 	Pool  string       `cbor:"1,keyasint"`
 	Items []VacateItem `cbor:"2,keyasint,omitempty"`
-	// Loans is the CPU capacity that the pool is getting, or can get.
-	Loans []executor.IncomingCapacity `cbor:"3,keyasint,omitempty"`
+	// IncomingCapacity is the CPU capacity on its way to the pool, or available to it.
+	IncomingCapacity []executor.IncomingCapacity `cbor:"3,keyasint,omitempty"`
 	// Due are endpoints that will have to be drained soon.
 	Due []string `cbor:"4,keyasint,omitempty"`
 	// Shares are the pool's shares of client accounts' limits.
@@ -299,7 +299,7 @@
 
 // Clear requests that a pool's owner drain endpoints, for the duty that manages instances.
 func (c *Calls) Clear(ctx context.Context, pool string, request fleetops.ClearCall) fleetops.ClearAnswer {
-	in := VacateCall{Pool: pool, Loans: request.Loans, Due: request.Due, Shares: request.Shares}
+	in := VacateCall{Pool: pool, IncomingCapacity: request.IncomingCapacity, Due: request.Due, Shares: request.Shares}
 	for _, item := range request.Clears {
 		in.Items = append(in.Items, VacateItem{Endpoint: item.Endpoint, Hurry: item.StopTasks, Ended: item.Ended, StartedMs: item.StartedMs})
 	}
