--- a/internal/ctl/accounts.go
+++ b/internal/ctl/accounts.go
@@ -82,7 +82,7 @@
 			share = "paused"
 		}
 		fmt.Fprintf(w, "%s\t%s\t%s\t%.1f\t%s\t%s\t%d\t%d\t%d ms ago\n", r.Account, r.Pool, r.Owner,
-			float64(r.Used.CPUMilli)/1000, limit, share, r.Waiting, r.Refused, r.ToldAgoMs)
+			float64(r.Used.CPUMilli)/1000, limit, share, r.Waiting, r.Refused, r.SharesReportedAgoMs)
 	}
 	return output(w.Flush())
 }
--- a/internal/executor/dump.go
+++ b/internal/executor/dump.go
@@ -31,7 +31,7 @@
 
 // StartsDump describes the starts in flight and their limit.
 type StartsDump struct {
-	UnderWay int `json:"under_way"`
+	InFlight int `json:"under_way"`
 	// Limit is how many starts may be in flight.
 	Limit int `json:"limit"`
 	// Waiting counts the starts that are durable and wait to be sent.
@@ -42,17 +42,17 @@
 
 // EndpointDump is an endpoint's state.
 type EndpointDump struct {
-	ID           string    `json:"id"`
-	Addr         string    `json:"addr"`
-	StartedMs    int64     `json:"started_ms,omitempty"`
-	Free         Resources `json:"free"`
-	Tasks        int       `json:"tasks"`
-	Draining     bool      `json:"draining,omitempty"`
-	Vacating     bool      `json:"vacating,omitempty"`
-	Silent       int       `json:"unanswered,omitempty"`
-	QuarantineMs int64     `json:"quarantine_ms,omitempty"`
-	LookedAgoMs  int64     `json:"looked_ago_ms"`
-	LeaseEndsMs  int64     `json:"lease_ends_in_ms"`
+	ID            string    `json:"id"`
+	Addr          string    `json:"addr"`
+	StartedMs     int64     `json:"started_ms,omitempty"`
+	Free          Resources `json:"free"`
+	Tasks         int       `json:"tasks"`
+	Draining      bool      `json:"draining,omitempty"`
+	Vacating      bool      `json:"vacating,omitempty"`
+	FailedPolls   int       `json:"unanswered,omitempty"`
+	QuarantineMs  int64     `json:"quarantine_ms,omitempty"`
+	LastPollAgoMs int64     `json:"looked_ago_ms"`
+	LeaseEndsMs   int64     `json:"lease_ends_in_ms"`
 }
 
 // JobDump is an open job's state.
@@ -75,12 +75,12 @@
 
 // Dump returns the pool's state.
 func (c *Core) Dump(now time.Duration) PoolDump {
-	d := PoolDump{Summary: c.Summary(now), Epoch: c.epoch, Starts: StartsDump{UnderWay: c.startLimiter.inFlight,
+	d := PoolDump{Summary: c.Summary(now), Epoch: c.epoch, Starts: StartsDump{InFlight: c.startLimiter.inFlight,
 		Limit: int(c.startLimiter.limit), Waiting: len(c.startQueue), MedianMs: c.startLimiter.median.Milliseconds()}}
 	for _, e := range c.endpoints {
 		d.Endpoints = append(d.Endpoints, EndpointDump{ID: e.id, Addr: e.addr, StartedMs: e.startedMs, Free: e.free(), Tasks: len(e.tasks),
-			Draining: e.draining, Vacating: e.vacating, Silent: e.failedPolls,
-			QuarantineMs: max(0, e.quarantinedUntil-now).Milliseconds(), LookedAgoMs: (now - e.lastPollAnswer).Milliseconds(),
+			Draining: e.draining, Vacating: e.vacating, FailedPolls: e.failedPolls,
+			QuarantineMs: max(0, e.quarantinedUntil-now).Milliseconds(), LastPollAgoMs: (now - e.lastPollAnswer).Milliseconds(),
 			LeaseEndsMs: (c.leaseExpiry(e) - now).Milliseconds()})
 	}
 	slices.SortFunc(d.Endpoints, func(a, b EndpointDump) int { return cmp.Compare(a.ID, b.ID) })
@@ -99,8 +99,8 @@
 	// refused since this owner claimed the pool.
 	Waiting int `json:"waiting"`
 	Refused int `json:"refused"`
-	// ToldAgoMs is how long ago this pool's shares of the accounts' limits were last received.
-	ToldAgoMs int64 `json:"told_ago_ms"`
+	// SharesReportedAgoMs is how long ago this pool's shares of the accounts' limits were last received.
+	SharesReportedAgoMs int64 `json:"told_ago_ms"`
 }
 
 func (c *Core) dumpAccounts(now time.Duration) []AccountDump {
@@ -116,7 +116,7 @@
 			break
 		}
 		out = append(out, AccountDump{State: s, Waiting: waiting[s.Account], Refused: c.refusedByAccount[s.Account],
-			ToldAgoMs: (now - c.sharesReportedAt).Milliseconds()})
+			SharesReportedAgoMs: (now - c.sharesReportedAt).Milliseconds()})
 	}
 	return out
 }
--- a/internal/explain/nodes.go
+++ b/internal/explain/nodes.go
@@ -134,8 +134,8 @@
 			out = append(out, fmt.Sprintf("endpoint %s is cleared for an operation, %d tasks left", e.ID, e.Tasks))
 		case e.Draining:
 			out = append(out, fmt.Sprintf("endpoint %s drains, %d tasks left", e.ID, e.Tasks))
-		case e.Silent > 0:
-			out = append(out, fmt.Sprintf("endpoint %s has left %d calls unanswered; its lease ends in %d ms", e.ID, e.Silent, e.LeaseEndsMs))
+		case e.FailedPolls > 0:
+			out = append(out, fmt.Sprintf("endpoint %s has left %d calls unanswered; its lease ends in %d ms", e.ID, e.FailedPolls, e.LeaseEndsMs))
 		case e.QuarantineMs > 0:
 			out = append(out, fmt.Sprintf("endpoint %s is quarantined for %d ms more", e.ID, e.QuarantineMs))
 		}
--- a/internal/explain/nodes_test.go
+++ b/internal/explain/nodes_test.go
@@ -13,7 +13,7 @@
 	waits := executor.JobDump{ID: "00000000000000a1", Queue: "q", State: "queued", ObjectiveMs: -300,
 		Waiting: []string{"00000000000000a1.0.0.0: endpoints 4 full"}, Unblock: []string{"a task that ends"}}
 	owner := explain.NodeDump{Node: "127.0.0.1:1", Pools: []executor.PoolDump{{Epoch: 3, Summary: executor.Summary{Pool: "tabs", Endpoints: 4, CapacityMilli: 64000, Jobs: 1},
-		Jobs: []executor.JobDump{waits}, Endpoints: []executor.EndpointDump{{ID: "i-1", Silent: 2, LeaseEndsMs: 900}, {ID: "i-2"}}}}}
+		Jobs: []executor.JobDump{waits}, Endpoints: []executor.EndpointDump{{ID: "i-1", FailedPolls: 2, LeaseEndsMs: 900}, {ID: "i-2"}}}}}
 	other := explain.NodeDump{Node: "127.0.0.1:2", Duties: shards.Status{Duties: []shards.DutyStatus{{Duty: "rooms", Owner: "n-9"}}}}
 	silent := explain.NodeDump{Node: "127.0.0.1:3", Err: "no answer"}
 
