--- a/internal/executor/summary.go
+++ b/internal/executor/summary.go
@@ -19,30 +19,30 @@
 	Endpoints       int `json:"endpoints" cbor:"5,keyasint"`
 	WaitingTasks    int `json:"waiting_tasks" cbor:"6,keyasint"`
 	Jobs            int `json:"jobs" cbor:"7,keyasint"`
-	// LastingCPUMilli is the part of RunningCPUMilli used by long-running tasks.
-	LastingCPUMilli int `json:"lasting_cpu_milli" cbor:"8,keyasint"`
+	// LongRunningCPUMilli is the part of RunningCPUMilli used by long-running tasks.
+	LongRunningCPUMilli int `json:"lasting_cpu_milli" cbor:"8,keyasint"`
 	// OfferedCoreMs counts all work submitted since the epoch began, accepted or not, each job
 	// once.
-	OfferedCoreMs float64    `json:"offered_core_ms" cbor:"9,keyasint"`
-	Hosts         []HostLoad `json:"hosts" cbor:"10,keyasint"`
-	// LeastHosts is how many endpoints the long-running tasks need to satisfy their steps'
+	OfferedCoreMs float64        `json:"offered_core_ms" cbor:"9,keyasint"`
+	EndpointLoads []EndpointLoad `json:"hosts" cbor:"10,keyasint"`
+	// MinEndpoints is how many endpoints the long-running tasks need to satisfy their steps'
 	// limits of tasks per endpoint, however small the tasks are.
-	LeastHosts int `json:"least_hosts" cbor:"12,keyasint"`
+	MinEndpoints int `json:"least_hosts" cbor:"12,keyasint"`
 	// Starved counts the steps of long-running tasks that find no endpoint.
 	Starved int `json:"starved" cbor:"13,keyasint"`
 }
 
-// HostLoad is the load of an endpoint that may get tasks.
-type HostLoad struct {
+// EndpointLoad is the load of an endpoint that may get tasks.
+type EndpointLoad struct {
 	Endpoint  string `json:"endpoint" cbor:"1,keyasint"`
 	UsedMilli int    `json:"used_milli" cbor:"2,keyasint"`
 	Tasks     int    `json:"tasks" cbor:"3,keyasint"`
-	// Lasting reports whether the endpoint has long-running tasks.
-	Lasting bool `json:"lasting" cbor:"4,keyasint"`
+	// HasLongRunning reports whether the endpoint has long-running tasks.
+	HasLongRunning bool `json:"lasting" cbor:"4,keyasint"`
 }
 
-func (e *endpoint) hostLoad() HostLoad {
-	return HostLoad{Endpoint: e.id, UsedMilli: e.used.CPUMilli, Tasks: len(e.tasks), Lasting: e.hasLongRunning()}
+func (e *endpoint) load() EndpointLoad {
+	return EndpointLoad{Endpoint: e.id, UsedMilli: e.used.CPUMilli, Tasks: len(e.tasks), HasLongRunning: e.hasLongRunning()}
 }
 
 // lateJobShare is how much of the ready work of jobs that will be late anyway counts as demand
@@ -59,12 +59,12 @@
 		s.Endpoints++
 		s.CapacityMilli += e.capacity.CPUMilli
 		s.RunningCPUMilli += e.used.CPUMilli
-		s.Hosts = append(s.Hosts, e.hostLoad())
-		s.LastingCPUMilli += e.longRunningCPU()
+		s.EndpointLoads = append(s.EndpointLoads, e.load())
+		s.LongRunningCPUMilli += e.longRunningCPU()
 	}
-	slices.SortFunc(s.Hosts, func(a, b HostLoad) int { return cmp.Compare(a.Endpoint, b.Endpoint) })
+	slices.SortFunc(s.EndpointLoads, func(a, b EndpointLoad) int { return cmp.Compare(a.Endpoint, b.Endpoint) })
 	s.OfferedCoreMs = c.offeredCoreMs
-	s.LeastHosts, s.Starved = c.minLongRunningEndpoints(), c.countUnplaceableSteps(now)
+	s.MinEndpoints, s.Starved = c.minLongRunningEndpoints(), c.countUnplaceableSteps(now)
 	for _, j := range c.open {
 		if j.rec.State.Ended() || isLongRunning(&j.rec.Job) {
 			continue
--- a/internal/explain/nodes.go
+++ b/internal/explain/nodes.go
@@ -120,7 +120,7 @@
 
 func loadOf(s executor.Summary) string {
 	return fmt.Sprintf("%d endpoints with %.1f of %.1f cores in use, %.1f by lasting tasks; %d jobs open, %d tasks waiting",
-		s.Endpoints, cores(s.RunningCPUMilli), cores(s.CapacityMilli), cores(s.LastingCPUMilli), s.Jobs, s.WaitingTasks)
+		s.Endpoints, cores(s.RunningCPUMilli), cores(s.CapacityMilli), cores(s.LongRunningCPUMilli), s.Jobs, s.WaitingTasks)
 }
 
 func cores(milli int) float64 { return float64(milli) / 1000 }
--- a/internal/fleetops/balance.go
+++ b/internal/fleetops/balance.go
@@ -62,19 +62,19 @@
 	if d := s.demand[b.pool]; d != nil {
 		rate = d.forecast()
 	}
-	running := float64(sum.RunningCPUMilli - sum.LastingCPUMilli)
+	running := float64(sum.RunningCPUMilli - sum.LongRunningCPUMilli)
 	drain := sum.ReadyCoreMs * 1000 / float64(backlogDrainTime.Milliseconds())
-	lastingNeed := float64(sum.LastingCPUMilli)
+	lastingNeed := float64(sum.LongRunningCPUMilli)
 	// Lasting tasks that must run apart need endpoints of their own, of whatever size, and one
 	// more to move to when one of these leaves.
-	if sum.LeastHosts > 0 {
-		lastingNeed = max(lastingNeed, float64(sum.LeastHosts+1)*unit)
+	if sum.MinEndpoints > 0 {
+		lastingNeed = max(lastingNeed, float64(sum.MinEndpoints+1)*unit)
 	}
 	if sum.Starved > 0 {
 		lastingNeed = max(lastingNeed, float64(sum.CapacityMilli)+float64(min(sum.Starved, maxStarvedSteps))*unit)
 	}
 	needFor := func(work float64) float64 {
-		return max(lastingNeed, float64(sum.LastingCPUMilli)+max(minInstances*unit, headroom*(work+drain)))
+		return max(lastingNeed, float64(sum.LongRunningCPUMilli)+max(minInstances*unit, headroom*(work+drain)))
 	}
 	b.lastingNeed = lastingNeed
 	b.need = needFor(max(rate, running))
@@ -88,7 +88,7 @@
 		v := s.pools[b.pool]
 		line := Balance{Pool: b.pool, HaveCores: b.have / 1000, NeedCores: b.need / 1000,
 			ReadyCoreS: v.Summary.ReadyCoreMs / 1000, RunningCores: float64(v.Summary.RunningCPUMilli) / 1000,
-			LastingCores: float64(v.Summary.LastingCPUMilli) / 1000, Endpoints: v.Summary.Endpoints}
+			LastingCores: float64(v.Summary.LongRunningCPUMilli) / 1000, Endpoints: v.Summary.Endpoints}
 		if d := s.demand[b.pool]; d != nil {
 			line.OfferedCores = d.rate / 1000
 		}
--- a/internal/fleetops/fleet_test.go
+++ b/internal/fleetops/fleet_test.go
@@ -146,12 +146,12 @@
 
 func (f *fleet) summary(pool string) executor.Summary {
 	s := executor.Summary{Pool: pool, OfferedCoreMs: f.offered[pool], ReadyCoreMs: f.ready[pool], RunningCPUMilli: int(f.running[pool]),
-		LeastHosts: f.leastHosts[pool], Starved: f.starved[pool]}
+		MinEndpoints: f.leastHosts[pool], Starved: f.starved[pool]}
 	for _, i := range f.instances {
 		if i.Pool == pool && i.Up {
 			s.Endpoints++
 			s.CapacityMilli += instanceCPU
-			s.Hosts = append(s.Hosts, executor.HostLoad{Endpoint: i.Endpoint, Tasks: f.tasks[i.Endpoint], Lasting: f.lasting[i.Endpoint]})
+			s.EndpointLoads = append(s.EndpointLoads, executor.EndpointLoad{Endpoint: i.Endpoint, Tasks: f.tasks[i.Endpoint], HasLongRunning: f.lasting[i.Endpoint]})
 		}
 	}
 	return s
--- a/internal/fleetops/moves.go
+++ b/internal/fleetops/moves.go
@@ -186,7 +186,7 @@
 	for _, name := range s.instanceNames {
 		i := s.instances[name]
 		h, known := hosts[i.Endpoint]
-		if i.Pool != pool || !known || h.Lasting || !s.movable(now, i, to) {
+		if i.Pool != pool || !known || h.HasLongRunning || !s.movable(now, i, to) {
 			continue
 		}
 		if used := float64(h.UsedMilli); best == nil && used <= leastUsed || best != nil && used < leastUsed {
--- a/internal/fleetops/state.go
+++ b/internal/fleetops/state.go
@@ -126,7 +126,7 @@
 	Summary executor.Summary
 	At      time.Duration
 	// hosts are the host loads of Summary by endpoint.
-	hosts map[string]executor.HostLoad
+	hosts map[string]executor.EndpointLoad
 }
 
 // State is what the fleet duty has observed and decided. It is not safe for concurrent use.
@@ -220,8 +220,8 @@
 
 // ObservePool applies a summary from a pool's owner.
 func (s *State) ObservePool(now time.Duration, pool string, sum executor.Summary) {
-	hosts := make(map[string]executor.HostLoad, len(sum.Hosts))
-	for _, h := range sum.Hosts {
+	hosts := make(map[string]executor.EndpointLoad, len(sum.EndpointLoads))
+	for _, h := range sum.EndpointLoads {
 		hosts[h.Endpoint] = h
 	}
 	s.pools[pool] = &PoolView{Summary: sum, At: now, hosts: hosts}
--- a/internal/fleetops/waves.go
+++ b/internal/fleetops/waves.go
@@ -128,7 +128,7 @@
 // hasLasting reports whether lasting tasks are on an instance, by its pool's last summary.
 func (s *State) hasLasting(i Instance) bool {
 	view := s.pools[i.Pool]
-	return view != nil && view.hosts[i.Endpoint].Lasting
+	return view != nil && view.hosts[i.Endpoint].HasLongRunning
 }
 
 // canSpare reports whether the fleet as a whole can do without an instance, and its own pool has a
@@ -172,7 +172,7 @@
 	if known && h.Tasks == 0 {
 		cost *= costIdle
 	}
-	if h.Lasting {
+	if h.HasLongRunning {
 		cost += costLasting
 	}
 	return cost
