--- a/internal/executor/polls.go
+++ b/internal/executor/polls.go
@@ -193,9 +193,12 @@
 	EndedDone HowEnded = iota
 	EndedFailed
 	EndedStopped
-	EndedLapsed
-	EndedBroken
-	EndedAlone
+	// EndedLeaseExpired: the run's lease expired before it was renewed.
+	EndedLeaseExpired
+	// EndedGangBroken: another member of the run's gang ended.
+	EndedGangBroken
+	// EndedGangIncomplete: not all members of the run's gang started in time.
+	EndedGangIncomplete
 )
 
 var howEndedNames = [...]string{"done", "failed", "stopped", "lapsed", "broken", "alone"}
--- a/internal/executor/simulated_endpoints_test.go
+++ b/internal/executor/simulated_endpoints_test.go
@@ -391,7 +391,7 @@
 		}
 		for name, r := range h.running {
 			if lapsed {
-				w.end(h, name, r, executor.EndedLapsed)
+				w.end(h, name, r, executor.EndedLeaseExpired)
 			} else if w.now >= r.ends {
 				w.end(h, name, r, r.outcome)
 			}
@@ -413,7 +413,7 @@
 	switch how {
 	case executor.EndedFailed:
 		past.failed++
-	case executor.EndedLapsed:
+	case executor.EndedLeaseExpired:
 		past.lostRuns++
 	}
 }
--- a/internal/shards/orders.go
+++ b/internal/shards/orders.go
@@ -98,8 +98,8 @@
 
 var endReasons = map[platform.EndReason]executor.HowEnded{
 	platform.EndDone: executor.EndedDone, platform.EndFailed: executor.EndedFailed,
-	platform.EndStopped: executor.EndedStopped, platform.EndLeaseExpired: executor.EndedLapsed,
-	platform.EndGangBroken: executor.EndedBroken, platform.EndGangIncomplete: executor.EndedAlone,
+	platform.EndStopped: executor.EndedStopped, platform.EndLeaseExpired: executor.EndedLeaseExpired,
+	platform.EndGangBroken: executor.EndedGangBroken, platform.EndGangIncomplete: executor.EndedGangIncomplete,
 }
 
 func toListed(in platform.RenewalResponse) executor.Listed {
