--- a/internal/executor/crashes.go
+++ b/internal/executor/crashes.go
@@ -187,7 +187,7 @@
 		AgeMs:  x.confirmedFor.Milliseconds(),
 		Reason: fmt.Sprintf("%s; the last one had %d new runs of other jobs", t.evidence, x.otherNewRuns)})
 	if t.evidence.isPoison() {
-		c.event(Event{Kind: EventGivenUp, Job: j.rec.Job.ID, Task: t.name(), Run: x.number, Reason: t.evidence.String()})
+		c.event(Event{Kind: EventPoisonTask, Job: j.rec.Job.ID, Task: t.name(), Run: x.number, Reason: t.evidence.String()})
 		c.endJob(j, JobFailed, "task "+t.name()+" is given up: "+t.evidence.String())
 	}
 }
--- a/internal/executor/polls.go
+++ b/internal/executor/polls.go
@@ -94,7 +94,7 @@
 
 func (c *Core) endIncarnation(e *endpoint) {
 	c.endedIncarnations[e.incarnation()] = true
-	c.event(Event{Kind: EventGone, Endpoint: e.id, StartedMs: e.startedMs, Run: len(e.tasks)})
+	c.event(Event{Kind: EventIncarnationEnded, Endpoint: e.id, StartedMs: e.startedMs, Run: len(e.tasks)})
 	c.requeueAll(e, "incarnation ended")
 	c.forgetEndpoint(e)
 }
--- a/internal/executor/world_test.go
+++ b/internal/executor/world_test.go
@@ -248,7 +248,7 @@
 	c.Tick(w.now)
 	c.Decide(w.now)
 	for _, e := range c.TakeEvents() {
-		if e.Task != "" || e.Kind == executor.EventGone {
+		if e.Task != "" || e.Kind == executor.EventIncarnationEnded {
 			w.note(string(e.Kind)+" ("+e.Reason+")", e.Task, e.Endpoint, e.Run, o.epoch, 0)
 		}
 	}
