--- a/internal/shards/calls.go
+++ b/internal/shards/calls.go
@@ -64,8 +64,8 @@
 
 // VacateItem requests that one endpoint be drained.
 type VacateItem struct {
-	Endpoint string `cbor:"1,keyasint"`
-	Hurry    bool   `cbor:"2,keyasint,omitempty"`
+	Endpoint  string `cbor:"1,keyasint"`
+	StopTasks bool   `cbor:"2,keyasint,omitempty"`
 	// Ended reports that the incarnation is known to have ended.
 	Ended bool `cbor:"3,keyasint,omitempty"`
 	// StartedMs identifies that incarnation; 0 if unknown.
@@ -301,7 +301,7 @@
 func (c *Calls) Clear(ctx context.Context, pool string, request fleetops.ClearCall) fleetops.ClearAnswer {
 	in := VacateCall{Pool: pool, IncomingCapacity: request.IncomingCapacity, Due: request.Due, Shares: request.Shares}
 	for _, item := range request.Clears {
-		in.Items = append(in.Items, VacateItem{Endpoint: item.Endpoint, Hurry: item.StopTasks, Ended: item.Ended, StartedMs: item.StartedMs})
+		in.Items = append(in.Items, VacateItem{Endpoint: item.Endpoint, StopTasks: item.StopTasks, Ended: item.Ended, StartedMs: item.StartedMs})
 	}
 	out := c.Vacate(ctx, in)
 	left := make(map[string]executor.Vacancy, len(out.Left))
--- a/internal/shards/runner_calls.go
+++ b/internal/shards/runner_calls.go
@@ -181,7 +181,7 @@
 			r.core.IncarnationEnded(executor.Incarnation{ID: item.Endpoint, StartedMs: item.StartedMs})
 			continue
 		}
-		if v, found := r.core.Vacate(now, item.Endpoint, item.Hurry); found {
+		if v, found := r.core.Vacate(now, item.Endpoint, item.StopTasks); found {
 			result.Left[item.Endpoint], result.Started[item.Endpoint] = v.Left, v.StartedMs
 			needsProof = needsProof || v.Left == 0
 		}
