--- a/internal/shards/append.go
+++ b/internal/shards/append.go
@@ -92,9 +92,9 @@
 	}
 }
 
-// appendHandover appends the last record of an owner that gives its pool up in an orderly
-// way, once the batches in flight are stored. No order is sent after that; the successor
-// relies on it. Without this record the successor only waits for longer.
+// appendHandover appends the last record of an owner that hands its pool over as it shuts down, once
+// the batches in flight are stored. The successor relies on no order being sent after that. Without
+// this record the successor only waits longer.
 func (r *Runner) appendHandover() {
 	ctx, cancel := context.WithTimeout(r.appendCtx, handoverTimeout)
 	defer cancel()
--- a/internal/shards/calls.go
+++ b/internal/shards/calls.go
@@ -27,11 +27,11 @@
 )
 
 const (
-	// attemptTimeout bounds one attempt at a call. An owner that does not answer for longer
-	// has ended or is unreachable, even while the store is slow.
+	// attemptTimeout bounds one attempt at a call. It exceeds the time that an owner takes while
+	// the store is slow, so one that does not answer within it has ended or is unreachable.
 	attemptTimeout = 700 * time.Millisecond
-	// callTimeout bounds all attempts at a call: a member counts as gone after memberTTL, and
-	// its successor answers shortly after.
+	// callTimeout bounds all attempts at a call: a member that ended loses its duties after
+	// memberTTL, and its successor answers shortly after.
 	callTimeout = 1800 * time.Millisecond
 	// ownerChangeWait is how long a call waits for a pool that has no owner. An orderly change
 	// of owner takes far less, also while the store loses answers; a pool without an owner for
@@ -62,23 +62,24 @@
 	Queue string `cbor:"2,keyasint"`
 }
 
-// VacateItem requests that one endpoint be drained.
+// VacateItem requests that one endpoint be vacated, or reports that its incarnation has ended.
 type VacateItem struct {
-	Endpoint  string `cbor:"1,keyasint"`
-	StopTasks bool   `cbor:"2,keyasint,omitempty"`
+	Endpoint string `cbor:"1,keyasint"`
+	// StopTasks is set if the tasks left on the endpoint must be stopped.
+	StopTasks bool `cbor:"2,keyasint,omitempty"`
 	// Ended reports that the incarnation is known to have ended.
 	Ended bool `cbor:"3,keyasint,omitempty"`
 	// StartedMs identifies that incarnation; 0 if unknown.
 	StartedMs int64 `cbor:"4,keyasint,omitempty"`
 }
 
-// VacateCall requests that a pool's owner drain endpoints and report the pool's state.
+// VacateCall requests that a pool's owner vacate endpoints and report the pool's state.
 type VacateCall struct {
 	Pool  string       `cbor:"1,keyasint"`
 	Items []VacateItem `cbor:"2,keyasint,omitempty"`
 	// IncomingCapacity is the CPU capacity on its way to the pool, or available to it.
 	IncomingCapacity []executor.IncomingCapacity `cbor:"3,keyasint,omitempty"`
-	// Due are endpoints that will have to be drained soon.
+	// Due are endpoints that will have to be vacated soon.
 	Due []string `cbor:"4,keyasint,omitempty"`
 	// Shares are the pool's shares of client accounts' limits.
 	Shares quota.Ask `cbor:"5,keyasint,omitempty"`
@@ -215,7 +216,7 @@
 //
 // Load: nodes are restarted in turn, and the pools of each get another owner within a
 // moment. A caller that is rejected meanwhile retries a second later, when its job can no
-// longer end in time; one whose outcome is unknown asks again in vain.
+// longer end on time; one whose outcome is unknown asks again in vain.
 func (c *Calls) call(ctx context.Context, pool, kind string, local func(context.Context) Result, request any) Result {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -278,7 +279,7 @@
 	return c.call(ctx, in.Pool, kindPending, func(ctx context.Context) Result { return c.Manager.localPending(ctx, in) }, in)
 }
 
-// Vacate requests that a pool's owner drain endpoints. Owned is false if no owner
+// Vacate requests that a pool's owner vacate endpoints. Owned is false if no owner
 // answered.
 func (c *Calls) Vacate(ctx context.Context, in VacateCall) VacateResult {
 	ctx, cancel := context.WithTimeout(ctx, attemptTimeout)
@@ -297,7 +298,7 @@
 	return out
 }
 
-// Clear requests that a pool's owner drain endpoints, for the duty that manages instances.
+// Clear implements fleetops.Pools by Vacate.
 func (c *Calls) Clear(ctx context.Context, pool string, request fleetops.ClearCall) fleetops.ClearAnswer {
 	in := VacateCall{Pool: pool, IncomingCapacity: request.IncomingCapacity, Due: request.Due, Shares: request.Shares}
 	for _, item := range request.Clears {
--- a/internal/shards/distribute.go
+++ b/internal/shards/distribute.go
@@ -17,8 +17,8 @@
 //
 // Load: two of many nodes are restarted each second. Distributed by rank alone, a duty moves
 // back to a node that has just joined, and the bound on each node's share moves other duties
-// in turn between nodes that were not restarted. Each move pauses its pool and loses the
-// record of which endpoint was reserved for which long-running task.
+// in turn between nodes that were not restarted. Each move pauses its pool, and the
+// reservations of endpoints for long-running tasks are lost.
 func distribute(pools []string, members []member, holders map[string]holder) map[string]Owner {
 	names := append([]string{fleetDuty}, pools...)
 	owners := map[string]Owner{}
@@ -63,8 +63,8 @@
 // splitRestarted returns the CPU shares of the members that were restarted after the others
 // had started, and those of the others.
 //
-// Load: all nodes are restarted in turn. A duty that goes to a node whose restart is still to
-// come moves again seconds later; restarted nodes stay.
+// Load: all nodes are restarted in turn. A duty that goes to a node that is yet to be
+// restarted moves again seconds later; restarted nodes stay.
 func splitRestarted(members []member) (restarted, others map[string]float64) {
 	restarted, others = map[string]float64{}, map[string]float64{}
 	oldest := int64(math.MaxInt64)
@@ -82,8 +82,8 @@
 }
 
 // minProcessorShare is the share of the largest member's CPU that a member needs to get a
-// duty. Load: nodes differ by a factor of four, and renewals alone keep a small node busy
-// when a pool is at its peak, so that callers wait in vain for its answers.
+// duty. Load: nodes differ by a factor of four, and polls alone keep a small node busy when
+// a pool is at its peak, so that callers get no answers from it.
 const minProcessorShare = 0.6
 
 // eligible returns the members that may have duties.
--- a/internal/shards/group.go
+++ b/internal/shards/group.go
@@ -62,8 +62,8 @@
 }
 
 // join joins the group or renews the membership. A lost answer is requested again within a
-// fraction of memberTTL: a single attempt with a long timeout would keep the member silent
-// for longer than memberTTL, and the group would drop it.
+// fraction of memberTTL: a single attempt with a long timeout could last longer than
+// memberTTL, and the group would drop the member.
 func (m *Manager) join(ctx context.Context, generation int64) (platform.Assignment, error) {
 	ctx, cancel := context.WithTimeout(ctx, joinTimeout)
 	defer cancel()
--- a/internal/shards/manager.go
+++ b/internal/shards/manager.go
@@ -24,8 +24,8 @@
 	// that holds a partition is a member.
 	group      = "owners"
 	groupTopic = "owners"
-	// memberTTL is how long a silent member keeps its partitions; it decides how long a
-	// pool has no owner after its owner was killed.
+	// memberTTL is how long an unresponsive member keeps its partitions; it decides how long
+	// a pool has no owner after its owner was killed.
 	memberTTL = 1000 * time.Millisecond
 	// joinInterval allows for two lost joins within memberTTL.
 	joinInterval = 250 * time.Millisecond
@@ -44,8 +44,8 @@
 	// claimRetryDelay is the delay between attempts at a claim: one that was overtaken by
 	// the predecessor's last batch succeeds as soon as it is repeated.
 	claimRetryDelay = 50 * time.Millisecond
-	// joinTimeout bounds the attempts at one join, so that a member without an answer still
-	// attends to its duties.
+	// joinTimeout bounds the attempts at one join, so that a member that gets no answer still
+	// starts and ends duties.
 	joinTimeout = 700 * time.Millisecond
 	// memberSeparator separates the parts of a member's name.
 	memberSeparator = "|"
@@ -200,8 +200,7 @@
 
 // startAndStopDuties starts and ends duties to match the current distribution.
 //
-// A claim in flight continues unless another member is known to hold the duty.
-// Load: nodes are restarted in turn while answers are lost; a restarted node ranks first for
+// A claim in flight continues unless another member is known to hold the duty. Load: nodes are restarted in turn while answers are lost; a restarted node ranks first for
 // a free duty. A claim that is abandoned half-way leaves its record behind, which the next
 // claimant has to find, and the pool has no owner for a second.
 func (m *Manager) startAndStopDuties(ctx context.Context) {
@@ -288,7 +287,7 @@
 }
 
 // fleetRecords returns the records of the duty that manages instances, and retries until the
-// store answers. A new owner that did not know which endpoints are about to be drained, or
+// store answers. A new owner that did not know which endpoints are about to be vacated, or
 // have ended recently, would place tasks on an instance that its predecessor has reported
 // empty, or that is gone; one that did not know the pool's shares would start tasks within
 // limits that its predecessor has released.
--- a/internal/shards/orders.go
+++ b/internal/shards/orders.go
@@ -68,22 +68,22 @@
 	return executor.OrderInvalid
 }
 
-// renew sends a lease renewal to an endpoint in the background and reports the runs that the
-// endpoint listed to the core.
-func (r *Runner) renew(l executor.Poll) {
-	to := platform.EndpointRef{ID: l.Endpoint, Addr: l.Addr}
+// poll sends a poll to an endpoint in the background and passes the runs that the endpoint lists to
+// the core.
+func (r *Runner) poll(p executor.Poll) {
+	to := platform.EndpointRef{ID: p.Endpoint, Addr: p.Addr}
 	go func() {
-		look, err := r.endpoints.Renew(r.ctx, to, platform.Renewal{Fence: l.Fence, Acknowledged: l.Acknowledged,
-			LeaseUntil: l.LeaseUntil, Wait: l.Wait})
-		result := renewalResultOf(err)
+		listing, err := r.endpoints.Renew(r.ctx, to, platform.Renewal{Fence: p.Fence, Acknowledged: p.Acknowledged,
+			LeaseUntil: p.LeaseUntil, Wait: p.Wait})
+		result := pollResultOf(err)
 		if err != nil && r.ctx.Err() == nil {
-			r.log.Info("renewal failed", "epoch", r.epoch, "instance", l.Endpoint, "error", err.Error())
+			r.log.Info("poll failed", "epoch", r.epoch, "instance", p.Endpoint, "error", err.Error())
 		}
-		r.post(func(now time.Duration) { r.core.PollDone(now, l, result, toListed(look)) })
+		r.post(func(now time.Duration) { r.core.PollDone(now, p, result, toListed(listing)) })
 	}()
 }
 
-func renewalResultOf(err error) executor.PollResult {
+func pollResultOf(err error) executor.PollResult {
 	if err == nil {
 		return executor.PollAnswered
 	}
--- a/internal/shards/runner.go
+++ b/internal/shards/runner.go
@@ -2,7 +2,15 @@
 // and carries out what their executors decide. Which process should own a pool follows from
 // the members of a group in the store and from the duties' last claims; that a process still
 // owns a pool is proved only by appends under its epoch. The host runs the Manager, the
-// ingress calls pools through Calls, and fleetops has endpoints drained through it.
+// ingress calls pools through Calls, and fleetops has endpoints vacated through it.
+//
+// Terms:
+//   - A duty is the ownership of one pool, or the management of instances (the fleet duty, package
+//     fleetops).
+//   - The owner of a duty is the member that it is assigned to; its holder is the member that
+//     claimed it last. The two differ until the owner has claimed it.
+//   - Proven means that an append under the epoch has succeeded, so no newer epoch had been claimed
+//     when the append was sent.
 package shards
 
 import (
@@ -40,7 +48,7 @@
 	storeStalledAfter  = 500 * time.Millisecond
 	appendStalledAfter = 1200 * time.Millisecond
 	// handoverTimeout bounds the time that a runner spends on its last records when it gives
-	// its pool up: some calls of a slow store.
+	// its pool up: as long as some calls of a slow store take.
 	handoverTimeout = 900 * time.Millisecond
 	// inboxSize bounds the messages queued for the control goroutine.
 	inboxSize = 4096
@@ -120,7 +128,8 @@
 	return r.core.Restore(fleetops.RecordsOf(records), r.now())
 }
 
-// vacateLeaving keeps new tasks off endpoints that are about to leave the pool.
+// vacateLeaving marks the endpoints whose instances are about to be moved or maintained, so that no
+// tasks are placed on them.
 func (r *Runner) vacateLeaving(endpoints []string) {
 	for _, id := range endpoints {
 		r.core.Vacate(r.now(), id, false)
@@ -184,7 +193,7 @@
 	return idleTick
 }
 
-// runRound makes decisions and sends what they require. No order or renewal is sent while
+// runRound makes decisions and sends what they require. No order or poll is sent while
 // the last proof of the epoch is too old: a successor relies on that.
 func (r *Runner) runRound(now time.Duration) {
 	r.core.SetWallClock(r.wallClock().UnixMilli())
@@ -196,8 +205,8 @@
 		return
 	}
 	if r.hasFreshProof() {
-		for _, l := range r.core.DuePolls(now) {
-			r.renew(l)
+		for _, p := range r.core.DuePolls(now) {
+			r.poll(p)
 		}
 		for _, o := range r.core.TakeStops() {
 			r.send(o, 0)
--- a/internal/shards/runner_calls.go
+++ b/internal/shards/runner_calls.go
@@ -141,7 +141,7 @@
 	})
 }
 
-// vacate drains endpoints. It reports an endpoint as empty, or a lowered share of an
+// vacate vacates endpoints. It reports an endpoint as empty, or a lowered share of an
 // account's limit as observed, only after an append that was sent later has succeeded: an
 // owner that was displaced without noticing would otherwise report on tasks that its
 // successor runs.
--- a/internal/shards/runner_test.go
+++ b/internal/shards/runner_test.go
@@ -94,11 +94,11 @@
 func (e *fakeEndpoint) Renew(context.Context, platform.EndpointRef, platform.Renewal) (platform.RenewalResponse, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	look := platform.RenewalResponse{EndpointAnswer: platform.EndpointAnswer{Clock: time.Second}}
+	response := platform.RenewalResponse{EndpointAnswer: platform.EndpointAnswer{Clock: time.Second}}
 	for task, run := range e.started {
-		look.Running = append(look.Running, platform.TaskRun{Task: task, Run: run})
+		response.Running = append(response.Running, platform.TaskRun{Task: task, Run: run})
 	}
-	return look, nil
+	return response, nil
 }
 
 func (e *fakeEndpoint) count() int {
