--- a/internal/fleetops/balance.go
+++ b/internal/fleetops/balance.go
@@ -13,8 +13,8 @@
 	pool string
 	// have includes instances on their way to the pool.
 	have, need float64
-	// lastingNeed is the part of need that lasting tasks require.
-	lastingNeed float64
+	// longRunningNeed is the part of need that long-running tasks require.
+	longRunningNeed float64
 	// futureNeed is what the pool needs by the time an instance that it gives away could be back.
 	futureNeed float64
 }
@@ -30,8 +30,10 @@
 	return b.have - b.futureNeed
 }
 
-// lacksLasting reports whether the pool has too little capacity for its lasting tasks.
-func (b balance) lacksLasting(unit float64) bool { return b.lastingNeed-b.have > minShortfall*unit }
+// lacksLongRunning reports whether the pool has too little capacity for its long-running tasks.
+func (b balance) lacksLongRunning(unit float64) bool {
+	return b.longRunningNeed-b.have > minShortfall*unit
+}
 
 // meanInstanceCPU is the mean size of an instance, in milli-cores.
 func (s *State) meanInstanceCPU() float64 {
@@ -64,19 +66,19 @@
 	}
 	running := float64(sum.RunningCPUMilli - sum.LongRunningCPUMilli)
 	drain := sum.ReadyCoreMs * 1000 / float64(backlogDrainTime.Milliseconds())
-	lastingNeed := float64(sum.LongRunningCPUMilli)
-	// Lasting tasks that must run apart need endpoints of their own, of whatever size, and one
-	// more to move to when one of these leaves.
+	longRunningNeed := float64(sum.LongRunningCPUMilli)
+	// Long-running tasks that must run apart need endpoints of their own, of whatever size, and one
+	// more to move to when one of these is vacated.
 	if sum.MinEndpoints > 0 {
-		lastingNeed = max(lastingNeed, float64(sum.MinEndpoints+1)*unit)
+		longRunningNeed = max(longRunningNeed, float64(sum.MinEndpoints+1)*unit)
 	}
 	if sum.Starved > 0 {
-		lastingNeed = max(lastingNeed, float64(sum.CapacityMilli)+float64(min(sum.Starved, maxStarvedSteps))*unit)
+		longRunningNeed = max(longRunningNeed, float64(sum.CapacityMilli)+float64(min(sum.Starved, maxStarvedSteps))*unit)
 	}
 	needFor := func(work float64) float64 {
-		return max(lastingNeed, float64(sum.LongRunningCPUMilli)+max(minInstances*unit, headroom*(work+drain)))
+		return max(longRunningNeed, float64(sum.LongRunningCPUMilli)+max(minInstances*unit, headroom*(work+drain)))
 	}
-	b.lastingNeed = lastingNeed
+	b.longRunningNeed = longRunningNeed
 	b.need = needFor(max(rate, running))
 	b.futureNeed = needFor(max(rate, runningRetained*running))
 }
@@ -88,7 +90,7 @@
 		v := s.pools[b.pool]
 		line := Balance{Pool: b.pool, HaveCores: b.have / 1000, NeedCores: b.need / 1000,
 			ReadyCoreS: v.Summary.ReadyCoreMs / 1000, RunningCores: float64(v.Summary.RunningCPUMilli) / 1000,
-			LastingCores: float64(v.Summary.LongRunningCPUMilli) / 1000, Endpoints: v.Summary.Endpoints}
+			LongRunningCores: float64(v.Summary.LongRunningCPUMilli) / 1000, Endpoints: v.Summary.Endpoints}
 		if d := s.demand[b.pool]; d != nil {
 			line.OfferedCores = d.rate / 1000
 		}
@@ -99,8 +101,8 @@
 
 // Balance is a pool's capacity against its need.
 type Balance struct {
-	Pool                                   string
-	HaveCores, NeedCores, OfferedCores     float64
-	ReadyCoreS, RunningCores, LastingCores float64
-	Endpoints                              int
+	Pool                                       string
+	HaveCores, NeedCores, OfferedCores         float64
+	ReadyCoreS, RunningCores, LongRunningCores float64
+	Endpoints                                  int
 }
--- a/internal/fleetops/decide.go
+++ b/internal/fleetops/decide.go
@@ -6,17 +6,17 @@
 )
 
 const (
-	// clearMaxAge is how long an owner's report that an endpoint is clear stays valid; it is below
-	// the time for which the owner keeps the endpoint clear.
-	clearMaxAge = 1200 * time.Millisecond
+	// vacancyMaxAge is how long an owner's report that an endpoint is empty stays valid; it is below
+	// the time for which the owner places no tasks there.
+	vacancyMaxAge = 1200 * time.Millisecond
 	// orderRetryAfter is how long the platform's list has to show an order's effect before the
 	// order is sent again.
 	orderRetryAfter = 900 * time.Millisecond
 	// stopAfterShare is the share of a wave's time in which tasks may end by themselves; after it
 	// the tasks left on an instance are stopped.
 	stopAfterShare = 0.6
-	// maxClearWait is the longest time that one instance waits for its tasks to end.
-	maxClearWait = 4 * time.Second
+	// maxVacateWait is the longest time that one instance waits for its tasks to end.
+	maxVacateWait = 4 * time.Second
 )
 
 // Order is an order to the platform.
@@ -24,7 +24,7 @@
 	Operation Operation
 }
 
-// Clear asks a pool's owner to clear an endpoint, or reports that its incarnation has ended.
+// Clear asks a pool's owner to vacate an endpoint, or reports that its incarnation has ended.
 type Clear struct {
 	Instance, Pool, Endpoint string
 	// StartedMs identifies the endpoint's incarnation, 0 if unknown.
@@ -67,16 +67,16 @@
 		s.advanceWave(now, wallMs, s.waves[n], &a)
 	}
 	for _, name := range s.sortedOps() {
-		s.clearAndOrder(now, wallMs, s.ops[name], &a)
+		s.vacateAndOrder(now, wallMs, s.ops[name], &a)
 	}
 	s.reportEndedIncarnations(&a)
 	return a
 }
 
 // reportEndedIncarnations reports the incarnations that operations have ended to the pools'
-// owners. Service discovery lists such an incarnation for longer than its owner was asked to keep
-// it clear: a task placed there waits for a lease that nobody renews to expire, and its job is
-// three to four seconds late.
+// owners. Service discovery lists such an incarnation for longer than the request to vacate it is
+// valid: a task placed there waits until a lease that nobody renews has expired, and its job is three
+// to four seconds late.
 func (s *State) reportEndedIncarnations(a *Actions) {
 	for name, op := range s.ops {
 		if op.Phase == PhaseEnded && op.Ended && !op.endConfirmed && op.Endpoint != "" && s.pools[op.From] != nil {
@@ -118,7 +118,7 @@
 	case op.acceptedAt > 0 && s.listedAt > op.acceptedAt && (i.Endpoint != op.Endpoint || s.listedAt > op.acceptedAt+listSettleTime):
 		s.completeOperation(now, op, i, a)
 	case op.acceptedAt == 0 && i.Endpoint != op.Endpoint:
-		op.Endpoint, op.StartedMs, op.cleared = i.Endpoint, 0, false
+		op.Endpoint, op.StartedMs, op.vacated = i.Endpoint, 0, false
 		s.dirtyOps[op.Instance] = true
 	}
 }
@@ -132,9 +132,9 @@
 	a.Events = append(a.Events, Event{What: "operation completed", Instance: op.Instance, Reason: op.Kind.String(), Wave: op.Wave, Pool: i.Pool})
 }
 
-// clearAndOrder asks the pool's owner to clear an operation's endpoint, and sends the order once
-// it is clear.
-func (s *State) clearAndOrder(now time.Duration, wallMs int64, op *Operation, a *Actions) {
+// vacateAndOrder asks the pool's owner to vacate an operation's endpoint, and sends the order once
+// no task is left on it.
+func (s *State) vacateAndOrder(now time.Duration, wallMs int64, op *Operation, a *Actions) {
 	i, listed := s.instances[op.Instance]
 	if !listed || now < s.noOrdersUntil[op.Instance] {
 		return
@@ -146,15 +146,15 @@
 		a.Clears = append(a.Clears, Clear{Instance: op.Instance, Pool: op.From, Endpoint: op.Endpoint, StartedMs: op.StartedMs,
 			StopTasks: s.mustStopTasks(now, wallMs, op), Ended: s.incarnationEnded(op, i)})
 	}
-	clear := switchedOff || op.cleared && now-op.clearReportedAt < clearMaxAge
-	// The cleared endpoint may have ended since, and a new incarnation may run on the instance:
+	empty := switchedOff || op.vacated && now-op.vacancyReportedAt < vacancyMaxAge
+	// The vacated endpoint may have ended since, and a new incarnation may run on the instance:
 	// only a list requested after the owner's report shows that the endpoint is still the
 	// instance's.
-	if clear && !switchedOff && s.listedAt < op.clearSince {
+	if empty && !switchedOff && s.listedAt < op.vacatedSince {
 		s.needsList = true
 		return
 	}
-	if !clear || op.orderInFlight || op.orderedAt > 0 && now-op.orderedAt < orderRetryAfter || op.acceptedAt > 0 && !i.Up {
+	if !empty || op.orderInFlight || op.orderedAt > 0 && now-op.orderedAt < orderRetryAfter || op.acceptedAt > 0 && !i.Up {
 		return
 	}
 	if op.acceptedAt > 0 && s.listedAt < op.acceptedAt+orderRetryAfter {
@@ -182,7 +182,7 @@
 	if op.Kind != KindMaintain || w == nil {
 		return false
 	}
-	if now-op.beganAt > maxClearWait {
+	if now-op.beganAt > maxVacateWait {
 		return true
 	}
 	return wallMs-w.SeenMs > int64(stopAfterShare*float64(w.within.Milliseconds()))
--- a/internal/fleetops/moves.go
+++ b/internal/fleetops/moves.go
@@ -46,10 +46,10 @@
 	maxViewAge = 1500 * time.Millisecond
 	// idleTimeout is how long a pool must have a surplus before instances are switched off.
 	idleTimeout = 2500 * time.Millisecond
-	// minInstances is how many instances a pool keeps beyond the capacity of its lasting tasks, so
+	// minInstances is how many instances a pool keeps beyond the capacity of its long-running tasks, so
 	// that the first jobs of a burst find capacity.
 	minInstances = 2
-	// maxStarvedSteps limits the instances requested at once for lasting tasks that find no
+	// maxStarvedSteps limits the instances requested at once for long-running tasks that find no
 	// endpoint.
 	maxStarvedSteps = 3
 	// minShortfall is the share of an instance that a pool must lack before one is moved to it.
@@ -91,13 +91,13 @@
 	}
 }
 
-// sortByNeed puts pools first whose lasting tasks lack instances, then those with the largest
+// sortByNeed puts pools first whose long-running tasks lack instances, then those with the largest
 // shortfall. Load: a bursting pool asks for more than the whole fleet has. Served first, it takes
-// each instance that becomes available, and a lasting task of another pool that has lost its
+// each instance that becomes available, and a long-running task of another pool that has lost its
 // endpoint is down for the whole burst.
 func sortByNeed(balances []balance, unit float64) {
 	slices.SortFunc(balances, func(x, y balance) int {
-		if a, b := x.lacksLasting(unit), y.lacksLasting(unit); a != b {
+		if a, b := x.lacksLongRunning(unit), y.lacksLongRunning(unit); a != b {
 			if a {
 				return -1
 			}
@@ -112,7 +112,7 @@
 func (s *State) redirect(pool string) *Operation {
 	for _, name := range s.sortedOps() {
 		op := s.ops[name]
-		if op.Kind != KindMove || op.To != s.spare || op.Phase != PhaseClearing || op.From == pool || s.rejectedKinds[kindInPool{s.instances[name].Kind, pool}] {
+		if op.Kind != KindMove || op.To != s.spare || op.Phase != PhaseVacating || op.From == pool || s.rejectedKinds[kindInPool{s.instances[name].Kind, pool}] {
 			continue
 		}
 		op.To = pool
@@ -143,11 +143,11 @@
 	if index := largestDonor(balances, to.pool, func(b balance) float64 { return b.availableFor(to, unit) }, unit); index >= 0 {
 		return s.leastLoaded(now, balances[index].pool, to.pool, maxDonorLoad*unit), index
 	}
-	if !to.lacksLasting(unit) {
+	if !to.lacksLongRunning(unit) {
 		return nil, -1
 	}
-	// No pool has a surplus: lasting tasks have priority over short ones.
-	if index := largestDonor(balances, to.pool, func(b balance) float64 { return b.have - b.lastingNeed }, unit); index >= 0 {
+	// No pool has a surplus: long-running tasks have priority over short ones.
+	if index := largestDonor(balances, to.pool, func(b balance) float64 { return b.have - b.longRunningNeed }, unit); index >= 0 {
 		return s.leastLoaded(now, balances[index].pool, to.pool, unit), index
 	}
 	return nil, -1
@@ -173,23 +173,23 @@
 	return i.Up && now >= s.noOrdersUntil[i.Name] && !s.reserved[i.Name] && s.activeOperation(i.Name) == nil && !s.rejectedKinds[kindInPool{i.Kind, to}]
 }
 
-// maxDonorLoad is the share of an instance that may be in use when it is chosen to leave: its
+// maxDonorLoad is the share of an instance that may be in use when it is chosen to move: its
 // tasks then end within about a second, their usual duration.
 const maxDonorLoad = 0.4
 
 // leastLoaded returns the instance of a pool with the least work to wait for, with at most maxUsed
-// milli-cores in use and without lasting tasks.
+// milli-cores in use and without long-running tasks.
 func (s *State) leastLoaded(now time.Duration, pool, to string, maxUsed float64) *Instance {
-	hosts := s.pools[pool].hosts
+	loads := s.pools[pool].endpointLoads
 	var best *Instance
 	leastUsed := maxUsed
 	for _, name := range s.instanceNames {
 		i := s.instances[name]
-		h, known := hosts[i.Endpoint]
-		if i.Pool != pool || !known || h.HasLongRunning || !s.movable(now, i, to) {
+		load, known := loads[i.Endpoint]
+		if i.Pool != pool || !known || load.HasLongRunning || !s.movable(now, i, to) {
 			continue
 		}
-		if used := float64(h.UsedMilli); best == nil && used <= leastUsed || best != nil && used < leastUsed {
+		if used := float64(load.UsedMilli); best == nil && used <= leastUsed || best != nil && used < leastUsed {
 			best, leastUsed = &i, used
 		}
 	}
--- a/internal/fleetops/records.go
+++ b/internal/fleetops/records.go
@@ -141,7 +141,7 @@
 // holder, while a queue's burst passed.
 func (s *State) restoreOperation(op *Operation, clock *clockRecord, now time.Duration) {
 	switch {
-	case op.Phase == PhaseClearing || op.Holder == s.limits.Holder:
+	case op.Phase == PhaseVacating || op.Holder == s.limits.Holder:
 	case op.Phase == PhaseEnded && clock != nil:
 		s.noOrdersUntil[op.Instance] = now + max(0, s.limits.HolderTTL-clock.minOrderAge(op)) + releaseMargin
 	default:
@@ -159,7 +159,7 @@
 const lateOrderWindow = maxProofAge + time.Second
 
 // OperationsOf reads, from the duty's records, the endpoints of a pool that operations are about
-// to clear and the incarnations that operations have recently ended.
+// to end and the incarnations that operations have recently ended.
 func OperationsOf(records []executor.Record, pool string) (leaving []string, ended []executor.Incarnation) {
 	for _, r := range records {
 		var op Operation
--- a/internal/fleetops/run.go
+++ b/internal/fleetops/run.go
@@ -105,12 +105,12 @@
 	balancesLoggedAt time.Duration
 	inbox            chan func(now time.Duration)
 	listInFlight     bool
-	clearInFlight    map[string]bool
+	vacateInFlight   map[string]bool
 }
 
 // Run claims the duty and performs it until ctx ends or a newer epoch appears.
 func Run(ctx context.Context, opts Options) {
-	r := &Runner{opts: opts, inbox: make(chan func(time.Duration), 1024), clearInFlight: map[string]bool{}}
+	r := &Runner{opts: opts, inbox: make(chan func(time.Duration), 1024), vacateInFlight: map[string]bool{}}
 	if !r.claim(ctx) {
 		return
 	}
@@ -255,7 +255,7 @@
 	for _, b := range r.state.Balances(now) {
 		r.opts.Logger.Info("pool balance", "epoch", r.tenure.Epoch, "pool", b.Pool, "endpoints", b.Endpoints,
 			"have_cores", round1(b.HaveCores), "need_cores", round1(b.NeedCores), "offered_cores", round1(b.OfferedCores),
-			"running_cores", round1(b.RunningCores), "lasting_cores", round1(b.LastingCores), "ready_core_s", round1(b.ReadyCoreS))
+			"running_cores", round1(b.RunningCores), "lasting_cores", round1(b.LongRunningCores), "ready_core_s", round1(b.ReadyCoreS))
 	}
 }
 
@@ -326,7 +326,7 @@
 	}
 }
 
-// callOwners sends each pool's owner the endpoints to clear and applies its summary.
+// callOwners sends each pool's owner the endpoints to vacate and applies its summary.
 func (r *Runner) callOwners(ctx context.Context, pools []string, actions Actions) {
 	byPool := map[string][]Clear{}
 	for _, c := range actions.Clears {
@@ -334,17 +334,17 @@
 	}
 	incoming := r.state.IncomingCapacity(planlease.Boottime(), pools)
 	for _, pool := range pools {
-		if r.clearInFlight[pool] {
+		if r.vacateInFlight[pool] {
 			continue
 		}
-		r.clearInFlight[pool] = true
+		r.vacateInFlight[pool] = true
 		items := byPool[pool]
 		call := ClearCall{Clears: items, Due: actions.Due[pool], IncomingCapacity: incoming[pool], Shares: r.shares.Ask(pool)}
 		go func() {
 			asked := planlease.Boottime()
 			answer := r.opts.Pools.Clear(ctx, pool, call)
 			r.enqueue(ctx, func(now time.Duration) {
-				r.clearInFlight[pool] = false
+				r.vacateInFlight[pool] = false
 				if !answer.Owned {
 					return
 				}
--- a/internal/fleetops/state.go
+++ b/internal/fleetops/state.go
@@ -1,19 +1,20 @@
 // Package fleetops decides which instances move between pools and which are maintained, so that
 // pools get the capacity they need and maintenance waves complete in time. Its input is the
-// platform's instance list, the configured pools and waves, the summaries and clear reports of the
+// platform's instance list, the configured pools and waves, the summaries and vacancy reports of the
 // pools' owners, and the records of the previous holder of the duty. The shard manager calls Run,
 // by way of the host, in the process that is to hold the fleet duty (a role claimed under an
 // epoch), and reads the duty's records with OperationsOf and SharesOf when it starts a pool.
 //
 // State and its decisions do no I/O; Runner reads the instance list, asks the pools' owners to
-// clear endpoints, and sends the platform its orders.
+// vacate endpoints, and sends the platform its orders.
 //
-// Contract: an operation is durable before its endpoint is cleared, and the platform gets the
+// Contract: an operation is durable before its endpoint is vacated, and the platform gets the
 // order only after the endpoint's owner has reported that no task is left on it. A successor
 // continues its predecessor's operations.
 //
-// Terms: a lasting task is one that does not end by itself; the spare pool holds the instances that
-// are switched off.
+// Terms: to vacate an endpoint is to place no more tasks on it until none is left. A long-running
+// task is one that does not end by itself. The spare pool holds the instances that are switched off.
+// The holder is the process that has claimed the fleet duty; an owner is that of a pool.
 package fleetops
 
 import (
@@ -40,8 +41,8 @@
 type Phase uint8
 
 const (
-	// PhaseClearing: the endpoint's owner is being asked to clear it.
-	PhaseClearing Phase = iota
+	// PhaseVacating: the endpoint's owner is being asked to vacate it.
+	PhaseVacating Phase = iota
 	// PhaseOrdered: the platform has received the order, or may have.
 	PhaseOrdered
 	// PhaseEnded: the operation has ended. Its record is kept for as long as the platform remembers
@@ -75,8 +76,8 @@
 	// endConfirmed is set when the pool's owner has received the incarnation's end.
 	endConfirmed bool
 	beganAt      time.Duration
-	// hadLasting is set if lasting tasks were on the instance when the operation began.
-	hadLasting bool
+	// hadLongRunning is set if long-running tasks were on the instance when the operation began.
+	hadLongRunning bool
 	// acceptedAt is when the platform accepted the order.
 	acceptedAt    time.Duration
 	orderInFlight bool
@@ -85,12 +86,12 @@
 	endedAt time.Duration
 	// durableAt is when the operation's record was confirmed durable.
 	durableAt time.Duration
-	// clearReportedAt is when the owner last reported how many tasks are left.
-	clearReportedAt time.Duration
-	// clearSince is when the owner first reported that no task is left, with no report to the
+	// vacancyReportedAt is when the owner last reported how many tasks are left.
+	vacancyReportedAt time.Duration
+	// vacatedSince is when the owner first reported that no task is left, with no report to the
 	// contrary since.
-	clearSince time.Duration
-	cleared    bool
+	vacatedSince time.Duration
+	vacated      bool
 }
 
 // Wave is a maintenance wave and its progress.
@@ -125,8 +126,8 @@
 type PoolView struct {
 	Summary executor.Summary
 	At      time.Duration
-	// hosts are the host loads of Summary by endpoint.
-	hosts map[string]executor.EndpointLoad
+	// endpointLoads are those of Summary by endpoint.
+	endpointLoads map[string]executor.EndpointLoad
 }
 
 // State is what the fleet duty has observed and decided. It is not safe for concurrent use.
@@ -140,7 +141,7 @@
 	instanceNames []string
 	// listedAt is when the instance list was requested.
 	listedAt time.Duration
-	// needsList is set if an order waits for a list requested after the owner's clear report.
+	// needsList is set if an order waits for a list requested after the owner's report that the endpoint is empty.
 	needsList bool
 	ops       map[string]*Operation
 	waves     map[int]*Wave
@@ -220,11 +221,11 @@
 
 // ObservePool applies a summary from a pool's owner.
 func (s *State) ObservePool(now time.Duration, pool string, sum executor.Summary) {
-	hosts := make(map[string]executor.EndpointLoad, len(sum.EndpointLoads))
-	for _, h := range sum.EndpointLoads {
-		hosts[h.Endpoint] = h
+	loads := make(map[string]executor.EndpointLoad, len(sum.EndpointLoads))
+	for _, l := range sum.EndpointLoads {
+		loads[l.Endpoint] = l
 	}
-	s.pools[pool] = &PoolView{Summary: sum, At: now, hosts: hosts}
+	s.pools[pool] = &PoolView{Summary: sum, At: now, endpointLoads: loads}
 	s.observeDemand(now, pool, sum)
 }
 
@@ -233,7 +234,7 @@
 //
 // The report counts only if the owner was confirmed after the operation became durable. An owner
 // displaced before that has not seen the operation, and its successor, which has not read the
-// record either, may place tasks on the endpoint that the report calls clear. A report on an
+// record either, may place tasks on the endpoint that the report calls empty. A report on an
 // incarnation that has ended says nothing about the next one.
 func (s *State) ObserveVacancy(now, proven time.Duration, instance, endpoint string, vacancy executor.Vacancy) {
 	op := s.ops[instance]
@@ -243,13 +244,13 @@
 	// Once the platform has accepted the order, a new incarnation under the same id may be the one
 	// that came up after it, and the order did not end that one.
 	if op.acceptedAt == 0 && vacancy.StartedMs != op.StartedMs {
-		op.StartedMs, op.cleared = vacancy.StartedMs, false
+		op.StartedMs, op.vacated = vacancy.StartedMs, false
 	}
-	if vacancy.Left == 0 && !op.cleared {
-		op.clearSince = now
+	if vacancy.Left == 0 && !op.vacated {
+		op.vacatedSince = now
 	}
-	op.cleared = vacancy.Left == 0
-	op.clearReportedAt = now
+	op.vacated = vacancy.Left == 0
+	op.vacancyReportedAt = now
 }
 
 func (s *State) begin(now time.Duration, op *Operation) {
@@ -262,7 +263,7 @@
 // dropExpired removes it.
 func (s *State) finish(now time.Duration, op *Operation) {
 	s.dirtyOps[op.Instance] = true
-	if op.Phase == PhaseClearing {
+	if op.Phase == PhaseVacating {
 		delete(s.ops, op.Instance)
 		return
 	}
--- a/internal/fleetops/waves.go
+++ b/internal/fleetops/waves.go
@@ -71,7 +71,7 @@
 }
 
 // paceShare is the part of a wave's time over which its instances are begun, evenly; the rest,
-// some five seconds, is for the last of them to clear and come back.
+// some five seconds, is for vacating the last of them and for their return.
 //
 // Load: a wave covers half of all instances while queues burst in rotation. If as many are begun
 // at once as the wave allows, whenever their own pool can spare them, a fifth of the fleet is away
@@ -80,55 +80,56 @@
 // requires.
 const paceShare = 0.7
 
-// maxLastingClears limits the instances with lasting tasks that are cleared at a time in one pool.
+// maxLongRunningVacates limits the instances with long-running tasks that are vacated at a time in
+// one pool.
 // Load: a step may be missing one or two of its tasks, and each takes two to three seconds to
-// restart elsewhere, so the instances of a pool are cleared one after the other however many are
+// restart elsewhere, so the instances of a pool are vacated one after the other however many are
 // begun; those still waiting are unavailable to short tasks. Begun when the wave starts, ahead of
 // its pace, they are done in time.
-const maxLastingClears = 3
+const maxLongRunningVacates = 3
 
 func (s *State) beginMaintenance(now time.Duration, w *Wave, due []Instance, inProgress, behind int, a *Actions) {
 	s.sortDue(due)
-	lasting := s.lastingClearsInProgress()
+	vacating := s.longRunningVacatesInProgress()
 	for n, i := range due {
 		s.reserved[i.Name] = n < behind
 	}
 	for _, i := range due {
-		hasLasting := s.hasLasting(i)
-		full := inProgress >= w.maxAtOnce || hasLasting && lasting[i.Pool] >= maxLastingClears
-		if full || behind <= 0 && !hasLasting && !s.canSpare(i) {
+		hasLongRunning := s.hasLongRunning(i)
+		full := inProgress >= w.maxAtOnce || hasLongRunning && vacating[i.Pool] >= maxLongRunningVacates
+		if full || behind <= 0 && !hasLongRunning && !s.canSpare(i) {
 			a.Due[i.Pool] = append(a.Due[i.Pool], i.Endpoint)
 			continue
 		}
 		inProgress++
 		behind--
-		if hasLasting {
-			lasting[i.Pool]++
+		if hasLongRunning {
+			vacating[i.Pool]++
 		}
 		if i.Pool != s.spare {
 			s.fleetSurplus -= float64(i.CPUMilli)
 		}
-		s.begin(now, &Operation{Instance: i.Name, Kind: KindMaintain, Wave: w.Number, From: i.Pool, Endpoint: i.Endpoint, hadLasting: hasLasting})
+		s.begin(now, &Operation{Instance: i.Name, Kind: KindMaintain, Wave: w.Number, From: i.Pool, Endpoint: i.Endpoint, hadLongRunning: hasLongRunning})
 		a.Events = append(a.Events, Event{What: "maintenance begun", Instance: i.Name, Reason: "wave", Wave: w.Number, Pool: i.Pool})
 	}
 }
 
-// lastingClearsInProgress counts, by pool, the instances whose lasting tasks are being moved
+// longRunningVacatesInProgress counts, by pool, the instances whose long-running tasks are being moved
 // elsewhere for a wave.
-func (s *State) lastingClearsInProgress() map[string]int {
+func (s *State) longRunningVacatesInProgress() map[string]int {
 	counts := map[string]int{}
 	for _, op := range s.ops {
-		if op.Kind == KindMaintain && op.Phase == PhaseClearing && op.hadLasting && !op.cleared {
+		if op.Kind == KindMaintain && op.Phase == PhaseVacating && op.hadLongRunning && !op.vacated {
 			counts[op.From]++
 		}
 	}
 	return counts
 }
 
-// hasLasting reports whether lasting tasks are on an instance, by its pool's last summary.
-func (s *State) hasLasting(i Instance) bool {
+// hasLongRunning reports whether long-running tasks are on an instance, by its pool's last summary.
+func (s *State) hasLongRunning(i Instance) bool {
 	view := s.pools[i.Pool]
-	return view != nil && view.hosts[i.Endpoint].HasLongRunning
+	return view != nil && view.endpointLoads[i.Endpoint].HasLongRunning
 }
 
 // canSpare reports whether the fleet as a whole can do without an instance, and its own pool has a
@@ -145,35 +146,35 @@
 	a.Announce = append(a.Announce, Announcement{Wave: w.Number, Completed: w.Completed})
 }
 
-// sortDue puts the instances first that cost least to clear: switched off, then idle, then those
-// of the least loaded pools, and last those with lasting tasks.
+// sortDue puts the instances first that cost least to vacate: switched off, then idle, then those
+// of the least loaded pools, and last those with long-running tasks.
 func (s *State) sortDue(due []Instance) {
 	cost := map[string]float64{}
 	for _, i := range due {
-		cost[i.Name] = s.clearingCost(i)
+		cost[i.Name] = s.vacateCost(i)
 	}
 	slices.SortStableFunc(due, func(a, b Instance) int { return cmp.Compare(cost[a.Name], cost[b.Name]) })
 }
 
-// Weights of clearingCost, in shares of a pool's load.
+// Weights of vacateCost, in shares of a pool's load.
 const (
-	costLasting = 2.0
-	costIdle    = 0.5
+	longRunningCost = 2.0
+	idleFactor      = 0.5
 )
 
-func (s *State) clearingCost(i Instance) float64 {
+func (s *State) vacateCost(i Instance) float64 {
 	view := s.pools[i.Pool]
 	if i.Pool == s.spare || view == nil {
 		return -1
 	}
 	sum := view.Summary
 	cost := (float64(sum.RunningCPUMilli) + sum.BacklogCoreMs) / float64(max(1, sum.CapacityMilli))
-	h, known := view.hosts[i.Endpoint]
-	if known && h.Tasks == 0 {
-		cost *= costIdle
+	load, known := view.endpointLoads[i.Endpoint]
+	if known && load.Tasks == 0 {
+		cost *= idleFactor
 	}
-	if h.HasLongRunning {
-		cost += costLasting
+	if load.HasLongRunning {
+		cost += longRunningCost
 	}
 	return cost
 }
