--- a/internal/fleetops/decide.go
+++ b/internal/fleetops/decide.go
@@ -24,8 +24,8 @@
 	Operation Operation
 }
 
-// Clear asks a pool's owner to vacate an endpoint, or reports that its incarnation has ended.
-type Clear struct {
+// VacateItem asks a pool's owner to vacate an endpoint, or reports that its incarnation has ended.
+type VacateItem struct {
 	Instance, Pool, Endpoint string
 	// StartedMs identifies the endpoint's incarnation, 0 if unknown.
 	StartedMs int64
@@ -38,8 +38,8 @@
 
 // Actions are the decisions of one round.
 type Actions struct {
-	Clears []Clear
-	Orders []Order
+	VacateItems []VacateItem
+	Orders      []Order
 	// Due are, by pool, the endpoints whose instances a wave has not begun yet.
 	Due map[string][]string
 	// Announce are the waves whose state must be published to the operator.
@@ -80,7 +80,7 @@
 func (s *State) reportEndedIncarnations(a *Actions) {
 	for name, op := range s.ops {
 		if op.Phase == PhaseEnded && op.Ended && !op.endConfirmed && op.Endpoint != "" && s.pools[op.From] != nil {
-			a.Clears = append(a.Clears, Clear{Instance: name, Pool: op.From, Endpoint: op.Endpoint, StartedMs: op.StartedMs, Ended: true})
+			a.VacateItems = append(a.VacateItems, VacateItem{Instance: name, Pool: op.From, Endpoint: op.Endpoint, StartedMs: op.StartedMs, Ended: true})
 		}
 	}
 }
@@ -143,7 +143,7 @@
 	// counts as having none.
 	switchedOff := i.Pool == s.spare
 	if op.Endpoint != "" && !switchedOff {
-		a.Clears = append(a.Clears, Clear{Instance: op.Instance, Pool: op.From, Endpoint: op.Endpoint, StartedMs: op.StartedMs,
+		a.VacateItems = append(a.VacateItems, VacateItem{Instance: op.Instance, Pool: op.From, Endpoint: op.Endpoint, StartedMs: op.StartedMs,
 			StopTasks: s.mustStopTasks(now, wallMs, op), Ended: s.incarnationEnded(op, i)})
 	}
 	empty := switchedOff || op.vacated && now-op.vacancyReportedAt < vacancyMaxAge
--- a/internal/fleetops/fleet_test.go
+++ b/internal/fleetops/fleet_test.go
@@ -131,8 +131,8 @@
 		f.journal[r.Key] = r.Value
 	}
 	f.state.Saved(f.now)
-	f.clearLasting(actions.Clears)
-	for _, c := range actions.Clears {
+	f.clearLasting(actions.VacateItems)
+	for _, c := range actions.VacateItems {
 		if c.Ended {
 			f.reportedEnds[executor.Incarnation{ID: c.Endpoint, StartedMs: c.StartedMs}] = true
 			f.state.ConfirmEnd(c.Instance, c.Endpoint)
@@ -161,7 +161,7 @@
 const lastingClearTime = 2500 * time.Millisecond
 
 // clearLasting moves the lasting tasks of one endpoint at a time, as an owner does.
-func (f *fleet) clearLasting(asked []fleetops.Clear) {
+func (f *fleet) clearLasting(asked []fleetops.VacateItem) {
 	for _, c := range asked {
 		if !f.lasting[c.Endpoint] || f.now-f.lastClearedAt < lastingClearTime {
 			continue
--- a/internal/fleetops/run.go
+++ b/internal/fleetops/run.go
@@ -42,12 +42,12 @@
 
 // Pools calls the pools' owners.
 type Pools interface {
-	Clear(ctx context.Context, pool string, ask ClearCall) ClearAnswer
+	VacateEndpoints(ctx context.Context, pool string, ask VacateCall) VacateResult
 }
 
-// ClearCall is a request to a pool's owner.
-type ClearCall struct {
-	Clears []Clear
+// VacateCall is a request to a pool's owner.
+type VacateCall struct {
+	Items []VacateItem
 	// Due are endpoints whose instances a wave will need soon.
 	Due []string
 	// IncomingCapacity is the CPU capacity on its way to the pool, or available to it.
@@ -56,8 +56,8 @@
 	Shares quota.Ask
 }
 
-// ClearAnswer is a response from a pool's owner.
-type ClearAnswer struct {
+// VacateResult is a response from a pool's owner.
+type VacateResult struct {
 	// Owned is false if no owner answered.
 	Owned   bool
 	Left    map[string]executor.Vacancy
@@ -328,8 +328,8 @@
 
 // callOwners sends each pool's owner the endpoints to vacate and applies its summary.
 func (r *Runner) callOwners(ctx context.Context, pools []string, actions Actions) {
-	byPool := map[string][]Clear{}
-	for _, c := range actions.Clears {
+	byPool := map[string][]VacateItem{}
+	for _, c := range actions.VacateItems {
 		byPool[c.Pool] = append(byPool[c.Pool], c)
 	}
 	incoming := r.state.IncomingCapacity(planlease.Boottime(), pools)
@@ -339,10 +339,10 @@
 		}
 		r.vacateInFlight[pool] = true
 		items := byPool[pool]
-		call := ClearCall{Clears: items, Due: actions.Due[pool], IncomingCapacity: incoming[pool], Shares: r.shares.Ask(pool)}
+		call := VacateCall{Items: items, Due: actions.Due[pool], IncomingCapacity: incoming[pool], Shares: r.shares.Ask(pool)}
 		go func() {
 			asked := planlease.Boottime()
-			answer := r.opts.Pools.Clear(ctx, pool, call)
+			answer := r.opts.Pools.VacateEndpoints(ctx, pool, call)
 			r.enqueue(ctx, func(now time.Duration) {
 				r.vacateInFlight[pool] = false
 				if !answer.Owned {
--- a/internal/shards/calls.go
+++ b/internal/shards/calls.go
@@ -298,10 +298,10 @@
 	return out
 }
 
-// Clear implements fleetops.Pools by Vacate.
-func (c *Calls) Clear(ctx context.Context, pool string, request fleetops.ClearCall) fleetops.ClearAnswer {
+// VacateEndpoints implements fleetops.Pools by Vacate.
+func (c *Calls) VacateEndpoints(ctx context.Context, pool string, request fleetops.VacateCall) fleetops.VacateResult {
 	in := VacateCall{Pool: pool, IncomingCapacity: request.IncomingCapacity, Due: request.Due, Shares: request.Shares}
-	for _, item := range request.Clears {
+	for _, item := range request.Items {
 		in.Items = append(in.Items, VacateItem{Endpoint: item.Endpoint, StopTasks: item.StopTasks, Ended: item.Ended, StartedMs: item.StartedMs})
 	}
 	out := c.Vacate(ctx, in)
@@ -309,6 +309,6 @@
 	for id, n := range out.Left {
 		left[id] = executor.Vacancy{Left: n, StartedMs: out.Started[id]}
 	}
-	return fleetops.ClearAnswer{Owned: out.Owned, Left: left, Summary: out.Summary, Accounts: out.Accounts,
+	return fleetops.VacateResult{Owned: out.Owned, Left: left, Summary: out.Summary, Accounts: out.Accounts,
 		ProofAge: time.Duration(out.ProofAgeMs) * time.Millisecond}
 }
