--- a/internal/fleetops/fleet_test.go
+++ b/internal/fleetops/fleet_test.go
@@ -25,7 +25,7 @@
 }
 
 // fleet simulates the platform, which moves and maintains instances, and the pools' owners, which
-// clear them.
+// vacate endpoints.
 type fleet struct {
 	now       time.Duration
 	state     *fleetops.State
@@ -38,7 +38,7 @@
 	offered, ready, running map[string]float64
 	// listLag, if set, freezes the instance list as it was first read.
 	listLag, listedAt time.Duration
-	leastHosts        map[string]int
+	minEndpoints      map[string]int
 	// reportedEnds are the incarnations whose ends were reported to the owners.
 	reportedEnds map[executor.Incarnation]bool
 	// keepIDs makes endpoints keep their ids across incarnations; started is when the current
@@ -46,10 +46,10 @@
 	keepIDs bool
 	started map[string]int64
 	starved map[string]int
-	// lasting endpoints are cleared one at a time, each in lastingClearTime; lastClearedAt is when
-	// the last one was.
-	lasting          map[string]bool
-	lastClearedAt    time.Duration
+	// longRunning are the endpoints with long-running tasks, which are vacated one at a time, each in
+	// longRunningVacateTime; lastVacatedAt is when the last one was.
+	longRunning      map[string]bool
+	lastVacatedAt    time.Duration
 	ordered          []fleetops.Operation
 	journal          map[string][]byte
 	ordersUnanswered bool
@@ -131,7 +131,7 @@
 		f.journal[r.Key] = r.Value
 	}
 	f.state.Saved(f.now)
-	f.clearLasting(actions.VacateItems)
+	f.vacateLongRunning(actions.VacateItems)
 	for _, c := range actions.VacateItems {
 		if c.Ended {
 			f.reportedEnds[executor.Incarnation{ID: c.Endpoint, StartedMs: c.StartedMs}] = true
@@ -146,29 +146,29 @@
 
 func (f *fleet) summary(pool string) executor.Summary {
 	s := executor.Summary{Pool: pool, OfferedCoreMs: f.offered[pool], ReadyCoreMs: f.ready[pool], RunningCPUMilli: int(f.running[pool]),
-		MinEndpoints: f.leastHosts[pool], Starved: f.starved[pool]}
+		MinEndpoints: f.minEndpoints[pool], Starved: f.starved[pool]}
 	for _, i := range f.instances {
 		if i.Pool == pool && i.Up {
 			s.Endpoints++
 			s.CapacityMilli += instanceCPU
-			s.EndpointLoads = append(s.EndpointLoads, executor.EndpointLoad{Endpoint: i.Endpoint, Tasks: f.tasks[i.Endpoint], HasLongRunning: f.lasting[i.Endpoint]})
+			s.EndpointLoads = append(s.EndpointLoads, executor.EndpointLoad{Endpoint: i.Endpoint, Tasks: f.tasks[i.Endpoint], HasLongRunning: f.longRunning[i.Endpoint]})
 		}
 	}
 	return s
 }
 
-// lastingClearTime is how long it takes to move one endpoint's lasting tasks.
-const lastingClearTime = 2500 * time.Millisecond
+// longRunningVacateTime is how long it takes to move one endpoint's long-running tasks.
+const longRunningVacateTime = 2500 * time.Millisecond
 
-// clearLasting moves the lasting tasks of one endpoint at a time, as an owner does.
-func (f *fleet) clearLasting(asked []fleetops.VacateItem) {
+// vacateLongRunning moves the long-running tasks of one endpoint at a time, as an owner does.
+func (f *fleet) vacateLongRunning(asked []fleetops.VacateItem) {
 	for _, c := range asked {
-		if !f.lasting[c.Endpoint] || f.now-f.lastClearedAt < lastingClearTime {
+		if !f.longRunning[c.Endpoint] || f.now-f.lastVacatedAt < longRunningVacateTime {
 			continue
 		}
-		f.lastClearedAt = f.now
+		f.lastVacatedAt = f.now
 		f.tasks[c.Endpoint] = 0
-		delete(f.lasting, c.Endpoint)
+		delete(f.longRunning, c.Endpoint)
 	}
 }
 
--- a/internal/fleetops/fleetops_test.go
+++ b/internal/fleetops/fleetops_test.go
@@ -27,13 +27,13 @@
 		Expect(f.journal).To(HaveKey("w1"))
 	})
 
-	// Guards against a wave that ends late: instances with lasting tasks can only be cleared one
+	// Guards against a wave that ends late: instances with long-running tasks can only be vacated one
 	// after the other, so they must be begun ahead of the pace.
-	It("begins early with instances whose lasting tasks must move one by one", func() {
+	It("begins early with instances whose long-running tasks must move one by one", func() {
 		f := newFleet(map[string]int{"a": 8, "b": 4})
-		f.lasting = map[string]bool{}
+		f.longRunning = map[string]bool{}
 		for _, i := range f.instances[:8] {
-			f.lasting[i.Endpoint], f.tasks[i.Endpoint] = true, 1
+			f.longRunning[i.Endpoint], f.tasks[i.Endpoint] = true, 1
 		}
 		f.running["a"], f.running["b"] = 8*instanceCPU, 4*instanceCPU // no pool has a surplus
 		f.state.ObserveWave(1, f.names("a"), 25*time.Second, 8, wallStart)
@@ -77,13 +77,13 @@
 	})
 })
 
-var _ = Describe("lasting tasks that must run apart", func() {
-	// Guards against lasting tasks that wait forever. Five small tasks may share no endpoint; by
+var _ = Describe("long-running tasks that must run apart", func() {
+	// Guards against long-running tasks that wait forever. Five small tasks may share no endpoint; by
 	// processor capacity one instance would do for them, so the pool's other instances were
 	// switched off or given away.
 	It("keep as many instances as they need", func() {
 		f := newFleet(map[string]int{"a": 8, "b": 8, sparePool: 2})
-		f.leastHosts = map[string]int{"a": 5}
+		f.minEndpoints = map[string]int{"a": 5}
 		for range 60 {
 			f.round("a", "b")
 		}
@@ -113,14 +113,14 @@
 	})
 })
 
-var _ = Describe("a lasting task that finds no endpoint", func() {
-	// Guards against a lasting task that is down for a whole burst of another pool: that one asks
+var _ = Describe("a long-running task that finds no endpoint", func() {
+	// Guards against a long-running task that is down for a whole burst of another pool: that one asks
 	// for more than the fleet has and would get each instance that becomes available, and no pool
 	// has a surplus.
 	It("gets an instance though another pool asks for all of them", func() {
 		f := newFleet(map[string]int{"a": 16, "b": 2})
 		f.ready["a"], f.running["a"] = 100*instanceCPU, 16*instanceCPU
-		f.leastHosts = map[string]int{"b": 1}
+		f.minEndpoints = map[string]int{"b": 1}
 		f.starved = map[string]int{"b": 1}
 		for range 20 {
 			f.round("a", "b")
@@ -133,7 +133,7 @@
 var _ = Describe("an incarnation that an operation has ended", func() {
 	// Guards against tasks placed on an endpoint that has ended, which are late by a whole lease:
 	// the operation took effect between two reads of the list, service discovery shows the
-	// endpoint for seconds more, and the time for which its owner keeps it clear is over.
+	// endpoint for seconds more, and the request to vacate it has expired.
 	It("is reported to its pool's owner, and recorded for the owner's successor", func() {
 		f := newFleet(map[string]int{"a": 4})
 		name, endpoint := f.instances[0].Name, f.instances[0].Endpoint
@@ -184,11 +184,11 @@
 	})
 })
 
-var _ = Describe("an endpoint that crashes while it is being cleared", func() {
-	// Guards against an order that ends running tasks. The owner reports the endpoint clear
+var _ = Describe("an endpoint that crashes while it is being vacated", func() {
+	// Guards against an order that ends running tasks. The owner reports the endpoint empty
 	// because it has crashed with its tasks; by then a new incarnation runs tasks on the instance,
 	// which the last list read does not show.
-	It("does not order the instance until its next incarnation is clear", func() {
+	It("does not order the instance until its next incarnation is empty", func() {
 		f := newFleet(map[string]int{"a": 4})
 		f.state.ObserveWave(1, f.names("a")[:1], time.Second, 1, wallStart)
 		f.listLag = time.Hour // the list stays as first read
@@ -239,7 +239,7 @@
 	// Guards against a late report. The owner is asked about an endpoint, which then crashes; the
 	// list shows the next incarnation, which runs tasks, before the answer about the first one
 	// arrives.
-	It("does not clear the current incarnation", func() {
+	It("does not vacate the current incarnation", func() {
 		f := newFleet(map[string]int{"a": 4})
 		f.state.ObserveWave(1, f.names("a")[:1], time.Second, 1, wallStart)
 		first := f.instances[0].Endpoint
@@ -257,9 +257,9 @@
 
 var _ = Describe("a report from a displaced owner", func() {
 	// Guards against a report from a displaced owner. A pool changes owner just before one of its
-	// instances is to be moved: the old owner has not noticed and reports the endpoint clear,
+	// instances is to be moved: the old owner has not noticed and reports the endpoint empty,
 	// while the new one has not read the operation and runs tasks on it.
-	It("clears no endpoint", func() {
+	It("vacates no endpoint", func() {
 		f := newFleet(map[string]int{"a": 4})
 		f.state.ObserveWave(1, f.names("a")[:1], time.Second, 1, wallStart)
 		f.proofAge = time.Hour
