--- a/internal/executor/polls.go
+++ b/internal/executor/polls.go
@@ -221,8 +221,10 @@
 const (
 	PollAnswered PollResult = iota
 	PollUnanswered
+	// PollFenced: the endpoint has seen a newer epoch.
 	PollFenced
-	PollGone
+	// PollOtherIncarnation: another incarnation answers at the address.
+	PollOtherIncarnation
 )
 
 // PollDone applies the result of a poll.
@@ -233,7 +235,7 @@
 	}
 	e.pollInFlight = false
 	switch result {
-	case PollGone:
+	case PollOtherIncarnation:
 		c.incarnationCrashed(e)
 	case PollFenced:
 		c.fenced = true
--- a/internal/executor/world_test.go
+++ b/internal/executor/world_test.go
@@ -379,7 +379,7 @@
 		o.core.PollDone(w.now, p, executor.PollUnanswered, executor.Listed{})
 		return
 	case h.terminated:
-		o.core.PollDone(w.now, p, executor.PollGone, executor.Listed{})
+		o.core.PollDone(w.now, p, executor.PollOtherIncarnation, executor.Listed{})
 		return
 	case p.Fence < h.fence:
 		o.core.PollDone(w.now, p, executor.PollFenced, executor.Listed{})
--- a/internal/shards/orders.go
+++ b/internal/shards/orders.go
@@ -91,7 +91,7 @@
 	case executor.OrderFenced:
 		return executor.PollFenced
 	case executor.OrderOtherIncarnation:
-		return executor.PollGone
+		return executor.PollOtherIncarnation
 	}
 	return executor.PollUnanswered
 }
