--- a/internal/fleetops/fleetops_test.go
+++ b/internal/fleetops/fleetops_test.go
@@ -239,7 +239,7 @@
 	// Guards against a late report. The owner is asked about an endpoint, which then crashes; the
 	// list shows the next incarnation, which runs tasks, before the answer about the first one
 	// arrives.
-	It("does not vacate the current incarnation", func() {
+	It("does not count for the current incarnation", func() {
 		f := newFleet(map[string]int{"a": 4})
 		f.state.ObserveWave(1, f.names("a")[:1], time.Second, 1, wallStart)
 		first := f.instances[0].Endpoint
@@ -259,7 +259,7 @@
 	// Guards against a report from a displaced owner. A pool changes owner just before one of its
 	// instances is to be moved: the old owner has not noticed and reports the endpoint empty,
 	// while the new one has not read the operation and runs tasks on it.
-	It("vacates no endpoint", func() {
+	It("leads to no order", func() {
 		f := newFleet(map[string]int{"a": 4})
 		f.state.ObserveWave(1, f.names("a")[:1], time.Second, 1, wallStart)
 		f.proofAge = time.Hour
--- a/internal/shards/manager.go
+++ b/internal/shards/manager.go
@@ -269,7 +269,7 @@
 	r.core.SetAccounts(m.accounts)
 	r.core.ApplyShares(r.now(), grants)
 	r.core.ObserveEndpoints(r.now(), m.endpoints[r.pool])
-	r.vacateLeaving(leaving)
+	r.vacateEndpoints(leaving)
 	m.mu.Unlock()
 	r.run(ctx)
 	m.forgetDuty(name, h)
--- a/internal/shards/runner.go
+++ b/internal/shards/runner.go
@@ -128,9 +128,9 @@
 	return r.core.Restore(fleetops.RecordsOf(records), r.now())
 }
 
-// vacateLeaving marks the endpoints whose instances are about to be moved or maintained, so that no
-// tasks are placed on them.
-func (r *Runner) vacateLeaving(endpoints []string) {
+// vacateEndpoints requests that the endpoints are vacated whose instances operations are about to move
+// or maintain, before any task is placed.
+func (r *Runner) vacateEndpoints(endpoints []string) {
 	for _, id := range endpoints {
 		r.core.Vacate(r.now(), id, false)
 	}
