--- a/internal/executor/core.go
+++ b/internal/executor/core.go
@@ -86,7 +86,7 @@
 	epoch  int64
 	limits Limits
 
-	// jobs and endpoints are all that are known, by id.
+	// jobs and endpoints are all those known to this owner, by id.
 	jobs      map[string]*job
 	endpoints map[string]*endpoint
 	// terms are the next values of endpoint.term for endpoints that were removed, by id.
@@ -356,7 +356,8 @@
 	id, addr, zone, kind, rack string
 	// startedMs is when the incarnation started, in ms since 1970; 0 if unknown.
 	startedMs int64
-	// term counts the incarnations that this owner has seen; it is the low part of the fencing token.
+	// term counts the incarnations that this owner has seen, and is the low part of the fencing token.
+	// It is unrelated to the terms of a queue (routing.Terms).
 	term int
 	// capacity is as in the newest entry in service discovery.
 	capacity Resources
@@ -502,30 +503,30 @@
 
 // Kinds of events.
 const (
-	EventAccepted       EventKind = "job accepted"
-	EventRefused        EventKind = "job refused"
-	EventEnded          EventKind = "job ended"
-	EventPlaced         EventKind = "task placed"
-	EventTaskEnd        EventKind = "task ended"
-	EventLost           EventKind = "task lost"
-	EventGone           EventKind = "endpoint gone"
-	EventStop           EventKind = "task stop ordered"
-	EventQuarantined    EventKind = "endpoint quarantined"
-	EventUnknownRun     EventKind = "unknown run stopped"
-	EventFenced         EventKind = "fenced by a newer epoch"
-	EventRestored       EventKind = "jobs restored"
-	EventVacating       EventKind = "endpoint vacating"
-	EventWaits          EventKind = "task waits"
-	EventAdvised        EventKind = "step advised"
-	EventReserved       EventKind = "endpoint kept for a task"
-	EventSlow           EventKind = "endpoint slow"
-	EventSpeedRecovered EventKind = "endpoint no longer slow"
-	EventWithheld       EventKind = "end not acknowledged"
-	EventStartsLimited  EventKind = "starts paced"
+	EventAccepted         EventKind = "job accepted"
+	EventRefused          EventKind = "job refused"
+	EventEnded            EventKind = "job ended"
+	EventPlaced           EventKind = "task placed"
+	EventTaskEnd          EventKind = "task ended"
+	EventLost             EventKind = "task lost"
+	EventIncarnationEnded EventKind = "endpoint gone"
+	EventStop             EventKind = "task stop ordered"
+	EventQuarantined      EventKind = "endpoint quarantined"
+	EventUnknownRun       EventKind = "unknown run stopped"
+	EventFenced           EventKind = "fenced by a newer epoch"
+	EventRestored         EventKind = "jobs restored"
+	EventVacating         EventKind = "endpoint vacating"
+	EventWaits            EventKind = "task waits"
+	EventAdvised          EventKind = "step advised"
+	EventReserved         EventKind = "endpoint kept for a task"
+	EventSlow             EventKind = "endpoint slow"
+	EventSpeedRecovered   EventKind = "endpoint no longer slow"
+	EventWithheld         EventKind = "end not acknowledged"
+	EventStartsLimited    EventKind = "starts paced"
 	// EventCrashed: an incarnation ended while a task's run was on it, which had run for AgeMs.
 	EventCrashed EventKind = "endpoint ended under task"
-	// EventGivenUp: a task is not retried any more because its endpoints crash.
-	EventGivenUp EventKind = "task given up"
+	// EventPoisonTask: a task is not retried any more because its endpoints crash.
+	EventPoisonTask EventKind = "task given up"
 	// EventRestarted: another incarnation answers under an endpoint's id.
 	EventRestarted EventKind = "endpoint restarted"
 )
@@ -539,7 +540,7 @@
 	return out
 }
 
-// Accepting is the context under which a job is submitted.
+// Accepting is what Submit needs besides the job: its queue, the queue's terms and the account.
 type Accepting struct {
 	Queue string
 	Terms routing.Terms
--- a/internal/executor/polls.go
+++ b/internal/executor/polls.go
@@ -94,7 +94,7 @@
 
 func (c *Core) endIncarnation(e *endpoint) {
 	c.endedIncarnations[e.incarnation()] = true
-	c.event(Event{Kind: EventGone, Endpoint: e.id, StartedMs: e.startedMs, Run: len(e.tasks)})
+	c.event(Event{Kind: EventIncarnationEnded, Endpoint: e.id, StartedMs: e.startedMs, Run: len(e.tasks)})
 	c.requeueAll(e, "incarnation ended")
 	c.forgetEndpoint(e)
 }
@@ -193,9 +193,12 @@
 	EndedDone HowEnded = iota
 	EndedFailed
 	EndedStopped
-	EndedLapsed
-	EndedBroken
-	EndedAlone
+	// EndedLeaseExpired: the run's lease expired before it was renewed.
+	EndedLeaseExpired
+	// EndedGangBroken: another member of the run's gang ended.
+	EndedGangBroken
+	// EndedGangIncomplete: not all members of the run's gang started in time.
+	EndedGangIncomplete
 )
 
 var howEndedNames = [...]string{"done", "failed", "stopped", "lapsed", "broken", "alone"}
@@ -218,8 +221,10 @@
 const (
 	PollAnswered PollResult = iota
 	PollUnanswered
+	// PollFenced: the endpoint has seen a newer epoch.
 	PollFenced
-	PollGone
+	// PollOtherIncarnation: another incarnation answers at the address.
+	PollOtherIncarnation
 )
 
 // PollDone applies the result of a poll.
@@ -230,7 +235,7 @@
 	}
 	e.pollInFlight = false
 	switch result {
-	case PollGone:
+	case PollOtherIncarnation:
 		c.incarnationCrashed(e)
 	case PollFenced:
 		c.fenced = true
--- a/internal/executor/world_test.go
+++ b/internal/executor/world_test.go
@@ -248,7 +248,7 @@
 	c.Tick(w.now)
 	c.Decide(w.now)
 	for _, e := range c.TakeEvents() {
-		if e.Task != "" || e.Kind == executor.EventGone {
+		if e.Task != "" || e.Kind == executor.EventIncarnationEnded {
 			w.note(string(e.Kind)+" ("+e.Reason+")", e.Task, e.Endpoint, e.Run, o.epoch, 0)
 		}
 	}
@@ -379,7 +379,7 @@
 		o.core.PollDone(w.now, p, executor.PollUnanswered, executor.Listed{})
 		return
 	case h.terminated:
-		o.core.PollDone(w.now, p, executor.PollGone, executor.Listed{})
+		o.core.PollDone(w.now, p, executor.PollOtherIncarnation, executor.Listed{})
 		return
 	case p.Fence < h.fence:
 		o.core.PollDone(w.now, p, executor.PollFenced, executor.Listed{})
--- a/internal/explain/nodes.go
+++ b/internal/explain/nodes.go
@@ -121,7 +121,7 @@
 
 func loadText(s executor.Summary) string {
 	return fmt.Sprintf("%d endpoints with %.1f of %.1f cores in use, %.1f by lasting tasks; %d jobs open, %d tasks waiting",
-		s.Endpoints, cores(s.RunningCPUMilli), cores(s.CapacityMilli), cores(s.LastingCPUMilli), s.Jobs, s.WaitingTasks)
+		s.Endpoints, cores(s.RunningCPUMilli), cores(s.CapacityMilli), cores(s.LongRunningCPUMilli), s.Jobs, s.WaitingTasks)
 }
 
 func cores(milli int) float64 { return float64(milli) / 1000 }
@@ -135,8 +135,8 @@
 			out = append(out, fmt.Sprintf("endpoint %s is cleared for an operation, %d tasks left", e.ID, e.Tasks))
 		case e.Draining:
 			out = append(out, fmt.Sprintf("endpoint %s drains, %d tasks left", e.ID, e.Tasks))
-		case e.Silent > 0:
-			out = append(out, fmt.Sprintf("endpoint %s has left %d calls unanswered; its lease ends in %d ms", e.ID, e.Silent, e.LeaseEndsMs))
+		case e.FailedPolls > 0:
+			out = append(out, fmt.Sprintf("endpoint %s has left %d calls unanswered; its lease ends in %d ms", e.ID, e.FailedPolls, e.LeaseEndsMs))
 		case e.QuarantineMs > 0:
 			out = append(out, fmt.Sprintf("endpoint %s is quarantined for %d ms more", e.ID, e.QuarantineMs))
 		}
--- a/internal/shards/orders.go
+++ b/internal/shards/orders.go
@@ -68,22 +68,22 @@
 	return executor.OrderInvalid
 }
 
-// renew sends a lease renewal to an endpoint in the background and reports the runs that the
-// endpoint listed to the core.
-func (r *Runner) renew(l executor.Poll) {
-	to := platform.EndpointRef{ID: l.Endpoint, Addr: l.Addr}
+// poll sends a poll to an endpoint in the background and passes the runs that the endpoint lists to
+// the core.
+func (r *Runner) poll(p executor.Poll) {
+	to := platform.EndpointRef{ID: p.Endpoint, Addr: p.Addr}
 	go func() {
-		look, err := r.endpoints.Renew(r.ctx, to, platform.Renewal{Fence: l.Fence, Acknowledged: l.Acknowledged,
-			LeaseUntil: l.LeaseUntil, Wait: l.Wait})
-		result := renewalResultOf(err)
+		listing, err := r.endpoints.Renew(r.ctx, to, platform.Renewal{Fence: p.Fence, Acknowledged: p.Acknowledged,
+			LeaseUntil: p.LeaseUntil, Wait: p.Wait})
+		result := pollResultOf(err)
 		if err != nil && r.ctx.Err() == nil {
-			r.log.Info("renewal failed", "epoch", r.epoch, "instance", l.Endpoint, "error", err.Error())
+			r.log.Info("poll failed", "epoch", r.epoch, "instance", p.Endpoint, "error", err.Error())
 		}
-		r.post(func(now time.Duration) { r.core.PollDone(now, l, result, toListed(look)) })
+		r.post(func(now time.Duration) { r.core.PollDone(now, p, result, toListed(listing)) })
 	}()
 }
 
-func renewalResultOf(err error) executor.PollResult {
+func pollResultOf(err error) executor.PollResult {
 	if err == nil {
 		return executor.PollAnswered
 	}
@@ -91,15 +91,15 @@
 	case executor.OrderFenced:
 		return executor.PollFenced
 	case executor.OrderOtherIncarnation:
-		return executor.PollGone
+		return executor.PollOtherIncarnation
 	}
 	return executor.PollUnanswered
 }
 
 var endReasons = map[platform.EndReason]executor.HowEnded{
 	platform.EndDone: executor.EndedDone, platform.EndFailed: executor.EndedFailed,
-	platform.EndStopped: executor.EndedStopped, platform.EndLeaseExpired: executor.EndedLapsed,
-	platform.EndGangBroken: executor.EndedBroken, platform.EndGangIncomplete: executor.EndedAlone,
+	platform.EndStopped: executor.EndedStopped, platform.EndLeaseExpired: executor.EndedLeaseExpired,
+	platform.EndGangBroken: executor.EndedGangBroken, platform.EndGangIncomplete: executor.EndedGangIncomplete,
 }
 
 func toListed(in platform.RenewalResponse) executor.Listed {
--- a/internal/shards/runner_calls.go
+++ b/internal/shards/runner_calls.go
@@ -141,7 +141,7 @@
 	})
 }
 
-// vacate drains endpoints. It reports an endpoint as empty, or a lowered share of an
+// vacate vacates endpoints. It reports an endpoint as empty, or a lowered share of an
 // account's limit as observed, only after an append that was sent later has succeeded: an
 // owner that was displaced without noticing would otherwise report on tasks that its
 // successor runs.
@@ -181,13 +181,13 @@
 			r.core.IncarnationEnded(executor.Incarnation{ID: item.Endpoint, StartedMs: item.StartedMs})
 			continue
 		}
-		if v, found := r.core.Vacate(now, item.Endpoint, item.Hurry); found {
+		if v, found := r.core.Vacate(now, item.Endpoint, item.StopTasks); found {
 			result.Left[item.Endpoint], result.Started[item.Endpoint] = v.Left, v.StartedMs
 			needsProof = needsProof || v.Left == 0
 		}
 	}
 	r.core.SetVacatingSoon(now, in.Due)
-	r.core.SetIncomingCapacity(now, in.Loans)
+	r.core.SetIncomingCapacity(now, in.IncomingCapacity)
 	result.Summary = r.core.Summary(now)
 	result.ProofAgeMs = r.tenure.ProofAge().Milliseconds()
 	return result, needsProof
