--- a/internal/standin/wire/accounts.go
+++ b/internal/standin/wire/accounts.go
@@ -6,55 +6,58 @@
 	"time"
 )
 
-// Account is a client account of the published configuration.
+// Account is a client account in the published configuration.
 type Account struct {
 	Name string
 	Keys []string
-	// CPUMilli bounds what it may have running; 0 is no limit.
+	// CPUMilli limits the CPU of its running tasks, in thousandths of a core; 0 means no limit.
 	CPUMilli int
 }
 
 const (
-	// applies is how long after its publication a limit that was replaced still counts.
-	applies = 3 * time.Second
-	// excess is how far above its limit an account may be, and a task more.
-	excess = 0.1
+	// replacedLimitGrace is how long a replaced limit still counts after the new one is
+	// published.
+	replacedLimitGrace = 3 * time.Second
+	// limitTolerance is the share by which an account may exceed its limit, in addition to one
+	// task.
+	limitTolerance = 0.1
 )
 
-// limit is what an account might have running until a time.
-type limit struct {
+// pastLimit is a replaced limit of an account and the time until which it still counts.
+type pastLimit struct {
 	cpuMilli int
 	until    time.Time
 }
 
-// SetAccounts is what the next configuration publishes as accounts: its queues ask for keys
-// from then on.
+// SetAccounts sets the accounts that the next Publish writes. From then on the queues require
+// API keys.
 func (p *Platform) SetAccounts(accounts ...Account) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := time.Now()
 	for _, a := range p.accounts {
-		p.limits[a.Name] = append(p.limits[a.Name], limit{a.CPUMilli, now.Add(applies)})
+		p.pastLimits[a.Name] = append(p.pastLimits[a.Name], pastLimit{a.CPUMilli, now.Add(replacedLimitGrace)})
 	}
 	p.accounts = accounts
 }
 
-// HasAccounts reports whether callers need keys.
+// HasAccounts reports whether callers need API keys.
 func (p *Platform) HasAccounts() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return len(p.accounts) > 0
 }
 
-// Owns notes that a job is handed in with an account's key.
+// Owns records the account whose API key submits a job.
 func (p *Platform) Owns(account, job string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.owners[job] = account
+	p.jobAccounts[job] = account
 }
 
-// tenants are the accounts as the configuration has them; nil for none.
-func (p *Platform) tenants() []map[string]any {
+// tenantConfig returns the accounts in the form of the published configuration, or nil if there
+// are none.
+func (p *Platform) tenantConfig() []map[string]any {
 	var out []map[string]any
 	for _, a := range p.accounts {
 		out = append(out, map[string]any{"name": a.Name, "apiKeys": a.Keys, "priority": 1, "weight": 10,
@@ -63,38 +66,38 @@
 	return out
 }
 
-// checkAccount notes a start that brings its account above its limit. Of the limits that
-// may be in force the highest counts.
-func (p *Platform) checkAccount(task string) {
+// checkAccountLimit records a violation if a start brings its account above its limit. If
+// several limits may be in force, the highest counts.
+func (p *Platform) checkAccountLimit(task string) {
 	job, _, _ := strings.Cut(task, ".")
-	account, known := p.owners[job]
-	if !known {
+	account, hasAccount := p.jobAccounts[job]
+	if !hasAccount {
 		return
 	}
 	running := 0
 	for _, e := range p.endpoints {
 		for name := range e.running {
-			if other, _, _ := strings.Cut(name, "."); p.owners[other] == account {
+			if other, _, _ := strings.Cut(name, "."); p.jobAccounts[other] == account {
 				running += taskCPU
 			}
 		}
 	}
-	most, now := 0, time.Now()
+	allowed, now := 0, time.Now()
 	for _, a := range p.accounts {
 		if a.Name == account {
-			most = a.CPUMilli
+			allowed = a.CPUMilli
 		}
 	}
-	for _, l := range p.limits[account] {
+	for _, l := range p.pastLimits[account] {
 		switch {
 		case now.After(l.until):
-		case l.cpuMilli == 0 || most == 0:
-			most = 0
+		case l.cpuMilli == 0 || allowed == 0:
+			allowed = 0
 		default:
-			most = max(most, l.cpuMilli)
+			allowed = max(allowed, l.cpuMilli)
 		}
 	}
-	if most > 0 && float64(running) > (1+excess)*float64(most)+taskCPU {
-		p.broken = append(p.broken, fmt.Sprintf("account %s has %d of %d running", account, running, most))
+	if allowed > 0 && float64(running) > (1+limitTolerance)*float64(allowed)+taskCPU {
+		p.violations = append(p.violations, fmt.Sprintf("account %s has %d of %d running", account, running, allowed))
 	}
 }
--- a/internal/standin/wire/crash.go
+++ b/internal/standin/wire/crash.go
@@ -5,75 +5,76 @@
 	"time"
 )
 
-// SpecCrashes is the spec of a task that crashes the endpoints that start it.
+// SpecCrashes is the spec of a task that crashes every endpoint that starts it.
 const SpecCrashes = "crash"
 
 const (
-	// crashAfter is how long after its start such a task crashes its endpoint, and crashMost
-	// the longest that the endpoint is down.
-	crashAfter = 10 * time.Millisecond
-	crashMost  = 1500 * time.Millisecond
-	// mostCrashes is the number of crashes after which a task's starts are counted, and
-	// mostStartsAfter how many of those are too many.
-	mostCrashes     = 3
-	mostStartsAfter = 3
+	// crashDelay is the time from the start of such a task to the crash of its endpoint, and
+	// maxCrashDowntime bounds how long the endpoint is down.
+	crashDelay       = 10 * time.Millisecond
+	maxCrashDowntime = 1500 * time.Millisecond
+	// crashThreshold is the number of crashes after which further starts of a task are counted,
+	// and maxStartsAfterThreshold the count that is a violation.
+	crashThreshold          = 3
+	maxStartsAfterThreshold = 3
 )
 
-// startCrashingLocked notes the start of a task that crashes its endpoint, and lets it.
-func (e *Endpoint) startCrashingLocked(task string) {
+// recordCrashingStartLocked records the start of a task that crashes its endpoint and schedules
+// the crash.
+func (e *Endpoint) recordCrashingStartLocked(task string) {
 	h := e.p.history(task)
-	if h.crashes >= mostCrashes {
-		if h.afterThird++; h.afterThird == mostStartsAfter {
-			e.p.broken = append(e.p.broken, fmt.Sprintf("%s is started %d times more after %d endpoints have crashed under it", task, mostStartsAfter, mostCrashes))
+	if h.crashes >= crashThreshold {
+		if h.startsAfterThreshold++; h.startsAfterThreshold == maxStartsAfterThreshold {
+			e.p.violations = append(e.p.violations, fmt.Sprintf("%s is started %d times more after %d endpoints have crashed under it", task, maxStartsAfterThreshold, crashThreshold))
 		}
 	}
-	time.AfterFunc(crashAfter, func() {
+	time.AfterFunc(crashDelay, func() {
 		e.p.mu.Lock()
 		defer e.p.mu.Unlock()
-		if e.overLocked() {
+		if e.hasEndedLocked() {
 			return
 		}
 		h.crashes++
-		e.crashLocked(time.Duration(e.p.rng.Int64N(int64(crashMost))), e.p.rng.IntN(2) == 0)
+		e.crashLocked(time.Duration(e.p.rng.Int64N(int64(maxCrashDowntime))), e.p.rng.IntN(2) == 0)
 	})
 }
 
-// crashLocked ends an incarnation without notice. The endpoint is back some time later, at its
-// address and under its id or another one.
-func (e *Endpoint) crashLocked(down time.Duration, newID bool) {
+// crashLocked ends an incarnation without notice. The endpoint restarts after the downtime at
+// the same address, under its old id or a new one.
+func (e *Endpoint) crashLocked(downtime time.Duration, newID bool) {
 	e.crashed = true
 	e.dropRunsLocked()
 	go e.server.Close()
-	time.AfterFunc(beatsMissed*Heartbeat, func() {
+	time.AfterFunc(maxMissedHeartbeats*Heartbeat, func() {
 		e.p.mu.Lock()
 		defer e.p.mu.Unlock()
-		if e.p.endpoints[e.id] == e && !e.gone {
-			e.p.putKeyed("keyed.servers", e.id, nil)
+		if e.p.endpoints[e.id] == e && !e.removed {
+			e.p.appendKeyed("keyed.servers", e.id, nil)
 		}
 	})
-	time.AfterFunc(down, func() { e.comeBack(newID) })
+	time.AfterFunc(downtime, func() { e.restartCrashed(newID) })
 }
 
-// comeBack begins the next incarnation of an endpoint that has crashed, unless its instance has
-// been taken meanwhile.
-func (e *Endpoint) comeBack(newID bool) {
+// restartCrashed starts the next incarnation of a crashed endpoint, unless its instance has been
+// moved or maintained meanwhile.
+func (e *Endpoint) restartCrashed(newID bool) {
 	e.p.mu.Lock()
 	defer e.p.mu.Unlock()
-	if e.gone || e.p.closed || e.p.endpoints[e.id] != e {
+	if e.removed || e.p.closed || e.p.endpoints[e.id] != e {
 		return
 	}
 	id := e.id
 	if newID {
 		id = e.p.newIDLocked()
 	}
-	next, err := e.nextLocked(id)
+	next, err := e.startNextIncarnationLocked(id)
 	if err != nil {
-		e.p.broken = append(e.p.broken, e.id+" is not back: "+err.Error())
+		e.p.violations = append(e.p.violations, e.id+" is not back: "+err.Error())
 		return
 	}
 	if newID {
 		delete(e.p.endpoints, e.id)
-		e.p.putKeyed("keyed.servers", e.id, nil)
+		e.p.appendKeyed("keyed.servers", e.id, nil)
 	}
 	e.p.instances[e.instance].endpoint = id
 	next.registerLocked()
--- a/internal/standin/wire/endpoint.go
+++ b/internal/standin/wire/endpoint.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// Endpoint is one incarnation of an endpoint. The spec of a task is how many
-// milliseconds it works.
+// Endpoint is one incarnation of an endpoint. The spec of a task is its duration in
+// milliseconds.
 type Endpoint struct {
 	p        *Platform
 	id       string
@@ -18,37 +18,38 @@
 	instance string
 	listener net.Listener
 	server   *http.Server
-	// born is when the incarnation started; its clock showed clockAtBirth then.
-	born         time.Time
-	clockAtBirth time.Duration
-	// crashed incarnations answer nothing.
+	// startedAt is the start of the incarnation; its clock showed clockAtStart then.
+	startedAt    time.Time
+	clockAtStart time.Duration
+	// crashed incarnations break every connection without an answer.
 	crashed bool
-	// cpu is the processor room, rooms what it was before; seq numbers the entries.
-	cpu   int
-	rooms []pastRoom
-	seq   int
+	// cpu is the CPU capacity in thousandths of a core and pastCapacities its earlier values;
+	// seq numbers the entries in service discovery.
+	cpu            int
+	pastCapacities []pastCapacity
+	seq            int
 
-	fence   int64
-	lease   time.Duration
-	running map[string]*taskRun
-	highest map[string]int
-	ended   []taskEnd
-	number  int64
-	gone    bool
+	fence         int64
+	lease         time.Duration
+	running       map[string]*taskRun
+	highestRun    map[string]int
+	ended         []taskEnd
+	lastEndNumber int64
+	removed       bool
 }
 
 type taskRun struct {
-	number int
-	began  time.Time
-	work   time.Duration
-	stop   bool
+	number    int
+	startedAt time.Time
+	duration  time.Duration
+	stopping  bool
 }
 
 type taskEnd struct {
-	number     int64
-	task       string
-	run        int
-	how, saved string
+	number              int64
+	task                string
+	run                 int
+	outcome, checkpoint string
 }
 
 type order struct {
@@ -62,26 +63,26 @@
 }
 
 const (
-	// stopTime is how long a stop takes.
-	stopTime = 50 * time.Millisecond
-	// entryLag is how long service discovery shows an incarnation that has restarted
-	// under its id.
-	entryLag = 400 * time.Millisecond
-	// latestClock bounds what an incarnation's clock shows as it starts.
-	latestClock = time.Hour
+	// stopDuration is the time a stopped run takes to end.
+	stopDuration = 50 * time.Millisecond
+	// restartEntryDelay is how long service discovery still shows the previous incarnation after
+	// a restart under the same id.
+	restartEntryDelay = 400 * time.Millisecond
+	// maxInitialClock bounds the clock value that an incarnation starts with.
+	maxInitialClock = time.Hour
 )
 
-// startEndpointLocked starts the endpoint of an instance.
+// startEndpointLocked starts an endpoint on an instance.
 func (p *Platform) startEndpointLocked(instance, pool string) error {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return err
 	}
-	id := p.instances[instance].former
+	id := p.instances[instance].previousEndpoint
 	if id == "" || !p.keepIDs {
 		id = p.newIDLocked()
 	}
-	e := p.incarnationLocked(id, instance, pool, listener)
+	e := p.serveIncarnationLocked(id, instance, pool, listener)
 	p.instances[instance].endpoint = id
 	e.registerLocked()
 	return nil
@@ -92,41 +93,41 @@
 	return fmt.Sprintf("i-%06d", p.incarnations)
 }
 
-// restartLocked ends an incarnation without notice and starts another under its id and
-// address, which holds and knows nothing of before.
+// restartLocked ends an incarnation without notice and starts another under its id and address,
+// without any runs, fence or lease of the previous one.
 func (e *Endpoint) restartLocked() error {
 	e.crashed = true
 	e.dropRunsLocked()
 	if err := e.server.Close(); err != nil {
 		return err
 	}
-	next, err := e.nextLocked(e.id)
+	next, err := e.startNextIncarnationLocked(e.id)
 	if err != nil {
 		return err
 	}
-	time.AfterFunc(entryLag, func() {
+	time.AfterFunc(restartEntryDelay, func() {
 		e.p.mu.Lock()
 		defer e.p.mu.Unlock()
-		if !next.overLocked() {
+		if !next.hasEndedLocked() {
 			next.registerLocked()
 		}
 	})
 	return nil
 }
 
-// nextLocked serves the incarnation after one that has ended, at its address.
-func (e *Endpoint) nextLocked(id string) (*Endpoint, error) {
+// startNextIncarnationLocked starts an incarnation at the address of one that has ended.
+func (e *Endpoint) startNextIncarnationLocked(id string) (*Endpoint, error) {
 	listener, err := net.Listen("tcp", e.listener.Addr().String())
 	if err != nil {
 		return nil, err
 	}
-	return e.p.incarnationLocked(id, e.instance, e.pool, listener), nil
+	return e.p.serveIncarnationLocked(id, e.instance, e.pool, listener), nil
 }
 
-// incarnationLocked serves a new incarnation.
-func (p *Platform) incarnationLocked(id, instance, pool string, listener net.Listener) *Endpoint {
-	e := &Endpoint{p: p, id: id, pool: pool, instance: instance, listener: listener, born: time.Now(),
-		clockAtBirth: time.Duration(p.rng.Int64N(int64(latestClock))), running: map[string]*taskRun{}, highest: map[string]int{}, cpu: endpointCPU}
+// serveIncarnationLocked starts a new incarnation and its HTTP server.
+func (p *Platform) serveIncarnationLocked(id, instance, pool string, listener net.Listener) *Endpoint {
+	e := &Endpoint{p: p, id: id, pool: pool, instance: instance, listener: listener, startedAt: time.Now(),
+		clockAtStart: time.Duration(p.rng.Int64N(int64(maxInitialClock))), running: map[string]*taskRun{}, highestRun: map[string]int{}, cpu: endpointCPU}
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /cyclamenwheel/run-start", e.handle(e.start))
 	mux.HandleFunc("POST /cyclamenwheel/run-stop", e.handle(e.stopRun))
@@ -134,20 +135,20 @@
 	e.server = &http.Server{Handler: mux}
 	go func() { _ = e.server.Serve(listener) }() // ends with Close
 	p.endpoints[e.id] = e
-	go e.beat()
+	go e.sendHeartbeats()
 	return e
 }
 
-// endLocked ends an incarnation at once, and all that runs on it.
+// endLocked removes the endpoint at once, with every run on it.
 func (e *Endpoint) endLocked() {
-	e.gone = true
+	e.removed = true
 	e.dropRunsLocked()
 	delete(e.p.endpoints, e.id)
-	e.p.putKeyed("keyed.servers", e.id, nil)
+	e.p.appendKeyed("keyed.servers", e.id, nil)
 	go e.server.Close()
 }
 
-// dropRunsLocked takes back what runs.
+// dropRunsLocked drops all running tasks without reporting an end.
 func (e *Endpoint) dropRunsLocked() {
 	for name := range e.running {
 		e.p.history(name).running--
@@ -155,9 +156,9 @@
 	clear(e.running)
 }
 
-func (e *Endpoint) clock() time.Duration { return e.clockAtBirth + time.Since(e.born) }
+func (e *Endpoint) clock() time.Duration { return e.clockAtStart + time.Since(e.startedAt) }
 
-// handle checks incarnation and fence, and answers with the clock.
+// handle decodes an order, checks incarnation and fence, and includes the clock in the answer.
 func (e *Endpoint) handle(f func(order) (int, string)) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		var in order
@@ -180,21 +181,23 @@
 	}
 }
 
-// statusNoAnswer stands for a connection that breaks without an answer.
+// statusNoAnswer stands for a connection that is closed without an answer.
 const statusNoAnswer = 0
 
+// check rejects orders for another incarnation or with an older fencing token, and ends runs
+// that are due to end.
 func (e *Endpoint) check(r *http.Request, in order) (int, string) {
 	if e.crashed {
 		return statusNoAnswer, ""
 	}
-	if want := r.Header.Get("Cyclamenwheel-Expect-Instance"); e.gone || want != "" && want != e.id {
+	if want := r.Header.Get("Cyclamenwheel-Expect-Instance"); e.removed || want != "" && want != e.id {
 		return http.StatusMisdirectedRequest, ""
 	}
 	if in.Fence < e.fence {
 		return http.StatusConflict, "fence"
 	}
 	e.fence = in.Fence
-	e.settle()
+	e.endFinishedRuns()
 	return http.StatusOK, ""
 }
 
@@ -202,7 +205,7 @@
 	if run := e.running[in.Task]; run != nil && run.number == in.Run {
 		return http.StatusOK, ""
 	}
-	if in.Run <= e.highest[in.Task] {
+	if in.Run <= e.highestRun[in.Task] {
 		return http.StatusConflict, "old"
 	}
 	if lease := time.Duration(in.DeadlineMs) * time.Millisecond; lease > e.lease {
@@ -217,31 +220,31 @@
 	}
 	if in.Spec == SpecCrashes {
 		ms = int(time.Hour.Milliseconds())
-		e.startCrashingLocked(in.Task)
+		e.recordCrashingStartLocked(in.Task)
 	}
-	e.running[in.Task] = &taskRun{number: in.Run, began: time.Now(), work: time.Duration(ms) * time.Millisecond}
-	e.p.began(in.Task, e)
+	e.running[in.Task] = &taskRun{number: in.Run, startedAt: time.Now(), duration: time.Duration(ms) * time.Millisecond}
+	e.p.recordStart(in.Task, e)
 	return http.StatusOK, ""
 }
 
 func (e *Endpoint) stopRun(in order) (int, string) {
 	if run := e.running[in.Task]; run != nil && run.number == in.Run {
-		run.stop, run.work = true, time.Since(run.began)+stopTime
+		run.stopping, run.duration = true, time.Since(run.startedAt)+stopDuration
 		return http.StatusOK, ""
 	}
-	e.highest[in.Task] = max(e.highest[in.Task], in.Run)
+	e.highestRun[in.Task] = max(e.highestRun[in.Task], in.Run)
 	return http.StatusOK, ""
 }
 
-// settle ends what is through or has lost its lease.
-func (e *Endpoint) settle() {
-	lapsed := e.clock() > e.lease
+// endFinishedRuns ends runs that have finished or whose lease has expired.
+func (e *Endpoint) endFinishedRuns() {
+	leaseExpired := e.clock() > e.lease
 	for name, run := range e.running {
 		switch {
-		case lapsed:
+		case leaseExpired:
 			e.endRun(name, run, "lapsed")
-		case time.Since(run.began) < run.work:
-		case run.stop:
+		case time.Since(run.startedAt) < run.duration:
+		case run.stopping:
 			e.endRun(name, run, "stopped")
 		default:
 			e.endRun(name, run, "done")
@@ -249,14 +252,16 @@
 	}
 }
 
-func (e *Endpoint) endRun(name string, run *taskRun, how string) {
+func (e *Endpoint) endRun(name string, run *taskRun, outcome string) {
 	delete(e.running, name)
-	e.highest[name] = max(e.highest[name], run.number)
-	e.number++
-	e.ended = append(e.ended, taskEnd{number: e.number, task: name, run: run.number, how: how})
+	e.highestRun[name] = max(e.highestRun[name], run.number)
+	e.lastEndNumber++
+	e.ended = append(e.ended, taskEnd{number: e.lastEndNumber, task: name, run: run.number, outcome: outcome})
 	e.p.history(name).running--
 }
 
+// hold answers a long poll: it renews the lease and waits until a run has ended or the wait time
+// is over.
 func (e *Endpoint) hold(w http.ResponseWriter, r *http.Request) {
 	var in order
 	if json.NewDecoder(r.Body).Decode(&in) != nil {
@@ -285,29 +290,30 @@
 			return
 		}
 		e.p.mu.Unlock()
-		time.Sleep(pollStep)
+		time.Sleep(pollInterval)
 	}
 }
 
-// acknowledge forgets ends. A task whose good end is forgotten must not start
+// acknowledge drops ended runs up to a number. A task that is dropped as done must not start
 // again.
 func (e *Endpoint) acknowledge(upTo int64) {
 	for len(e.ended) > 0 && e.ended[0].number <= upTo {
-		if e.ended[0].how == "done" {
+		if e.ended[0].outcome == "done" {
 			e.p.history(e.ended[0].task).done = true
 		}
 		e.ended = e.ended[1:]
 	}
 }
 
+// listing returns the running tasks and the ends that are not acknowledged yet.
 func (e *Endpoint) listing() map[string]any {
 	running, ended := [][]any{}, [][]any{}
 	for name, run := range e.running {
-		percent := min(99, int(100*time.Since(run.began)/(run.work+1)))
+		percent := min(99, int(100*time.Since(run.startedAt)/(run.duration+1)))
 		running = append(running, []any{name, run.number, "", percent, 0})
 	}
 	for _, end := range e.ended {
-		ended = append(ended, []any{end.number, end.task, end.run, end.how, end.saved})
+		ended = append(ended, []any{end.number, end.task, end.run, end.outcome, end.checkpoint})
 	}
-	return map[string]any{"clockMs": e.clock().Milliseconds(), "born": e.born.UnixMilli(), "running": running, "ended": ended}
+	return map[string]any{"clockMs": e.clock().Milliseconds(), "born": e.startedAt.UnixMilli(), "running": running, "ended": ended}
 }
--- a/internal/standin/wire/heartbeat.go
+++ b/internal/standin/wire/heartbeat.go
@@ -6,26 +6,28 @@
 )
 
 const (
-	// Heartbeat is how often endpoints write their entries in service discovery, and
-	// StableWindow how long beyond that a room that has shrunk still counts.
+	// Heartbeat is the interval at which endpoints write their entries in service discovery. A
+	// reduced capacity replaces the larger one only StableWindow plus one heartbeat later.
 	Heartbeat    = 500 * time.Millisecond
 	StableWindow = 3 * time.Second
-	// beatsMissed is after how many heartbeats without an entry service discovery drops it.
-	beatsMissed = 3
+	// maxMissedHeartbeats is the number of missed heartbeats after which service discovery drops
+	// an entry.
+	maxMissedHeartbeats = 3
 )
 
-// pastRoom is a processor room that an endpoint had until some time.
-type pastRoom struct {
+// pastCapacity is an earlier CPU capacity of an endpoint and the time at which it was replaced.
+type pastCapacity struct {
 	cpu   int
 	until time.Time
 }
 
-// beat writes the incarnation's entry at intervals until it is over.
-func (e *Endpoint) beat() {
+// sendHeartbeats writes the incarnation's entry once per heartbeat interval until the
+// incarnation ends.
+func (e *Endpoint) sendHeartbeats() {
 	for {
 		time.Sleep(Heartbeat)
 		e.p.mu.Lock()
-		if e.overLocked() {
+		if e.hasEndedLocked() {
 			e.p.mu.Unlock()
 			return
 		}
@@ -36,43 +38,44 @@
 	}
 }
 
-// overLocked reports whether the incarnation has ended.
-func (e *Endpoint) overLocked() bool {
-	return e.gone || e.crashed || e.p.closed || e.p.endpoints[e.id] != e
+// hasEndedLocked reports whether the incarnation or the platform has ended.
+func (e *Endpoint) hasEndedLocked() bool {
+	return e.removed || e.crashed || e.p.closed || e.p.endpoints[e.id] != e
 }
 
 // registerLocked writes the incarnation's entry in service discovery.
 func (e *Endpoint) registerLocked() {
 	e.seq++
 	entry, err := json.Marshal(map[string]any{"service": e.pool, "addr": e.listener.Addr().String(), "zone": "z", "state": "ready",
-		"version": "v1", "slots": 8, "coldLeftMs": 0, "seq": e.seq, "born": e.born.UnixMilli(), "clockMs": e.clock().Milliseconds(),
+		"version": "v1", "slots": 8, "coldLeftMs": 0, "seq": e.seq, "born": e.startedAt.UnixMilli(), "clockMs": e.clock().Milliseconds(),
 		"capacity": map[string]int{"cpu": e.cpu, "memMb": endpointMemory, "gpu": 0}, "labels": []string{"a", "r-" + e.instance}})
 	if err != nil {
 		panic(err) // strings and numbers only
 	}
-	e.p.putKeyed("keyed.servers", e.id, entry)
+	e.p.appendKeyed("keyed.servers", e.id, entry)
 }
 
-// ResizeEndpoint changes the processor room of one endpoint of a pool while it runs.
+// ResizeEndpoint changes the CPU capacity of one running endpoint of a pool.
 func (p *Platform) ResizeEndpoint(pool string, cpu int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, e := range p.endpoints {
-		if e.pool == pool && !e.overLocked() {
-			e.rooms = append(e.rooms, pastRoom{e.cpu, time.Now()})
+		if e.pool == pool && !e.hasEndedLocked() {
+			e.pastCapacities = append(e.pastCapacities, pastCapacity{e.cpu, time.Now()})
 			e.cpu = cpu
 			return
 		}
 	}
 }
 
-// roomThatCounts is the processor room that starts may fill.
-func (e *Endpoint) roomThatCounts() int {
-	most := e.cpu
-	for _, past := range e.rooms {
+// allowedCPU is the CPU that running tasks may use: the current capacity, or a larger one that
+// was replaced within StableWindow plus one heartbeat.
+func (e *Endpoint) allowedCPU() int {
+	allowed := e.cpu
+	for _, past := range e.pastCapacities {
 		if time.Since(past.until) < StableWindow+Heartbeat {
-			most = max(most, past.cpu)
+			allowed = max(allowed, past.cpu)
 		}
 	}
-	return most
+	return allowed
 }
--- a/internal/standin/wire/platform.go
+++ b/internal/standin/wire/platform.go
@@ -1,7 +1,8 @@
-// Package wire is a stand-in of the users' platform that speaks its published
-// protocol on loopback: the store, endpoints with leases and fences, and the
-// instance list. Tests, the demo and the soak share it. It notes what an
-// observer of the endpoints would call wrong.
+// Package wire simulates the outside platform on loopback: its log store, its instance list, and
+// endpoints with leases and fencing tokens, all over the published HTTP protocol. It takes
+// instance counts, configurations and faults from its caller and records each violation that the
+// endpoints observe, such as two concurrent runs of one task. Tests and package trial, with
+// which cyclamen-trial runs the demo and the soak, start it.
 package wire
 
 import (
@@ -16,40 +17,42 @@
 	"time"
 )
 
-// Sizes and times of the stand-in.
+// changeDuration is the time that a move or maintenance takes; capacities are in thousandths of
+// a core and MB.
 const (
 	endpointCPU    = 16000
 	endpointMemory = 65536
 	taskCPU        = 1000
-	moveTime       = 300 * time.Millisecond
-	// SparePool is where instances are switched off.
+	changeDuration = 300 * time.Millisecond
+	// SparePool is the pool of instances without an endpoint.
 	SparePool = "spare"
 )
 
-// Faults are shares of calls that go wrong.
+// Faults are the faults that the platform injects.
 type Faults struct {
-	// LostAnswers of appends, LostOrders of orders: carried out, not answered.
+	// LostAnswers is the share of appends, and LostOrders the share of orders to endpoints, that
+	// are carried out but not answered.
 	LostAnswers, LostOrders float64
-	// StoreDelay is how long the store holds each answer back.
+	// StoreDelay is how long the store delays each answer.
 	StoreDelay time.Duration
 }
 
 type instance struct {
 	pool, state, endpoint string
-	// former is the endpoint of the last incarnation that an operation ended.
-	former     string
-	maintained map[int]bool
+	// previousEndpoint is the id of the last endpoint that a move or maintenance ended.
+	previousEndpoint string
+	maintained       map[int]bool
 }
 
-type history struct {
+type taskHistory struct {
 	running int
 	done    bool
-	// crashes counts the endpoints that crashed under the task, afterThird its starts since
-	// the third.
-	crashes, afterThird int
+	// crashes counts the endpoints that crashed under the task, startsAfterThreshold its starts
+	// after crashThreshold crashes.
+	crashes, startsAfterThreshold int
 }
 
-// Platform is the stand-in.
+// Platform simulates the outside platform.
 type Platform struct {
 	mu           sync.Mutex
 	rng          *rand.Rand
@@ -60,16 +63,16 @@
 	endpoints    map[string]*Endpoint
 	incarnations int
 	instances    map[string]*instance
-	runs         map[string]*history
-	broken       []string
+	histories    map[string]*taskHistory
+	violations   []string
 	storeDown    bool
 	closed       bool
-	// accounts are those of the configuration, limits what they might have running before,
-	// and owners whose jobs are whose.
-	accounts []Account
-	limits   map[string][]limit
-	owners   map[string]string
-	// keepIDs: endpoints come back from operations under their ids.
+	// accounts are those of the configuration, pastLimits their replaced limits, and jobAccounts
+	// the account of each job.
+	accounts    []Account
+	pastLimits  map[string][]pastLimit
+	jobAccounts map[string]string
+	// keepIDs: endpoints keep their ids through moves and maintenance.
 	keepIDs bool
 
 	listener net.Listener
@@ -83,8 +86,8 @@
 		return nil, err
 	}
 	p := &Platform{rng: rand.New(rand.NewPCG(seed, 1)), topics: map[string]*topic{}, members: map[string]groupMember{},
-		endpoints: map[string]*Endpoint{}, instances: map[string]*instance{}, runs: map[string]*history{}, listener: listener,
-		limits: map[string][]limit{}, owners: map[string]string{}}
+		endpoints: map[string]*Endpoint{}, instances: map[string]*instance{}, histories: map[string]*taskHistory{}, listener: listener,
+		pastLimits: map[string][]pastLimit{}, jobAccounts: map[string]string{}}
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /cyclamenwheel/log-append", p.handleAppend)
 	mux.HandleFunc("GET /cyclamenwheel/log-read", p.handleRead)
@@ -95,7 +98,7 @@
 	mux.HandleFunc("GET /cyclamenwheel/machines", p.handleMachines)
 	mux.HandleFunc("POST /cyclamenwheel/machine-move", p.handleChange(false))
 	mux.HandleFunc("POST /cyclamenwheel/machine-upkeep", p.handleChange(true))
-	p.server = &http.Server{Handler: p.delayed(mux)}
+	p.server = &http.Server{Handler: p.withStoreDelay(mux)}
 	go func() { _ = p.server.Serve(listener) }() // ends with Close
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -114,9 +117,8 @@
 	return p, nil
 }
 
-// delayed holds the store's answers back while it is slow. What was asked for is done
-// meanwhile.
-func (p *Platform) delayed(next http.Handler) http.Handler {
+// withStoreDelay delays the answers of the store. The request itself is carried out at once.
+func (p *Platform) withStoreDelay(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if strings.HasPrefix(r.URL.Path, "/cyclamenwheel/log-") {
 			p.mu.Lock()
@@ -128,10 +130,10 @@
 	})
 }
 
-// Addr is where the store and the instance list answer.
+// Addr is the address of the store and the instance list.
 func (p *Platform) Addr() string { return p.listener.Addr().String() }
 
-// Close ends the platform and its endpoints.
+// Close stops the platform and its endpoints.
 func (p *Platform) Close() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -142,21 +144,22 @@
 	go p.server.Close()
 }
 
-// SetFaults changes what goes wrong from now on.
+// SetFaults replaces the injected faults.
 func (p *Platform) SetFaults(f Faults) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.faults = f
 }
 
-// SetStoreDown turns every call of the store away, or serves again.
+// SetStoreDown makes the store refuse every call, or serve again. Endpoints write no heartbeats
+// while it is down.
 func (p *Platform) SetStoreDown(down bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.storeDown = down
 }
 
-// KeepIDs lets endpoints come back from moves and maintenance under the ids that they had.
+// KeepIDs makes endpoints keep their ids through moves and maintenance.
 func (p *Platform) KeepIDs() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -169,7 +172,7 @@
 	defer p.mu.Unlock()
 	var ids []string
 	for id, e := range p.endpoints {
-		if e.pool == pool && !e.gone {
+		if e.pool == pool && !e.removed {
 			ids = append(ids, id)
 		}
 	}
@@ -177,8 +180,7 @@
 	return ids
 }
 
-// KillEndpoint ends one endpoint of a pool without notice; a new incarnation
-// takes its place.
+// KillEndpoint removes one endpoint of a pool without notice and starts another on its instance.
 func (p *Platform) KillEndpoint(pool string) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -191,7 +193,7 @@
 	return nil
 }
 
-// RestartEndpoint lets one endpoint of a pool crash and start again under its id.
+// RestartEndpoint crashes one endpoint of a pool and restarts it under the same id.
 func (p *Platform) RestartEndpoint(pool string) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -203,7 +205,7 @@
 	return nil
 }
 
-// Publish stores a configuration: one queue a pool, at prefix /POOL/ of host.
+// Publish stores a configuration with one queue per pool, at path prefix /POOL/ of host.
 func (p *Platform) Publish(version int, host string, pools ...string) error {
 	type object = map[string]any
 	routes, services := []object{}, []object{{"name": SparePool, "spare": true}}
@@ -216,18 +218,18 @@
 	defer p.mu.Unlock()
 	config := object{"version": version, "routes": routes, "services": services,
 		"limits": object{"maxHeaderBytes": 16384, "maxBodyBytes": 262144}}
-	if tenants := p.tenants(); tenants != nil {
+	if tenants := p.tenantConfig(); tenants != nil {
 		config["tenants"] = tenants
 	}
 	value, err := json.Marshal(config)
 	if err != nil {
 		return err
 	}
-	p.putKeyed("keyed.op", "config", value)
+	p.appendKeyed("keyed.op", "config", value)
 	return nil
 }
 
-// AskWave publishes a maintenance wave over some instances of each pool.
+// AskWave publishes a maintenance wave over the given instances.
 func (p *Platform) AskWave(number, atOnce int, within time.Duration, instances ...string) error {
 	value, err := json.Marshal(map[string]any{"wave": number, "machines": instances, "withinS": within.Seconds(), "maxCount": atOnce})
 	if err != nil {
@@ -235,7 +237,7 @@
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.putKeyed("keyed.op", fmt.Sprintf("wave/%d", number), value)
+	p.appendKeyed("keyed.op", fmt.Sprintf("wave/%d", number), value)
 	return nil
 }
 
@@ -253,7 +255,7 @@
 	return names
 }
 
-// Maintained returns how many instances have been through a wave.
+// Maintained returns how many instances a wave has maintained.
 func (p *Platform) Maintained(wave int) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -266,44 +268,44 @@
 	return n
 }
 
-// Broken lists what went wrong so far.
+// Broken returns the violations recorded so far.
 func (p *Platform) Broken() []string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return slices.Clone(p.broken)
+	return slices.Clone(p.violations)
 }
 
-// Started returns how many tasks have ever begun.
+// Started returns how many tasks have been started at least once.
 func (p *Platform) Started() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return len(p.runs)
+	return len(p.histories)
 }
 
-func (p *Platform) history(task string) *history {
-	if p.runs[task] == nil {
-		p.runs[task] = &history{}
+func (p *Platform) history(task string) *taskHistory {
+	if p.histories[task] == nil {
+		p.histories[task] = &taskHistory{}
 	}
-	return p.runs[task]
+	return p.histories[task]
 }
 
-// began notes a start, and what is wrong with it. Runs end at their own time, also on
-// endpoints that nobody has called since.
-func (p *Platform) began(task string, e *Endpoint) {
+// recordStart records a start and the violations that it causes. Finished runs are ended first
+// on all endpoints, because nodes may not have polled some of them since.
+func (p *Platform) recordStart(task string, e *Endpoint) {
 	for _, other := range p.endpoints {
-		other.settle()
+		other.endFinishedRuns()
 	}
 	h := p.history(task)
 	if h.running > 0 {
-		p.broken = append(p.broken, task+" runs twice at once")
+		p.violations = append(p.violations, task+" runs twice at once")
 	}
 	if h.done {
-		p.broken = append(p.broken, task+" starts after its end was acknowledged")
+		p.violations = append(p.violations, task+" starts after its end was acknowledged")
 	}
 	h.running++
-	p.checkAccount(task)
-	if len(e.running)*taskCPU > e.roomThatCounts() {
-		p.broken = append(p.broken, e.id+" is over its room")
+	p.checkAccountLimit(task)
+	if len(e.running)*taskCPU > e.allowedCPU() {
+		p.violations = append(p.violations, e.id+" is over its room")
 	}
 }
 
@@ -318,7 +320,7 @@
 	reply(w, http.StatusOK, map[string]any{"machines": rows, "nextToken": nil})
 }
 
-// handleChange moves an instance or begins its maintenance.
+// handleChange moves an instance or starts its maintenance.
 func (p *Platform) handleChange(maintain bool) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		var in struct {
@@ -349,17 +351,17 @@
 func (p *Platform) changeLocked(i *instance, name, pool string, wave int, maintain bool) {
 	if e := p.endpoints[i.endpoint]; e != nil {
 		if len(e.running) > 0 {
-			p.broken = append(p.broken, name+" was taken while tasks ran on it")
+			p.violations = append(p.violations, name+" was taken while tasks ran on it")
 		}
 		e.endLocked()
 	}
-	i.former, i.endpoint = i.endpoint, ""
+	i.previousEndpoint, i.endpoint = i.endpoint, ""
 	if maintain {
 		i.state, i.maintained[wave] = "upkeep", true
 	} else {
 		i.state, i.pool = "moving", pool
 	}
-	time.AfterFunc(moveTime, func() {
+	time.AfterFunc(changeDuration, func() {
 		p.mu.Lock()
 		defer p.mu.Unlock()
 		i.state = "up"
@@ -367,7 +369,7 @@
 			return
 		}
 		if err := p.startEndpointLocked(name, i.pool); err != nil {
-			p.broken = append(p.broken, name+": "+err.Error())
+			p.violations = append(p.violations, name+": "+err.Error())
 		}
 	})
 }
--- a/internal/standin/wire/twice_test.go
+++ b/internal/standin/wire/runs_end_test.go
@@ -10,8 +10,8 @@
 	. "github.com/onsi/gomega"
 )
 
-// startOn orders a run on an endpoint, with a lease of the given length.
-func startOn(g *WithT, e *Endpoint, run, workMs int, lease time.Duration) {
+// startRun starts a run on an endpoint, with a lease of the given length.
+func startRun(g *WithT, e *Endpoint, run, workMs int, lease time.Duration) {
 	until := (e.clock() + lease).Milliseconds()
 	body := fmt.Sprintf(`{"task":"t.0.0.0","run":%d,"spec":"%d","deadlineMs":%d,"fence":1}`, run, workMs, until)
 	resp, err := http.Post("http://"+e.listener.Addr().String()+"/cyclamenwheel/run-start", "application/json", strings.NewReader(body))
@@ -20,19 +20,19 @@
 	g.Expect(resp.StatusCode).To(Equal(http.StatusOK))
 }
 
-// A run that is through, or has lost its lease, on an endpoint that nobody calls any
-// more, as an owner that can't read its entry does, runs nowhere: its successor is
-// no second run. One that is at work is.
-func TestRunsEndWithoutBeingAskedFor(t *testing.T) {
+// Guards against false reports of concurrent runs: a run that has finished or lost its lease
+// must not count as running on an endpoint that nodes have stopped polling, while one still at
+// work must.
+func TestRunsEndOnEndpointsThatAreNotPolled(t *testing.T) {
 	const long = time.Minute
 	for _, c := range []struct {
-		name       string
-		workMs     int
-		lease      time.Duration
-		wantBroken bool
+		name          string
+		workMs        int
+		lease         time.Duration
+		wantViolation bool
 	}{
-		{"through", 10, long, false},
-		{"lease run out", 60_000, 500 * time.Millisecond, false},
+		{"finished", 10, long, false},
+		{"lease expired", 60_000, 500 * time.Millisecond, false},
 		{"at work", 60_000, long, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -42,13 +42,13 @@
 			defer p.Close()
 			ids := p.Endpoints("tabs")
 			first, second := p.endpoints[ids[0]], p.endpoints[ids[1]]
-			startOn(g, first, 1, c.workMs, c.lease)
-			time.Sleep(20 * time.Millisecond) // past the short work
+			startRun(g, first, 1, c.workMs, c.lease)
+			time.Sleep(20 * time.Millisecond) // longer than the short run
 			if c.lease < long {
 				time.Sleep(c.lease)
 			}
-			startOn(g, second, 2, 10, long)
-			g.Expect(len(p.Broken()) > 0).To(Equal(c.wantBroken), "%v", p.Broken())
+			startRun(g, second, 2, 10, long)
+			g.Expect(len(p.Broken()) > 0).To(Equal(c.wantViolation), "%v", p.Broken())
 		})
 	}
 }
--- a/internal/standin/wire/store.go
+++ b/internal/standin/wire/store.go
@@ -12,16 +12,17 @@
 )
 
 const (
-	// partitions is how many a topic of the system's own gets.
+	// partitions is the number of partitions of the topic that nodes distribute among
+	// themselves.
 	partitions = 24
-	// keptAppends is how many appends of a producer are recognised.
-	keptAppends = 5
-	// pageItems bounds a page of newest records.
-	pageItems = 500
-	pollStep  = 5 * time.Millisecond
+	// recentAppends is how many appends of a producer are recognised when they are repeated.
+	recentAppends = 5
+	// pageItems limits a page of newest records.
+	pageItems    = 500
+	pollInterval = 5 * time.Millisecond
 )
 
-// topic is the only partition that holds records.
+// topic is the log of the only partition of a topic that holds records.
 type topic struct {
 	first   int64
 	records [][]byte
@@ -50,15 +51,15 @@
 	return t
 }
 
-// putKeyed appends a record with a key, as operators and endpoints do.
-func (p *Platform) putKeyed(name, key string, value []byte) {
+// appendKeyed appends a record with a key, as operators and endpoints do.
+func (p *Platform) appendKeyed(name, key string, value []byte) {
 	record := append([]byte{byte(len(key))}, key...)
 	t := p.topic(name)
 	t.records = append(t.records, append(record, value...))
 }
 
-// Written is all that nodes have written to topics of theirs, which no operator and no
-// endpoint writes to.
+// Written returns all records that nodes have written: those of every topic but the ones of
+// operators and endpoints.
 func (p *Platform) Written() []byte {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -74,7 +75,7 @@
 	return all
 }
 
-// PutForeign appends a record to a topic as another writer would, as it is.
+// PutForeign appends a raw record to a topic, as another writer would.
 func (p *Platform) PutForeign(topicName string, record []byte) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -107,23 +108,23 @@
 
 func (p *Platform) appendLocked(t *topic, get func(string) string, records [][]byte) (int, appendAnswer) {
 	number := func(name string) int64 {
-		n, _ := strconv.ParseInt(get(name), 10, 64) // absent counts as 0
+		n, _ := strconv.ParseInt(get(name), 10, 64) // a missing number counts as 0
 		return n
 	}
 	producer, epoch, seq := get("producer"), number("epoch"), number("seq")
 	if producer != "" {
-		by := t.writers[producer]
-		if by == nil || epoch > by.epoch {
-			by = &writer{epoch: epoch, next: seq, recent: map[int64]appendAnswer{}}
-			t.writers[producer] = by
+		state := t.writers[producer]
+		if state == nil || epoch > state.epoch {
+			state = &writer{epoch: epoch, next: seq, recent: map[int64]appendAnswer{}}
+			t.writers[producer] = state
 		}
-		if epoch < by.epoch {
+		if epoch < state.epoch {
 			return http.StatusConflict, appendAnswer{Reason: "fenced"}
 		}
-		if had, again := by.recent[seq]; again && len(records) > 0 {
-			return http.StatusOK, had
+		if earlier, isRetry := state.recent[seq]; isRetry && len(records) > 0 {
+			return http.StatusOK, earlier
 		}
-		if len(records) > 0 && seq != by.next {
+		if len(records) > 0 && seq != state.next {
 			return http.StatusConflict, appendAnswer{Reason: "seq"}
 		}
 	}
@@ -134,10 +135,10 @@
 	t.records = append(t.records, records...)
 	answer.End = t.end()
 	if producer != "" && len(records) > 0 {
-		by := t.writers[producer]
-		by.recent[seq] = answer
-		delete(by.recent, seq-keptAppends)
-		by.next = seq + 1
+		state := t.writers[producer]
+		state.recent[seq] = answer
+		delete(state.recent, seq-recentAppends)
+		state.next = seq + 1
 	}
 	return http.StatusOK, answer
 }
@@ -168,9 +169,9 @@
 		p.mu.Lock()
 		down, t := p.storeDown, p.topic(q.Get("topic"))
 		first, end := t.first, t.end()
-		var found [][]byte
+		var records [][]byte
 		if from >= first && from < end {
-			found = slices.Clone(t.records[from-first:])
+			records = slices.Clone(t.records[from-first:])
 		}
 		p.mu.Unlock()
 		switch {
@@ -180,11 +181,11 @@
 		case from < first:
 			reply(w, http.StatusGone, map[string]int64{"earliest": first})
 			return
-		case len(found) > 0 || !time.Now().Before(deadline) || r.Context().Err() != nil:
-			writePage(w, first, end, found)
+		case len(records) > 0 || !time.Now().Before(deadline) || r.Context().Err() != nil:
+			writePage(w, first, end, records)
 			return
 		}
-		time.Sleep(pollStep)
+		time.Sleep(pollInterval)
 	}
 }
 
@@ -195,7 +196,7 @@
 		out = binary.BigEndian.AppendUint32(out, uint32(len(rec)))
 		out = append(out, rec...)
 	}
-	_, _ = w.Write(out) // a reader that has gone needs nothing
+	_, _ = w.Write(out) // the reader may have disconnected
 }
 
 type newestItem struct {
@@ -215,7 +216,7 @@
 	newest := map[string]newestItem{}
 	for i, rec := range t.records {
 		if len(rec) == 0 || len(rec) < 1+int(rec[0]) {
-			continue // another writer's, without a key
+			continue // a record without a key, from another writer
 		}
 		key := string(rec[1 : 1+rec[0]])
 		value := rec[1+rec[0]:]
@@ -239,8 +240,8 @@
 }
 
 type groupMember struct {
-	seen time.Time
-	ttl  time.Duration
+	lastSeen time.Time
+	ttl      time.Duration
 }
 
 type groupCall struct {
@@ -260,13 +261,13 @@
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
-	p.lapseMembersLocked()
+	p.expireMembersLocked()
 	if _, known := p.members[in.Member]; !known {
 		p.generation++
 	}
 	p.members[in.Member] = groupMember{time.Now(), time.Duration(in.TTLMs) * time.Millisecond}
 	rows := [][]any{}
-	for part, member := range p.dealLocked() {
+	for part, member := range p.assignPartitionsLocked() {
 		if member == in.Member {
 			rows = append(rows, []any{"owners", part, 0})
 		}
@@ -274,17 +275,17 @@
 	reply(w, http.StatusOK, map[string]any{"generation": p.generation, "parts": rows})
 }
 
-func (p *Platform) lapseMembersLocked() {
+func (p *Platform) expireMembersLocked() {
 	for name, m := range p.members {
-		if time.Since(m.seen) > m.ttl {
+		if time.Since(m.lastSeen) > m.ttl {
 			delete(p.members, name)
 			p.generation++
 		}
 	}
 }
 
-// dealLocked returns the member of each partition.
-func (p *Platform) dealLocked() []string {
+// assignPartitionsLocked returns the member that each partition is assigned to.
+func (p *Platform) assignPartitionsLocked() []string {
 	names := make([]string, 0, len(p.members))
 	for name := range p.members {
 		names = append(names, name)
@@ -321,9 +322,9 @@
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
-	p.lapseMembersLocked()
+	p.expireMembersLocked()
 	rows := [][]any{}
-	for part, member := range p.dealLocked() {
+	for part, member := range p.assignPartitionsLocked() {
 		if member != "" {
 			rows = append(rows, []any{"owners", part, member, 0})
 		}
@@ -334,5 +335,5 @@
 func reply(w http.ResponseWriter, status int, body any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	_ = json.NewEncoder(w).Encode(body) // a caller that has gone needs nothing
+	_ = json.NewEncoder(w).Encode(body) // the caller may have disconnected
 }
