--- a/internal/standin/trial/cluster.go
+++ b/internal/standin/trial/cluster.go
@@ -1,5 +1,8 @@
-// Package trial runs real nodes as processes on loopback against the wire
-// stand-in, hands jobs in as callers do, and checks what callers see.
+// Package trial runs cyclamen-node processes on loopback against the simulated platform of
+// package wire, submits jobs as callers do, and checks the states that callers see. It takes the
+// path of the program, a platform, and a load or a seed of random faults, and reports unfinished
+// jobs and violations, or the CPU time per task. The command cyclamen-trial and the tests in
+// test/platform and test/restarts call it.
 package trial
 
 import (
@@ -19,7 +22,7 @@
 	"cyclamenwheel/internal/standin/wire"
 )
 
-// Cluster is a platform and the nodes that run on it.
+// Cluster is a platform and the nodes that run against it.
 type Cluster struct {
 	Platform *wire.Platform
 	program  string
@@ -29,17 +32,17 @@
 	nodes    []*Node
 }
 
-// Node is one process.
+// Node is one cyclamen-node process.
 type Node struct {
 	Name, Front, ready string
-	// Operator is where it answers operators.
+	// Operator is the address of the node's operator interface.
 	Operator               string
 	settings, log, metrics string
 	cmd                    *exec.Cmd
 	done                   chan struct{}
 }
 
-// StartError says that a process could not be started.
+// StartError reports a process that could not be started.
 type StartError struct {
 	What  string
 	Cause error
@@ -50,7 +53,7 @@
 // Unwrap returns the cause.
 func (e *StartError) Unwrap() error { return e.Cause }
 
-// Start starts nodes of the program; dir takes their settings and logs, and env is
+// Start starts the given number of nodes. Their settings and logs are written to dir, and env is
 // added to their environment.
 func Start(program, dir string, platform *wire.Platform, nodes int, env ...string) (*Cluster, error) {
 	network, err := loopback.Claim()
@@ -87,11 +90,11 @@
 // prepare writes the settings of the i-th node.
 func (c *Cluster) prepare(i int) (*Node, error) {
 	name := fmt.Sprintf("node-%d", i+1)
-	on := func(port int) string { return fmt.Sprintf("%s:%d", c.net.IP(i+2), port) }
-	n := &Node{Name: name, Front: on(portCallers), ready: on(portReady), Operator: on(portOperators), metrics: on(portMetrics),
+	addrAt := func(port int) string { return fmt.Sprintf("%s:%d", c.net.IP(i+2), port) }
+	n := &Node{Name: name, Front: addrAt(portCallers), ready: addrAt(portReady), Operator: addrAt(portOperators), metrics: addrAt(portMetrics),
 		settings: filepath.Join(c.dir, name+".ini"), log: filepath.Join(c.dir, name+".log")}
 	text := fmt.Sprintf("[process]\nnode = %s\nzone = z\n[callers]\nlisten = %s\nready = %s\n[peer]\nlisten = %s\n[store]\naddress = %s\ninstances = %s\n[operator]\nlisten = %s\nmetrics = %s\n[bounds]\nmove = 300ms\nlease_ttl = 500ms\nendpoint_heartbeat = %s\nstable_window = %s\n",
-		name, n.Front, n.ready, on(portPeer), c.Platform.Addr(), c.Platform.Addr(), n.Operator, on(portMetrics), wire.Heartbeat, wire.StableWindow)
+		name, n.Front, n.ready, addrAt(portPeer), c.Platform.Addr(), c.Platform.Addr(), n.Operator, addrAt(portMetrics), wire.Heartbeat, wire.StableWindow)
 	if c.Platform.HasAccounts() {
 		text = strings.Replace(text, "[store]\n", "[store]\ncontracts = tenants\n", 1)
 	}
@@ -101,7 +104,7 @@
 	return n, nil
 }
 
-// Run starts a node's process, also again after it has ended.
+// Run starts a node's process, for the first time or after it has ended.
 func (c *Cluster) Run(n *Node) error {
 	log, err := os.OpenFile(n.log, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
@@ -116,14 +119,14 @@
 	}
 	n.done = make(chan struct{})
 	go func(cmd *exec.Cmd, done chan struct{}) {
-		_ = cmd.Wait() // how it ended is judged by what callers see
+		_ = cmd.Wait() // failures show in what callers see
 		log.Close()
 		close(done)
 	}(n.cmd, n.done)
 	return nil
 }
 
-// Signal sends a signal to the node's own process.
+// Signal sends a signal to the node's process.
 func (n *Node) Signal(s syscall.Signal) error { return n.cmd.Process.Signal(s) }
 
 // Wait waits for the node's process to end and returns its exit code.
@@ -132,7 +135,7 @@
 	return n.cmd.ProcessState.ExitCode()
 }
 
-// Log returns what the node wrote.
+// Log returns the output of the node.
 func (n *Node) Log() string {
 	data, err := os.ReadFile(n.log)
 	if err != nil {
@@ -141,7 +144,7 @@
 	return string(data)
 }
 
-// Ready reports whether the node says that it is ready.
+// Ready reports whether the readiness check of the node succeeds.
 func (n *Node) Ready() bool {
 	resp, err := http.Get("http://" + n.ready + "/cyclamenwheel/readyz")
 	if err != nil {
@@ -151,33 +154,34 @@
 	return resp.StatusCode == http.StatusOK
 }
 
-// Close kills every node that still runs.
+// Close kills the nodes that are still running.
 func (c *Cluster) Close() {
 	defer c.net.Release()
 	for _, n := range c.nodes {
 		select {
 		case <-n.done:
 		default:
-			_ = n.cmd.Process.Kill() // it may end by itself meanwhile
+			_ = n.cmd.Process.Kill() // the process may have ended meanwhile
 			<-n.done
 		}
 	}
 }
 
-// Caller sends requests of one host to the nodes in turn.
+// Caller sends requests for one host to the nodes in turn.
 type Caller struct {
 	Cluster *Cluster
 	Host    string
-	// Account is whose jobs it hands in with Key; "" for none.
+	// Account is the client account that Key belongs to; both are empty for requests without a
+	// key.
 	Account, Key string
 	mu           sync.Mutex
 	next         int
 }
 
-// callTimeout is a caller's patience for one try.
+// callTimeout is the timeout of one request.
 const callTimeout = 3 * time.Second
 
-// Do sends one request to the next node. A status of 0 stands for no answer.
+// Do sends one request to the next node. Status 0 means that no complete answer arrived.
 func (c *Caller) Do(method, path, body string) (status int, answer string) {
 	c.mu.Lock()
 	node := c.Cluster.nodes[c.next%len(c.Cluster.nodes)]
--- a/internal/standin/trial/cost.go
+++ b/internal/standin/trial/cost.go
@@ -14,16 +14,16 @@
 	"cyclamenwheel/internal/operator"
 )
 
-// Cost is what the nodes spent on the tasks of a steady load.
+// Cost is what the nodes spent under a steady load.
 type Cost struct {
 	Jobs, Accepted, Tasks int
-	// ProcessorMicros is the processor time of all nodes for each task.
+	// ProcessorMicros is the CPU time of all nodes per started task, in microseconds.
 	ProcessorMicros float64
-	// Profiles are where the profiles lie, one for each node.
+	// Profiles are the paths of the CPU profiles, one per node.
 	Profiles []string
 }
 
-// NotMeasuredError says that a node did not answer a question about itself.
+// NotMeasuredError reports a measurement that could not be read from a node.
 type NotMeasuredError struct {
 	What  string
 	Cause error
@@ -37,17 +37,18 @@
 // Load is a steady load of equal jobs on one pool.
 type Load struct {
 	Pool string
-	// JobsPerSecond are handed in, of Width tasks and one more that follows them,
-	// each of which works for WorkMs.
+	// JobsPerSecond jobs are submitted, each with Width tasks and one more task that depends on
+	// them. Every task runs for WorkMs.
 	JobsPerSecond, Width, WorkMs int
 	Lasts                        time.Duration
 }
 
-// warmUp lets connections open and lengths of runs be learnt before the cost is taken.
+// warmUp is the load time before the measurement, in which connections open and nodes estimate
+// run lengths.
 const warmUp = 2 * time.Second
 
-// MeasureCost loads a cluster steadily and takes what its nodes spend. Each node's
-// profile of processor time goes to dir.
+// MeasureCost runs a steady load and measures the CPU time that the nodes spend on it. Each
+// node's CPU profile is written to dir.
 func MeasureCost(c *Cluster, host string, load Load, dir string) (Cost, error) {
 	caller := &Caller{Cluster: c, Host: host}
 	var done sync.WaitGroup
@@ -70,25 +71,25 @@
 		}
 	})
 	time.Sleep(warmUp)
-	began := c.Platform.Started()
+	startedBefore := c.Platform.Started()
 	before, err := c.processorSeconds()
 	if err != nil {
 		close(stop)
 		return Cost{}, err
 	}
 	profiles, err := c.profiles(dir, load.Lasts)
-	spent, spentErr := c.processorSeconds()
-	tasks := c.Platform.Started() - began
+	after, afterErr := c.processorSeconds()
+	tasks := c.Platform.Started() - startedBefore
 	close(stop)
 	done.Wait()
 	if err != nil {
 		return Cost{}, err
 	}
-	if spentErr != nil {
-		return Cost{}, spentErr
+	if afterErr != nil {
+		return Cost{}, afterErr
 	}
 	out := Cost{Jobs: len(jobs), Tasks: tasks, Profiles: profiles,
-		ProcessorMicros: (spent - before) * 1e6 / float64(max(1, tasks))}
+		ProcessorMicros: (after - before) * 1e6 / float64(max(1, tasks))}
 	for _, j := range jobs {
 		if j.Accepted {
 			out.Accepted++
@@ -97,16 +98,16 @@
 	return out, nil
 }
 
-// profiles takes a profile of every node at once.
-func (c *Cluster) profiles(dir string, lasts time.Duration) ([]string, error) {
+// profiles takes a CPU profile of all nodes at the same time.
+func (c *Cluster) profiles(dir string, duration time.Duration) ([]string, error) {
 	paths := make([]string, len(c.nodes))
 	errs := make([]error, len(c.nodes))
 	var wg sync.WaitGroup
 	for i, n := range c.nodes {
 		paths[i] = fmt.Sprintf("%s/%s.pprof", dir, n.Name)
 		wg.Go(func() {
-			from := fmt.Sprintf("http://%s/debug/pprof/profile?seconds=%d", n.Operator, int(lasts.Seconds()))
-			errs[i] = fetch(from, paths[i])
+			url := fmt.Sprintf("http://%s/debug/pprof/profile?seconds=%d", n.Operator, int(duration.Seconds()))
+			errs[i] = fetch(url, paths[i])
 		})
 	}
 	wg.Wait()
@@ -118,8 +119,8 @@
 	return paths, nil
 }
 
-func fetch(from, path string) error {
-	resp, err := http.Get(from)
+func fetch(url, path string) error {
+	resp, err := http.Get(url)
 	if err != nil {
 		return &NotMeasuredError{What: "profile", Cause: err}
 	}
@@ -137,7 +138,7 @@
 
 const metricProcessor = "process_cpu_seconds_total"
 
-// processorSeconds is the processor time of all nodes so far, by their metrics.
+// processorSeconds is the total CPU time of all nodes according to their metrics.
 func (c *Cluster) processorSeconds() (float64, error) {
 	sum := 0.0
 	for _, n := range c.nodes {
@@ -150,12 +151,12 @@
 	return sum, nil
 }
 
-// AbsentMetricError says that a node does not tell a metric.
+// AbsentMetricError reports a metric that a node does not expose.
 type AbsentMetricError struct{ Name string }
 
 func (e *AbsentMetricError) Error() string { return e.Name + " is not among the metrics" }
 
-// metric reads one metric of a node.
+// metric reads one metric of the node at addr.
 func metric(addr, name string) (float64, error) {
 	resp, err := http.Get("http://" + addr + operator.PathMetrics)
 	if err != nil {
--- a/internal/standin/trial/soak.go
+++ b/internal/standin/trial/soak.go
@@ -11,48 +11,48 @@
 	"cyclamenwheel/internal/standin/wire"
 )
 
-// Report is what a run of jobs under trouble came to.
+// Report is the result of a run of jobs under faults.
 type Report struct {
 	Jobs, Accepted, Refused, Tasks int
-	// Faults are what was done, in order.
+	// Faults are the injected faults, in order.
 	Faults []string
-	// Unfinished are accepted jobs that did not complete; Broken is what the
-	// endpoints saw go wrong.
+	// Unfinished are accepted jobs that did not reach their end state; Broken are the violations
+	// that the endpoints observed.
 	Unfinished, Broken []string
 }
 
-// Whole reports whether nothing was lost, doubled or left.
+// Whole reports whether jobs were accepted, all of them finished, and no violation was observed.
 func (r Report) Whole() bool { return len(r.Unfinished) == 0 && len(r.Broken) == 0 && r.Accepted > 0 }
 
 const (
-	// faultEvery spaces faults, and faultLasts is how long those that end last
-	// at most.
-	faultEvery = 900 * time.Millisecond
-	faultLasts = 2500 * time.Millisecond
-	// submitEvery spaces a submitter's jobs.
-	submitEvery = 60 * time.Millisecond
-	submitters  = 3
-	// crashingEvery spaces, in the mean, jobs whose tasks crash their endpoints.
-	crashingEvery = 3 * time.Second
-	// fullRoom is the processor room of an endpoint in thousandths of a core.
-	fullRoom = 16000
-	// leastLimit leaves each account room for some tasks, and firstVersion is that of the
-	// configuration that the nodes begin with.
-	leastLimit   = 2000
+	// faultInterval is the mean interval between faults, and maxFaultDuration the longest
+	// duration of a temporary fault.
+	faultInterval    = 900 * time.Millisecond
+	maxFaultDuration = 2500 * time.Millisecond
+	// submitInterval is the pause of each submitter between its jobs.
+	submitInterval = 60 * time.Millisecond
+	submitters     = 3
+	// crashingInterval is the mean interval between jobs whose tasks crash their endpoints.
+	crashingInterval = 3 * time.Second
+	// fullCPU is the full CPU capacity of an endpoint in thousandths of a core.
+	fullCPU = 16000
+	// minLimit leaves each account capacity for some tasks, and firstVersion is the version of
+	// the configuration that the nodes start with.
+	minLimit     = 2000
 	firstVersion = 1
-	// drainLimit bounds the wait for the last jobs.
-	drainLimit = 60 * time.Second
+	// drainTimeout bounds the wait for the last jobs.
+	drainTimeout = 60 * time.Second
 )
 
-// Soak hands jobs in for a while, under random faults of a seed if faults is
+// Soak submits jobs for the given duration, under random faults drawn from the seed if faults is
 // set, then waits for all of them.
-func Soak(c *Cluster, host string, pools []string, seed uint64, lasts time.Duration, faults bool) Report {
+func Soak(c *Cluster, host string, pools []string, seed uint64, duration time.Duration, faults bool) Report {
 	callers := make([]*Caller, submitters)
 	for s := range callers {
 		a := SoakAccounts[s%len(SoakAccounts)]
 		callers[s] = &Caller{Cluster: c, Host: host, Account: a.Name, Key: a.Keys[0]}
 	}
-	end := time.Now().Add(lasts)
+	end := time.Now().Add(duration)
 	var r Report
 	var all []Submitted
 	var mu sync.Mutex
@@ -65,7 +65,7 @@
 				mu.Lock()
 				all = append(all, j)
 				mu.Unlock()
-				time.Sleep(submitEvery)
+				time.Sleep(submitInterval)
 			}
 		})
 	}
@@ -80,7 +80,7 @@
 		r.Faults = injectUntil(c, host, pools, seed, end)
 	}
 	wg.Wait()
-	r.Unfinished = callers[0].AwaitAll(all, drainLimit)
+	r.Unfinished = callers[0].AwaitAll(all, drainTimeout)
 	r.Broken = c.Platform.Broken()
 	for _, j := range all {
 		r.Jobs++
@@ -95,42 +95,42 @@
 	return r
 }
 
-// SoakAccounts are whose jobs are handed in. Their limits are a fraction of the fleet.
+// SoakAccounts are the accounts that submit jobs. Their limits are a fraction of the fleet.
 var SoakAccounts = []wire.Account{{Name: "alpha", Keys: []string{"alpha-key-1"}, CPUMilli: 8000}, {Name: "beta", Keys: []string{"beta-key-1"}, CPUMilli: 30000}}
 
-// submitCrashing hands in jobs whose tasks crash their endpoints.
+// submitCrashing submits jobs whose tasks crash their endpoints, until end.
 func submitCrashing(caller *Caller, pools []string, seed uint64, end time.Time) []Submitted {
 	rng := rand.New(rand.NewPCG(seed, 79))
 	var all []Submitted
-	for n := 1; time.Now().Add(crashingEvery).Before(end); n++ {
-		time.Sleep(time.Duration(rng.Int64N(int64(2 * crashingEvery))))
+	for n := 1; time.Now().Add(crashingInterval).Before(end); n++ {
+		time.Sleep(time.Duration(rng.Int64N(int64(2 * crashingInterval))))
 		all = append(all, caller.SubmitCrashing(pools[rng.IntN(len(pools))], (submitters+1)<<32+n))
 	}
 	return all
 }
 
-// injector does one fault after the other; those that last overlap.
+// injector injects one fault after another; temporary faults overlap.
 type injector struct {
 	c     *Cluster
 	pools []string
 	rng   *rand.Rand
-	// restarts draws what befalls endpoints beside the faults of rng, whose order a seed
-	// keeps.
-	restarts, rooms, power, limits *rand.Rand
-	wave, version                  int
-	host                           string
-	done                           []string
-	wg                             sync.WaitGroup
-	// busy are nodes that a fault is under way on.
+	// restartRand, capacityRand, powerRand and limitRand draw further faults, apart from rng, so
+	// that a seed keeps the order of the faults that rng draws.
+	restartRand, capacityRand, powerRand, limitRand *rand.Rand
+	wave, version                                   int
+	host                                            string
+	faults                                          []string
+	wg                                              sync.WaitGroup
+	// busy holds the nodes that are being restarted or are frozen.
 	busy sync.Map
 }
 
 func injectUntil(c *Cluster, host string, pools []string, seed uint64, end time.Time) []string {
-	in := &injector{c: c, host: host, pools: pools, version: firstVersion, limits: rand.New(rand.NewPCG(seed, 82)), rng: rand.New(rand.NewPCG(seed, 77)), restarts: rand.New(rand.NewPCG(seed, 78)),
-		rooms: rand.New(rand.NewPCG(seed, 80)), power: rand.New(rand.NewPCG(seed, 81))}
-	for time.Now().Add(faultEvery).Before(end) {
-		time.Sleep(faultEvery/2 + time.Duration(in.rng.Int64N(int64(faultEvery))))
-		in.one()
+	in := &injector{c: c, host: host, pools: pools, version: firstVersion, limitRand: rand.New(rand.NewPCG(seed, 82)), rng: rand.New(rand.NewPCG(seed, 77)), restartRand: rand.New(rand.NewPCG(seed, 78)),
+		capacityRand: rand.New(rand.NewPCG(seed, 80)), powerRand: rand.New(rand.NewPCG(seed, 81))}
+	for time.Now().Add(faultInterval).Before(end) {
+		time.Sleep(faultInterval/2 + time.Duration(in.rng.Int64N(int64(faultInterval))))
+		in.injectFault()
 		in.restartEndpoint()
 		in.resizeEndpoint()
 		in.losePower()
@@ -139,117 +139,117 @@
 	in.wg.Wait()
 	c.Platform.SetFaults(wire.Faults{})
 	c.Platform.SetStoreDown(false)
-	return in.done
+	return in.faults
 }
 
-func (in *injector) one() {
+func (in *injector) injectFault() {
 	node := in.c.nodes[in.rng.IntN(len(in.c.nodes))]
-	lasts := time.Duration(in.rng.Int64N(int64(faultLasts)))
+	duration := time.Duration(in.rng.Int64N(int64(maxFaultDuration)))
 	pool := in.pools[in.rng.IntN(len(in.pools))]
 	kind := in.rng.IntN(7)
-	in.done = append(in.done, fmt.Sprintf("%d on %s, %s for %v", kind, node.Name, pool, lasts))
+	in.faults = append(in.faults, fmt.Sprintf("%d on %s, %s for %v", kind, node.Name, pool, duration))
 	switch kind {
 	case 0:
-		in.restart(node, syscall.SIGKILL, lasts)
+		in.restart(node, syscall.SIGKILL, duration)
 	case 1:
 		in.restart(node, syscall.SIGTERM, 0)
 	case 2:
-		in.freeze(node, lasts)
+		in.freeze(node, duration)
 	case 3:
 		in.c.Platform.SetStoreDown(true)
-		in.after(lasts, func() { in.c.Platform.SetStoreDown(false) })
+		in.runAfter(duration, func() { in.c.Platform.SetStoreDown(false) })
 	case 4:
 		in.c.Platform.SetFaults(wire.Faults{LostAnswers: 0.3, LostOrders: 0.2})
-		in.after(lasts, func() { in.c.Platform.SetFaults(wire.Faults{}) })
+		in.runAfter(duration, func() { in.c.Platform.SetFaults(wire.Faults{}) })
 	case 5:
-		in.note(in.c.Platform.KillEndpoint(pool))
+		in.recordError(in.c.Platform.KillEndpoint(pool))
 	case 6:
 		in.wave++
-		in.note(in.c.Platform.AskWave(in.wave, 2, 20*time.Second, in.c.Platform.Instances(pool)...))
+		in.recordError(in.c.Platform.AskWave(in.wave, 2, 20*time.Second, in.c.Platform.Instances(pool)...))
 	}
 }
 
-// restartEndpoint lets an endpoint restart under its id, half of the time.
+// restartEndpoint restarts an endpoint under its id, with probability 1/2.
 func (in *injector) restartEndpoint() {
-	pool := in.pools[in.restarts.IntN(len(in.pools))]
-	if in.restarts.IntN(2) == 0 {
+	pool := in.pools[in.restartRand.IntN(len(in.pools))]
+	if in.restartRand.IntN(2) == 0 {
 		return
 	}
-	in.done = append(in.done, "an endpoint of "+pool+" restarts under its id")
-	in.note(in.c.Platform.RestartEndpoint(pool))
+	in.faults = append(in.faults, "an endpoint of "+pool+" restarts under its id")
+	in.recordError(in.c.Platform.RestartEndpoint(pool))
 }
 
-// resizeEndpoint lets the room of an endpoint shrink, or grow again.
+// resizeEndpoint sets the CPU capacity of an endpoint to a random quarter step of fullCPU.
 func (in *injector) resizeEndpoint() {
-	pool, cpu := in.pools[in.rooms.IntN(len(in.pools))], fullRoom*(1+in.rooms.IntN(4))/4
-	in.done = append(in.done, fmt.Sprintf("an endpoint of %s has %d of cpu", pool, cpu))
+	pool, cpu := in.pools[in.capacityRand.IntN(len(in.pools))], fullCPU*(1+in.capacityRand.IntN(4))/4
+	in.faults = append(in.faults, fmt.Sprintf("an endpoint of %s has %d of cpu", pool, cpu))
 	in.c.Platform.ResizeEndpoint(pool, cpu)
 }
 
-// losePower kills all nodes at once, now and then, and starts them again.
+// losePower kills and restarts all nodes at once, with probability 1/12.
 func (in *injector) losePower() {
-	if in.power.IntN(12) != 0 {
+	if in.powerRand.IntN(12) != 0 {
 		return
 	}
-	in.done = append(in.done, "all nodes lose power")
-	away := time.Duration(in.power.Int64N(int64(faultLasts)))
+	in.faults = append(in.faults, "all nodes lose power")
+	downtime := time.Duration(in.powerRand.Int64N(int64(maxFaultDuration)))
 	for _, n := range in.c.nodes {
-		in.restart(n, syscall.SIGKILL, away)
+		in.restart(n, syscall.SIGKILL, downtime)
 	}
 }
 
-// changeLimits publishes other limits of the accounts, now and then.
+// changeLimits publishes new account limits, with probability 1/3.
 func (in *injector) changeLimits() {
-	if in.limits.IntN(3) != 0 {
+	if in.limitRand.IntN(3) != 0 {
 		return
 	}
 	accounts := slices.Clone(SoakAccounts)
 	for i := range accounts {
-		accounts[i].CPUMilli = leastLimit + in.limits.IntN(accounts[i].CPUMilli)
+		accounts[i].CPUMilli = minLimit + in.limitRand.IntN(accounts[i].CPUMilli)
 	}
 	in.version++
-	in.done = append(in.done, fmt.Sprintf("limits are %d and %d", accounts[0].CPUMilli, accounts[1].CPUMilli))
+	in.faults = append(in.faults, fmt.Sprintf("limits are %d and %d", accounts[0].CPUMilli, accounts[1].CPUMilli))
 	in.c.Platform.SetAccounts(accounts...)
-	in.note(in.c.Platform.Publish(in.version, in.host, in.pools...))
+	in.recordError(in.c.Platform.Publish(in.version, in.host, in.pools...))
 }
 
-func (in *injector) note(err error) {
+func (in *injector) recordError(err error) {
 	if err != nil {
-		in.done = append(in.done, "failed: "+err.Error())
+		in.faults = append(in.faults, "failed: "+err.Error())
 	}
 }
 
-func (in *injector) after(d time.Duration, f func()) {
+func (in *injector) runAfter(d time.Duration, f func()) {
 	in.wg.Go(func() {
 		time.Sleep(d)
 		f()
 	})
 }
 
-// restart ends a node by a signal and starts it again.
-func (in *injector) restart(n *Node, s syscall.Signal, away time.Duration) {
+// restart ends a node with a signal and starts it again after the downtime.
+func (in *injector) restart(n *Node, s syscall.Signal, downtime time.Duration) {
 	if _, busy := in.busy.LoadOrStore(n.Name, true); busy {
 		return
 	}
-	in.note(n.Signal(s))
+	in.recordError(n.Signal(s))
 	in.wg.Go(func() {
 		defer in.busy.Delete(n.Name)
 		n.Wait()
-		time.Sleep(away)
+		time.Sleep(downtime)
 		if err := in.c.Run(n); err != nil {
 			panic(err)
 		}
 	})
 }
 
-// freeze stops a node's process and lets it go on.
-func (in *injector) freeze(n *Node, lasts time.Duration) {
+// freeze suspends a node's process for the duration.
+func (in *injector) freeze(n *Node, duration time.Duration) {
 	if _, busy := in.busy.LoadOrStore(n.Name, true); busy {
 		return
 	}
-	in.note(n.Signal(syscall.SIGSTOP))
-	in.after(lasts, func() {
+	in.recordError(n.Signal(syscall.SIGSTOP))
+	in.runAfter(duration, func() {
 		defer in.busy.Delete(n.Name)
-		_ = n.Signal(syscall.SIGCONT) // the process can't have ended while stopped
+		_ = n.Signal(syscall.SIGCONT) // a stopped process can't have ended
 	})
 }
