--- a/internal/standin/loopback/loopback.go
+++ b/internal/standin/loopback/loopback.go
@@ -1,4 +1,6 @@
-// Package loopback gives test runs addresses on this machine that nobody else uses.
+// Package loopback reserves a /24 network of loopback addresses for one test run, so that
+// concurrent runs on a machine use different addresses. It takes no input; the search for a free
+// network starts at one derived from the process id. Package trial and the test harness call it.
 package loopback
 
 import (
@@ -7,12 +9,11 @@
 	"os"
 )
 
-// Network is a /24 of the loopback network that one test run has to itself. Its
-// processes get addresses of their own with fixed ports: they find them free again
-// after a restart, and nobody's outgoing connection, which comes from 127.0.0.1,
-// takes them.
+// Network is a /24 of the loopback network that is reserved for one test run. Its processes use
+// addresses of their own with fixed ports: these are free again after a restart, and outgoing
+// connections, which come from 127.0.0.1, cannot occupy them.
 type Network struct {
-	// Prefix is the network's address with its last dot.
+	// Prefix is the first three octets of the network with the trailing dot.
 	Prefix string
 	lock   net.Listener
 }
@@ -22,25 +23,25 @@
 	firstOctet = 16
 	octets     = 224
 	networks   = octets * 256
-	// portLock is held for as long as the network is used.
-	portLock = 8900
-	// spread keeps processes with neighbouring numbers from the same networks.
-	spread = 7
+	// lockPort is the port of the listener that reserves the network.
+	lockPort = 8900
+	// pidStride makes processes with adjacent ids start their search at different networks.
+	pidStride = 7
 )
 
-// NoneFreeError says that every network is in use.
+// NoneFreeError reports that every network is in use.
 type NoneFreeError struct{}
 
 func (NoneFreeError) Error() string { return "no loopback network is free" }
 
-// Claim takes a free network. It holds a listener inside the network until Release,
-// which keeps concurrent test runs apart.
+// Claim reserves a free network. It holds a listener inside the network until Release, so that
+// concurrent test runs cannot claim it.
 func Claim() (*Network, error) {
-	start := os.Getpid() * spread
+	start := os.Getpid() * pidStride
 	for i := range networks {
 		n := (start + i) % networks
 		prefix := fmt.Sprintf("127.%d.%d.", firstOctet+n/256, n%256)
-		lock, err := net.Listen("tcp", fmt.Sprintf("%s1:%d", prefix, portLock))
+		lock, err := net.Listen("tcp", fmt.Sprintf("%s1:%d", prefix, lockPort))
 		if err == nil {
 			return &Network{Prefix: prefix, lock: lock}, nil
 		}
@@ -48,8 +49,8 @@
 	return nil, NoneFreeError{}
 }
 
-// IP is the address of a host of the network, 1 to 254.
+// IP returns the address of a host, 1 to 254, in the network.
 func (n *Network) IP(host int) string { return fmt.Sprintf("%s%d", n.Prefix, host) }
 
-// Release gives the network back.
-func (n *Network) Release() { _ = n.lock.Close() } // a listener that is closed already is as good
+// Release frees the network.
+func (n *Network) Release() { _ = n.lock.Close() } // the listener may be closed already
--- a/internal/standin/loopback/loopback_test.go
+++ b/internal/standin/loopback/loopback_test.go
@@ -7,8 +7,9 @@
 	. "github.com/onsi/gomega"
 )
 
-// Two runs at once must not meet, and a network that is given back can be had again.
-func TestNetworksAreApart(t *testing.T) {
+// Guards against concurrent runs that share a network, and against networks that stay reserved
+// after their release.
+func TestConcurrentClaimsGetDifferentNetworks(t *testing.T) {
 	g := NewWithT(t)
 	a, err := Claim()
 	g.Expect(err).NotTo(HaveOccurred())
