--- a/internal/standin/load/load.go
+++ b/internal/standin/load/load.go
@@ -1,7 +1,7 @@
-// Package load drives callers' requests at entries and checks the outcomes
-// against the history of what endpoints really ran: nothing that was answered
-// may be missing, no idempotency key may have run twice, and what was refused
-// as not run must not have run.
+// Package load sends callers' requests to entry nodes and compares the outcomes with the history
+// of runs that the simulated endpoints recorded. From Options it reports requests that were
+// answered but did not run, idempotency keys that ran more than once, and requests that were
+// refused as not run but did run. The command cyclamen-standin and the test harness call it.
 package load
 
 import (
@@ -24,39 +24,38 @@
 	DefaultTimeout     = 10 * time.Second
 )
 
-// Options say what to send. A run ends after Count requests or after Duration,
-// whichever is set and comes first.
+// Options describe the load. A run ends after Count requests or after Duration, whichever is set
+// and comes first.
 type Options struct {
-	// Entries are base URLs; a request goes to one chosen at random, as a
-	// balancer would.
+	// Entries are base URLs; each request goes to a random one, as with a load balancer.
 	Entries []string
-	// Targets, where set, returns the entries to choose from at the time of a
-	// request, as a balancer does that follows their readiness. Entries is then
-	// where requests go while it returns none.
+	// Targets, if set, returns the entries to choose from at the time of a request, like a load
+	// balancer that follows readiness checks. Entries is used while it returns none.
 	Targets  func() []string
 	Services []string
-	// Rate is in requests a second; 0 sends as fast as Concurrency allows.
+	// Rate is in requests per second; 0 sends as fast as Concurrency allows.
 	Rate float64
-	// Concurrency bounds the requests under way.
+	// Concurrency limits the requests in flight.
 	Concurrency int
 	Count       int
 	Duration    time.Duration
-	// PostShare is the part of requests that are POSTs with a key.
+	// PostShare is the share of requests that are POSTs with an idempotency key.
 	PostShare float64
-	// RepeatShare is the part of POSTs that are sent a second time under the
-	// same key, as a caller does that lost the answer.
+	// RepeatShare is the share of keyed POSTs that are sent a second time under the same key,
+	// like a retry after a lost answer.
 	RepeatShare float64
-	// PlainPostShare is the part of the other requests that are POSTs without
-	// a key: a caller never repeats those, and neither does its HTTP library.
+	// PlainPostShare is the share of the other requests that are POSTs without a key: neither
+	// the caller nor its HTTP library retries those.
 	PlainPostShare float64
 	WorkMillis     int64
 	Timeout        time.Duration
-	// ControlURL is the stand-in's control API; empty checks nothing.
+	// ControlURL is the stand-in's control API; if empty, outcomes are not checked against the
+	// history.
 	ControlURL string
 	Seed       uint64
 }
 
-// OptionError names the option that is wrong.
+// OptionError reports an invalid option.
 type OptionError struct {
 	Option string
 	Detail string
@@ -64,7 +63,8 @@
 
 func (e *OptionError) Error() string { return fmt.Sprintf("load option %s: %s", e.Option, e.Detail) }
 
-func (o *Options) complete() error {
+// setDefaults fills in defaults and validates the options.
+func (o *Options) setDefaults() error {
 	if o.Concurrency == 0 {
 		o.Concurrency = DefaultConcurrency
 	}
@@ -84,29 +84,29 @@
 	return nil
 }
 
-// driver is one run.
+// driver holds the state of one run.
 type driver struct {
-	opts  Options
-	hc    *http.Client
-	rng   *rand.Rand
-	runID string
+	opts   Options
+	client *http.Client
+	rng    *rand.Rand
+	runID  string
 
 	mu       sync.Mutex
 	outcomes []Outcome
 }
 
-// Run sends the requests, checks the outcomes and sums them up. The error is
-// of the run itself; what was lost or doubled stands in the summary.
+// Run sends the requests, checks the outcomes and summarises them. The error is a failure of the
+// run itself; lost and doubled requests are in the summary.
 func Run(ctx context.Context, opts Options) (Summary, error) {
-	if err := opts.complete(); err != nil {
+	if err := opts.setDefaults(); err != nil {
 		return Summary{}, err
 	}
 	transport := &http.Transport{MaxIdleConnsPerHost: opts.Concurrency, DisableCompression: true}
 	defer transport.CloseIdleConnections()
 	d := &driver{opts: opts, rng: rand.New(rand.NewPCG(opts.Seed, 0)), runID: uuid.NewString(),
-		hc: &http.Client{Transport: transport, Timeout: opts.Timeout,
+		client: &http.Client{Transport: transport, Timeout: opts.Timeout,
 			CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }}}
-	from, err := d.historyEnd(ctx)
+	from, err := d.nextRunNumber(ctx)
 	if err != nil {
 		return Summary{}, err
 	}
@@ -119,39 +119,39 @@
 	return sum, d.verify(ctx, from, &sum)
 }
 
-// drive sends until the run is over and all requests have their outcome. Those
-// under way when ctx ends are finished, so that their outcome is known.
+// drive sends requests until the run is over, then waits for those in flight, also if ctx ends,
+// so that every outcome is known.
 func (d *driver) drive(ctx context.Context) {
 	if d.opts.Duration > 0 {
 		var cancel context.CancelFunc
 		ctx, cancel = context.WithTimeout(ctx, d.opts.Duration)
 		defer cancel()
 	}
-	pace := rate.NewLimiter(rate.Inf, 1)
+	limiter := rate.NewLimiter(rate.Inf, 1)
 	if d.opts.Rate > 0 {
-		pace = rate.NewLimiter(rate.Limit(d.opts.Rate), 1)
+		limiter = rate.NewLimiter(rate.Limit(d.opts.Rate), 1)
 	}
-	free := make(chan struct{}, d.opts.Concurrency)
+	slots := make(chan struct{}, d.opts.Concurrency)
 	var wg sync.WaitGroup
 	defer wg.Wait()
 	for n := 0; d.opts.Count <= 0 || n < d.opts.Count; n++ {
-		if pace.Wait(ctx) != nil {
+		if limiter.Wait(ctx) != nil {
 			return
 		}
 		select {
-		case free <- struct{}{}:
+		case slots <- struct{}{}:
 		case <-ctx.Done():
 			return
 		}
 		plan := d.plan(n)
 		wg.Go(func() {
-			defer func() { <-free }()
+			defer func() { <-slots }()
 			d.perform(plan)
 		})
 	}
 }
 
-// request is one planned request; attempts is 2 where it is repeated.
+// request is one planned request; attempts is 2 if it is repeated.
 type request struct {
 	n        int
 	entries  [2]string
@@ -193,8 +193,8 @@
 	}
 }
 
-// historyEnd is the number of the first run that this load can have caused.
-func (d *driver) historyEnd(ctx context.Context) (int, error) {
+// nextRunNumber is the history number of the first run that this load can cause.
+func (d *driver) nextRunNumber(ctx context.Context) (int, error) {
 	if d.opts.ControlURL == "" {
 		return 1, nil
 	}
--- a/internal/standin/load/load_test.go
+++ b/internal/standin/load/load_test.go
@@ -17,8 +17,8 @@
 	RunSpecs(t, "Load")
 }
 
-// run sends load straight at one worker's endpoint, which checks nothing of
-// keys: the driver must find out.
+// run sends load directly to one endpoint, which ignores idempotency keys, so that the driver
+// must detect repeated runs.
 func run(fault standin.EndpointFault, change func(*load.Options)) load.Summary {
 	ctx := context.Background()
 	s := standin.New(standin.Options{Fleet: standin.FleetSpec{Zones: []standin.ZoneSpec{{Name: "a", Racks: 1}},
@@ -41,32 +41,32 @@
 }
 
 var _ = Describe("Load", func() {
-	It("passes where every request runs once", func() {
+	It("passes if every request runs once", func() {
 		sum := run(standin.EndpointFault{}, nil)
 		Expect(sum.OK()).To(BeTrue())
 		Expect(sum.Outcomes).To(Equal(map[load.Kind]int{load.Answered: 100}))
 		Expect(sum.HistoryRuns).To(Equal(100))
 	})
 
-	It("finds keys that ran twice", func() {
+	It("detects keys that ran twice", func() {
 		sum := run(standin.EndpointFault{}, func(o *load.Options) { o.PostShare, o.RepeatShare = 1, 1 })
 		Expect(sum.Doubled.Count).To(Equal(100))
 		Expect(sum.OK()).To(BeFalse())
 	})
 
-	It("finds answers of other requests", func() {
+	It("detects answers to other requests", func() {
 		sum := run(standin.EndpointFault{WrongRequestID: true}, func(o *load.Options) { o.PostShare = 0 })
 		Expect(sum.WrongAnswers.Count).To(Equal(100))
 	})
 
-	It("calls cut answers broken, not lost", func() {
+	It("counts truncated answers as broken, not lost", func() {
 		sum := run(standin.EndpointFault{CutBody: true, Next: 10}, nil)
 		Expect(sum.Outcomes).To(HaveKeyWithValue(load.Broken, BeNumerically(">", 0)))
 		Expect(sum.Lost.Count).To(BeZero())
 		Expect(sum.OK()).To(BeTrue())
 	})
 
-	It("does not pass where nothing was answered", func() {
+	It("does not pass if nothing was answered", func() {
 		sum := run(standin.EndpointFault{CutBody: true}, nil)
 		Expect(sum.Outcomes).To(Equal(map[load.Kind]int{load.Broken: 100}))
 		Expect(sum.OK()).To(BeFalse())
--- a/internal/standin/load/outcome.go
+++ b/internal/standin/load/outcome.go
@@ -15,21 +15,21 @@
 	"cyclamenwheel/internal/standin"
 )
 
-// Kind is what a caller got.
+// Kind classifies the result of a request.
 type Kind string
 
 // Kinds of outcomes.
 const (
-	// Answered is a whole answer to the caller's own request.
+	// Answered is a complete answer to the caller's own request.
 	Answered Kind = "answered"
-	// RefusedNo, RefusedUnknown and RefusedYes are typed refusals by what they
-	// say of the request having run.
+	// RefusedNo, RefusedUnknown and RefusedYes are typed refusals, by what they say about
+	// whether the request ran.
 	RefusedNo      Kind = "refused_ran_no"
 	RefusedUnknown Kind = "refused_ran_unknown"
 	RefusedYes     Kind = "refused_ran_yes"
-	// Untyped is a failure status without a problem document.
+	// Untyped is an error status without a problem document.
 	Untyped Kind = "untyped"
-	// Broken is a connection that failed or an answer that was cut.
+	// Broken is a failed connection or a truncated answer.
 	Broken Kind = "broken"
 	// Wrong is an answer that belongs to another request.
 	Wrong Kind = "wrong"
@@ -38,22 +38,22 @@
 // problemType is the media type of a refusal.
 const problemType = "application/problem+json"
 
-// maxAnswerBytes bounds what is read of an answer.
+// maxAnswerBytes limits how much of an answer is read.
 const maxAnswerBytes = 1 << 20
 
-// Outcome is one request and what came of it.
+// Outcome is the result of one attempt.
 type Outcome struct {
 	RequestID string
 	Key       string
 	Kind      Kind
 	Detail    string
 	Latency   time.Duration
-	// Resent tells that the caller's own transport sent the request more than
-	// once, as it may with a GET. A refusal then speaks of the last time only.
+	// Resent reports that the caller's own transport sent the request more than once, as it may
+	// with a GET. A refusal then speaks of the last time only.
 	Resent bool
 }
 
-// problem is the part of a problem document that the check needs.
+// problem holds the fields of a problem document that the check needs.
 type problem struct {
 	Type  string `json:"type"`
 	Title string `json:"title"`
@@ -73,7 +73,7 @@
 		GotConn: func(httptrace.GotConnInfo) { sent.Add(1) },
 	}))
 	began := time.Now()
-	resp, err := d.hc.Do(req)
+	resp, err := d.client.Do(req)
 	out.Resent = sent.Load() > 1
 	if err != nil {
 		out.Kind, out.Detail, out.Latency = Broken, err.Error(), time.Since(began)
@@ -94,8 +94,8 @@
 	method, path, body := http.MethodGet, "/item/", io.Reader(nil)
 	if r.post {
 		out.Key = fmt.Sprintf("%s-key-%d", d.runID, r.n)
-		// The body is the same under the same key: another body would be
-		// another request.
+		// The body depends on the key only: a different body under the same key would be a
+		// different request.
 		method, path, body = http.MethodPost, "/order/", strings.NewReader(out.Key)
 	}
 	if r.plain {
@@ -106,7 +106,7 @@
 	if err != nil {
 		return nil, err
 	}
-	// Without this the transport may send a keyed POST again by itself.
+	// Without GetBody the transport cannot resend a keyed POST by itself.
 	req.GetBody = nil
 	req.Header.Set(standin.HeaderRequestID, out.RequestID)
 	if out.Key != "" {
@@ -138,9 +138,9 @@
 	return Untyped, resp.Status
 }
 
-// classifyAnswer checks that the answer is the request's own. A repeated key
-// may be given the stored answer of its first attempt, so a keyed answer is
-// known by its key and any other by its request id.
+// classifyAnswer checks that the answer belongs to the request. A repeated key may get the
+// stored answer of its first attempt, so a keyed answer is matched by its key and any other by
+// its request id.
 func classifyAnswer(resp *http.Response, body []byte, out Outcome) (Kind, string) {
 	var answer standin.EndpointAnswer
 	if err := json.Unmarshal(body, &answer); err != nil {
--- a/internal/standin/load/verify.go
+++ b/internal/standin/load/verify.go
@@ -10,10 +10,9 @@
 	"cyclamenwheel/internal/standin"
 )
 
-// settlePoll is the time between looks at the history.
-const settlePoll = 50 * time.Millisecond
+const historyPollInterval = 50 * time.Millisecond
 
-// maxExamples bounds the ids listed per fault.
+// maxExamples limits the request ids listed per finding.
 const maxExamples = 10
 
 // Latency histogram's range and precision.
@@ -23,14 +22,14 @@
 	latencyDigits    = 3
 )
 
-// Latency is in milliseconds, over answered requests.
+// Latency is in milliseconds and covers answered requests.
 type Latency struct {
 	P50 float64 `json:"p50_ms"`
 	P99 float64 `json:"p99_ms"`
 	Max float64 `json:"max_ms"`
 }
 
-// Finding is one kind of broken promise: how often, and some of the requests.
+// Finding counts one kind of failed check, with some of the requests.
 type Finding struct {
 	Count    int      `json:"count"`
 	Examples []string `json:"examples,omitempty"`
@@ -51,29 +50,30 @@
 	Outcomes      map[Kind]int   `json:"outcomes"`
 	Details       map[string]int `json:"details,omitempty"`
 	Latency       Latency        `json:"latency"`
-	// Resent requests were sent more than once by the callers' HTTP library:
-	// a connection closed under them, though they were answered in the end.
+	// Resent requests were sent more than once by the callers' HTTP library because a connection
+	// closed before the answer, even if they were answered in the end.
 	Resent int `json:"resent"`
-	// Verified tells that the history was compared.
+	// Verified reports that the outcomes were compared with the history.
 	Verified bool `json:"verified"`
-	// HistoryRuns is how many runs of this load the endpoints saw.
+	// HistoryRuns is the number of runs of this load in the history.
 	HistoryRuns int `json:"history_runs"`
-	// HistoryDropped runs were not kept: the check is then incomplete.
+	// HistoryDropped is the number of runs missing from the history: the check is then
+	// incomplete.
 	HistoryDropped int `json:"history_dropped"`
-	// Broken requests got no whole answer. This alone breaks no promise.
+	// Broken requests got no complete answer. This alone is not a failed check.
 	Broken Finding `json:"broken"`
-	// Lost requests were answered but did not run to their end.
+	// Lost requests were answered but have no completed run.
 	Lost Finding `json:"lost"`
 	// Doubled keys ran more than once.
 	Doubled Finding `json:"doubled"`
-	// FalseNo requests were refused as not run and did run.
+	// FalseNo requests were refused as not run but did run.
 	FalseNo Finding `json:"false_no"`
-	// WrongAnswers were of another request.
+	// WrongAnswers belonged to another request.
 	WrongAnswers Finding `json:"wrong_answers"`
 }
 
-// OK reports whether every promise was kept, as far as it was checked. A run
-// in which nothing was answered has checked nothing and does not pass.
+// OK reports whether all checks passed. A run without any answer has checked nothing and does
+// not pass.
 func (s Summary) OK() bool {
 	return s.Outcomes[Answered] > 0 && s.Lost.Count+s.Doubled.Count+s.FalseNo.Count+s.WrongAnswers.Count+s.HistoryDropped == 0
 }
@@ -91,12 +91,12 @@
 		}
 		switch o.Kind {
 		case Answered:
-			// A latency beyond the range cannot be: the timeout is shorter.
+			// Latencies are within the range: the timeout is shorter.
 			_ = hist.RecordValue(o.Latency.Microseconds())
 		case Wrong:
 			sum.WrongAnswers.add(o.RequestID + ": " + o.Detail)
 		case Broken:
-			// The text names ports: as a detail it would be new each time.
+			// The text contains ports, so each would be a separate entry in Details.
 			sum.Broken.add(o.RequestID + ": " + o.Detail)
 		default:
 			sum.Details[string(o.Kind)+": "+o.Detail]++
@@ -108,35 +108,35 @@
 	return sum
 }
 
-// verify compares the outcomes with what the endpoints ran.
+// verify compares the outcomes with the runs on the endpoints.
 func (d *driver) verify(ctx context.Context, from int, sum *Summary) error {
 	control := standin.NewControlClient(d.opts.ControlURL)
 	defer control.Close()
-	hist, err := d.settledHistory(context.WithoutCancel(ctx), control, from)
+	hist, err := d.awaitHistory(context.WithoutCancel(ctx), control, from)
 	if err != nil {
 		return err
 	}
 	sum.Verified = true
 	sum.HistoryDropped = hist.Dropped
-	compare(d.outcomes, hist.Runs, sum)
+	compareRuns(d.outcomes, hist.Runs, sum)
 	return nil
 }
 
-// settledHistory waits until no run of this load is under way, at most for one
-// request's timeout. A run is noted as ended only after its answer has been
-// written, so that without waiting the last answers would count as lost.
-func (d *driver) settledHistory(ctx context.Context, control *standin.ControlClient, from int) (standin.History, error) {
+// awaitHistory polls the history until no run of this load is in flight, at most for one
+// request's timeout. A run is recorded as ended only after its answer has been written, so that
+// without the wait the last answers would count as lost.
+func (d *driver) awaitHistory(ctx context.Context, control *standin.ControlClient, from int) (standin.History, error) {
 	deadline := time.Now().Add(d.opts.Timeout)
 	for {
 		hist, err := control.History(ctx, from)
-		if err != nil || !d.underWay(hist.Runs) || time.Now().After(deadline) {
+		if err != nil || !d.hasRunsInFlight(hist.Runs) || time.Now().After(deadline) {
 			return hist, err
 		}
-		time.Sleep(settlePoll)
+		time.Sleep(historyPollInterval)
 	}
 }
 
-func (d *driver) underWay(runs []standin.Run) bool {
+func (d *driver) hasRunsInFlight(runs []standin.Run) bool {
 	for _, r := range runs {
 		if r.EndMicros == 0 && strings.HasPrefix(r.RequestID, d.runID) {
 			return true
@@ -145,22 +145,22 @@
 	return false
 }
 
-// ran counts the runs of one request or key.
-type ran struct{ begun, completed int }
+// runCount counts the runs of one request or key.
+type runCount struct{ started, completed int }
 
-func (r *ran) add(run standin.Run) {
-	r.begun++
+func (r *runCount) add(run standin.Run) {
+	r.started++
 	if run.Completed {
 		r.completed++
 	}
 }
 
-func compare(outcomes []Outcome, runs []standin.Run, sum *Summary) {
-	byID, byKey := map[string]*ran{}, map[string]*ran{}
+func compareRuns(outcomes []Outcome, runs []standin.Run, sum *Summary) {
+	byID, byKey := map[string]*runCount{}, map[string]*runCount{}
 	for _, o := range outcomes {
-		byID[o.RequestID] = &ran{}
+		byID[o.RequestID] = &runCount{}
 		if o.Key != "" {
-			byKey[o.Key] = &ran{}
+			byKey[o.Key] = &runCount{}
 		}
 	}
 	for _, run := range runs {
@@ -176,27 +176,27 @@
 		}
 	}
 	for key, r := range byKey {
-		if r.begun > 1 {
+		if r.started > 1 {
 			sum.Doubled.add(key)
 		}
 	}
 	for _, o := range outcomes {
-		check(o, byID[o.RequestID], byKey[o.Key], sum)
+		checkOutcome(o, byID[o.RequestID], byKey[o.Key], sum)
 	}
 }
 
-func check(o Outcome, id, key *ran, sum *Summary) {
+func checkOutcome(o Outcome, id, key *runCount, sum *Summary) {
 	switch o.Kind {
 	case Answered:
-		of := id
+		runs := id
 		if key != nil {
-			of = key
+			runs = key
 		}
-		if of.completed == 0 {
+		if runs.completed == 0 {
 			sum.Lost.add(o.RequestID)
 		}
 	case RefusedNo:
-		if id.begun > 0 && !o.Resent {
+		if id.started > 0 && !o.Resent {
 			sum.FalseNo.add(o.RequestID)
 		}
 	}
