--- a/test/restarts/crashes_test.go
+++ b/test/restarts/crashes_test.go
@@ -10,9 +10,9 @@
 	"cyclamenwheel/internal/standin/trial"
 )
 
-// Guards against a task that crashes its endpoints being started without end by real nodes, and
-// against sound jobs that are lost or given up beside it, while owners are killed.
-func TestNodesGiveUpTasksThatCrashTheirEndpoints(t *testing.T) {
+// Guards against a task that crashes its endpoints being restarted without end, and against
+// healthy jobs next to it being lost or failed, while a node is killed and restarted.
+func TestNodesFailJobsThatCrashTheirEndpoints(t *testing.T) {
 	g := NewWithT(t)
 	c, caller := start(t)
 	var jobs []trial.Submitted
@@ -21,7 +21,7 @@
 			jobs = append(jobs, caller.SubmitCrashing(pool, 1000+n))
 		}
 		jobs = append(jobs, caller.Submit(pool, 1+n, 3, taskMs))
-		time.Sleep(roundGap)
+		time.Sleep(restartInterval)
 		if n == 6 {
 			node := c.Nodes()[0]
 			g.Expect(node.Signal(syscall.SIGKILL)).To(Succeed())
@@ -29,12 +29,12 @@
 			g.Expect(c.Run(node)).To(Succeed())
 		}
 	}
-	g.Expect(caller.AwaitAll(jobs, soon)).To(BeEmpty())
+	g.Expect(caller.AwaitAll(jobs, conditionTimeout)).To(BeEmpty())
 	g.Expect(c.Platform.Broken()).To(BeEmpty())
 }
 
-// Guards against endpoints that real nodes fill beyond the room that is left.
-func TestNodesKeepToRoomThatShrinks(t *testing.T) {
+// Guards against nodes that start more tasks on an endpoint than its reduced capacity allows.
+func TestNodesRespectReducedCapacity(t *testing.T) {
 	g := NewWithT(t)
 	c, caller := start(t)
 	var jobs []trial.Submitted
@@ -42,6 +42,6 @@
 		c.Platform.ResizeEndpoint(pool, 1000*(1+n%5))
 		jobs = append(jobs, caller.Submit(pool, 1+n, 6, 4*taskMs))
 	}
-	g.Expect(caller.AwaitAll(jobs, soon)).To(BeEmpty())
+	g.Expect(caller.AwaitAll(jobs, conditionTimeout)).To(BeEmpty())
 	g.Expect(c.Platform.Broken()).To(BeEmpty())
 }
--- a/test/restarts/restarts_test.go
+++ b/test/restarts/restarts_test.go
@@ -1,4 +1,7 @@
-// Package restarts_test lets endpoints restart under their ids beneath real nodes.
+// Package restarts_test checks that cyclamen-node processes lose and repeat no work while
+// endpoints restart under their ids, crash under a task or change their capacity. It runs two
+// nodes against the simulated platform of package wire and submits jobs through package trial.
+// go test runs it.
 package restarts_test
 
 import (
@@ -17,16 +20,17 @@
 const (
 	host = "jobs.example"
 	pool = "tabs"
-	// soon bounds waits for conditions; it is far above what they take.
-	soon = 40 * time.Second
-	// rounds is how often an endpoint restarts, roundGap apart.
-	rounds   = 30
-	roundGap = 150 * time.Millisecond
-	// taskMs is how long a task works.
+	// conditionTimeout bounds waits for conditions, far above the time they usually take.
+	conditionTimeout = 40 * time.Second
+	// restartCount is the number of endpoint restarts, restartInterval apart.
+	restartCount    = 30
+	restartInterval = 150 * time.Millisecond
+	// taskMs is the duration of a task.
 	taskMs = 60
 )
 
-// start runs two nodes on a platform with one pool of three, and waits for them to serve.
+// start runs two nodes against a platform with one pool of three instances, and waits until the
+// pool is served.
 func start(t *testing.T) (*trial.Cluster, *trial.Caller) {
 	g := NewWithT(t)
 	program := filepath.Join(t.TempDir(), "cyclamen-node")
@@ -40,29 +44,29 @@
 	g.Expect(err).NotTo(HaveOccurred())
 	t.Cleanup(c.Close)
 	caller := &trial.Caller{Cluster: c, Host: host}
-	g.Eventually(func() int { s, _ := caller.Do(http.MethodGet, "/"+pool+"/", ""); return s }, soon).Should(Equal(http.StatusOK))
+	g.Eventually(func() int { s, _ := caller.Do(http.MethodGet, "/"+pool+"/", ""); return s }, conditionTimeout).Should(Equal(http.StatusOK))
 	return c, caller
 }
 
-// Guards against tasks that run again after their end, at once or not at all, where
-// endpoints crash and come back under their ids while callers hand jobs in.
+// Guards against tasks that run twice, at once or after their end, or not at all, if endpoints
+// crash and restart under their ids while callers submit jobs.
 func TestNothingIsDoubledWhereEndpointsRestartUnderTheirIDs(t *testing.T) {
 	g := NewWithT(t)
 	c, caller := start(t)
 	var jobs []trial.Submitted
-	for n := range rounds {
+	for n := range restartCount {
 		for k := range 3 {
 			jobs = append(jobs, caller.Submit(pool, 1+10*n+k, 1+k, taskMs))
 		}
-		time.Sleep(roundGap)
+		time.Sleep(restartInterval)
 		g.Expect(c.Platform.RestartEndpoint(pool)).To(Succeed())
 	}
-	g.Expect(caller.AwaitAll(jobs, soon)).To(BeEmpty())
+	g.Expect(caller.AwaitAll(jobs, conditionTimeout)).To(BeEmpty())
 	g.Expect(c.Platform.Broken()).To(BeEmpty())
 }
 
-// Guards against a pool that loses its endpoints one by one, as each comes back from its
-// maintenance under the id that it had.
+// Guards against a pool that loses its endpoints one by one because each returns from
+// maintenance under its previous id.
 func TestEndpointsThatKeepTheirIDsThroughMaintenanceAreUsedAgain(t *testing.T) {
 	g := NewWithT(t)
 	c, caller := start(t)
@@ -70,10 +74,10 @@
 	jobs := []trial.Submitted{caller.Submit(pool, 1, 3, taskMs)}
 	instances := c.Platform.Instances(pool)
 	g.Expect(c.Platform.AskWave(1, 1, 20*time.Second, instances...)).To(Succeed())
-	g.Eventually(func() int { return c.Platform.Maintained(1) }, soon).Should(Equal(len(instances)))
+	g.Eventually(func() int { return c.Platform.Maintained(1) }, conditionTimeout).Should(Equal(len(instances)))
 	for n := range 6 {
 		jobs = append(jobs, caller.Submit(pool, 100+n, 3, taskMs))
 	}
-	g.Expect(caller.AwaitAll(jobs, soon)).To(BeEmpty())
+	g.Expect(caller.AwaitAll(jobs, conditionTimeout)).To(BeEmpty())
 	g.Expect(c.Platform.Broken()).To(BeEmpty())
 }
