--- a/internal/standin/trial/soak.go
+++ b/internal/standin/trial/soak.go
@@ -81,7 +81,7 @@
 	}
 	wg.Wait()
 	r.Unfinished = callers[0].AwaitAll(all, drainTimeout)
-	r.Broken = c.Platform.Broken()
+	r.Broken = c.Platform.Violations()
 	for _, j := range all {
 		r.Jobs++
 		if j.Accepted {
--- a/internal/standin/wire/platform.go
+++ b/internal/standin/wire/platform.go
@@ -268,8 +268,8 @@
 	return n
 }
 
-// Broken returns the violations recorded so far.
-func (p *Platform) Broken() []string {
+// Violations returns the violations recorded so far.
+func (p *Platform) Violations() []string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return slices.Clone(p.violations)
--- a/internal/standin/wire/runs_end_test.go
+++ b/internal/standin/wire/runs_end_test.go
@@ -48,7 +48,7 @@
 				time.Sleep(c.lease)
 			}
 			startRun(g, second, 2, 10, long)
-			g.Expect(len(p.Broken()) > 0).To(Equal(c.wantViolation), "%v", p.Broken())
+			g.Expect(len(p.Violations()) > 0).To(Equal(c.wantViolation), "%v", p.Violations())
 		})
 	}
 }
--- a/test/platform/accounts_test.go
+++ b/test/platform/accounts_test.go
@@ -62,7 +62,7 @@
 		}
 		next := &trial.Caller{Cluster: c, Host: host, Account: "alpha", Key: "alpha-next"}
 		Eventually(func() string { return next.State(j.Path) }, conditionTimeout).Should(Equal("completed"))
-		Expect(c.Platform.Broken()).To(BeEmpty())
+		Expect(c.Platform.Violations()).To(BeEmpty())
 	})
 
 	// Guards against an account exceeding its limit while its jobs are in several pools whose
--- a/test/platform/suite_test.go
+++ b/test/platform/suite_test.go
@@ -92,7 +92,7 @@
 func expectAllCompleted(c *trial.Cluster, caller *trial.Caller, jobs []trial.Submitted) {
 	GinkgoHelper()
 	Expect(caller.AwaitAll(jobs, conditionTimeout)).To(BeEmpty())
-	Expect(c.Platform.Broken()).To(BeEmpty())
+	Expect(c.Platform.Violations()).To(BeEmpty())
 }
 
 var _ = Describe("the nodes on the platform", func() {
--- a/test/restarts/crashes_test.go
+++ b/test/restarts/crashes_test.go
@@ -30,7 +30,7 @@
 		}
 	}
 	g.Expect(caller.AwaitAll(jobs, conditionTimeout)).To(BeEmpty())
-	g.Expect(c.Platform.Broken()).To(BeEmpty())
+	g.Expect(c.Platform.Violations()).To(BeEmpty())
 }
 
 // Guards against nodes that start more tasks on an endpoint than its reduced capacity allows.
@@ -43,5 +43,5 @@
 		jobs = append(jobs, caller.Submit(pool, 1+n, 6, 4*taskMs))
 	}
 	g.Expect(caller.AwaitAll(jobs, conditionTimeout)).To(BeEmpty())
-	g.Expect(c.Platform.Broken()).To(BeEmpty())
+	g.Expect(c.Platform.Violations()).To(BeEmpty())
 }
--- a/test/restarts/restarts_test.go
+++ b/test/restarts/restarts_test.go
@@ -62,7 +62,7 @@
 		g.Expect(c.Platform.RestartEndpoint(pool)).To(Succeed())
 	}
 	g.Expect(caller.AwaitAll(jobs, conditionTimeout)).To(BeEmpty())
-	g.Expect(c.Platform.Broken()).To(BeEmpty())
+	g.Expect(c.Platform.Violations()).To(BeEmpty())
 }
 
 // Guards against a pool that loses its endpoints one by one because each returns from
@@ -79,5 +79,5 @@
 		jobs = append(jobs, caller.Submit(pool, 100+n, 3, taskMs))
 	}
 	g.Expect(caller.AwaitAll(jobs, conditionTimeout)).To(BeEmpty())
-	g.Expect(c.Platform.Broken()).To(BeEmpty())
+	g.Expect(c.Platform.Violations()).To(BeEmpty())
 }
