--- a/cmd/cyclamen-trial/main.go
+++ b/cmd/cyclamen-trial/main.go
@@ -185,7 +185,7 @@
 		fmt.Println("==", what)
 	}
 	time.Sleep(2 * time.Second)
-	report("maintenance wave over pool "+pool, c.Platform.AskWave(1, 3, 20*time.Second, c.Platform.Instances(pool)...))
+	report("maintenance wave over pool "+pool, c.Platform.PublishWave(1, 3, 20*time.Second, c.Platform.Instances(pool)...))
 	time.Sleep(2 * time.Second)
 	report("an endpoint of "+pool+" dies", c.Platform.KillEndpoint(pool))
 	n := c.Nodes()[0]
--- a/internal/standin/trial/soak.go
+++ b/internal/standin/trial/soak.go
@@ -165,7 +165,7 @@
 		in.recordError(in.c.Platform.KillEndpoint(pool))
 	case 6:
 		in.wave++
-		in.recordError(in.c.Platform.AskWave(in.wave, 2, 20*time.Second, in.c.Platform.Instances(pool)...))
+		in.recordError(in.c.Platform.PublishWave(in.wave, 2, 20*time.Second, in.c.Platform.Instances(pool)...))
 	}
 }
 
--- a/internal/standin/wire/platform.go
+++ b/internal/standin/wire/platform.go
@@ -229,8 +229,8 @@
 	return nil
 }
 
-// AskWave publishes a maintenance wave over the given instances.
-func (p *Platform) AskWave(number, atOnce int, within time.Duration, instances ...string) error {
+// PublishWave publishes a maintenance wave over the given instances.
+func (p *Platform) PublishWave(number, atOnce int, within time.Duration, instances ...string) error {
 	value, err := json.Marshal(map[string]any{"wave": number, "machines": instances, "withinS": within.Seconds(), "maxCount": atOnce})
 	if err != nil {
 		return err
--- a/test/platform/suite_test.go
+++ b/test/platform/suite_test.go
@@ -189,7 +189,7 @@
 	It("complete a maintenance wave under load", func() {
 		c, caller := start(3, 7)
 		due := c.Platform.Instances("tabs")
-		Expect(c.Platform.AskWave(1, 2, 20*time.Second, due...)).To(Succeed())
+		Expect(c.Platform.PublishWave(1, 2, 20*time.Second, due...)).To(Succeed())
 		jobs := submitMany(caller, 1, 30)
 		Eventually(func() int { return c.Platform.Maintained(1) }, conditionTimeout).Should(Equal(len(due)))
 		expectAllCompleted(c, caller, jobs)
--- a/test/restarts/restarts_test.go
+++ b/test/restarts/restarts_test.go
@@ -73,7 +73,7 @@
 	c.Platform.KeepIDs()
 	jobs := []trial.Submitted{caller.Submit(pool, 1, 3, taskMs)}
 	instances := c.Platform.Instances(pool)
-	g.Expect(c.Platform.AskWave(1, 1, 20*time.Second, instances...)).To(Succeed())
+	g.Expect(c.Platform.PublishWave(1, 1, 20*time.Second, instances...)).To(Succeed())
 	g.Eventually(func() int { return c.Platform.Maintained(1) }, conditionTimeout).Should(Equal(len(instances)))
 	for n := range 6 {
 		jobs = append(jobs, caller.Submit(pool, 100+n, 3, taskMs))
