--- a/internal/standin/trial/jobs.go
+++ b/internal/standin/trial/jobs.go
@@ -48,7 +48,7 @@
 func (c *Caller) submit(s Submitted, body string) Submitted {
 	s.Refused, s.caller = true, c
 	if c.Account != "" {
-		c.Cluster.Platform.Owns(c.Account, s.Path[strings.LastIndexByte(s.Path, '/')+1:])
+		c.Cluster.Platform.SetJobAccount(c.Account, s.Path[strings.LastIndexByte(s.Path, '/')+1:])
 	}
 	for range maxAttempts {
 		status, _ := c.Do(http.MethodPost, s.Path, body)
--- a/internal/standin/wire/accounts.go
+++ b/internal/standin/wire/accounts.go
@@ -48,8 +48,8 @@
 	return len(p.accounts) > 0
 }
 
-// Owns records the account whose API key submits a job.
-func (p *Platform) Owns(account, job string) {
+// SetJobAccount records the account whose API key submits a job.
+func (p *Platform) SetJobAccount(account, job string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.jobAccounts[job] = account
