--- a/internal/standin/wire/store.go
+++ b/internal/standin/wire/store.go
@@ -58,9 +58,9 @@
 	t.records = append(t.records, append(record, value...))
 }
 
-// Written returns all records that nodes have written: those of every topic but the ones of
+// NodeRecords returns all records that nodes have written: those of every topic but the ones of
 // operators and endpoints.
-func (p *Platform) Written() []byte {
+func (p *Platform) NodeRecords() []byte {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var all []byte
--- a/test/platform/accounts_test.go
+++ b/test/platform/accounts_test.go
@@ -101,7 +101,7 @@
 				output.Write(text)
 			}
 		}
-		output.Write(c.Platform.Written())
+		output.Write(c.Platform.NodeRecords())
 		Expect(output.String()).To(ContainSubstring("alpha"))
 		Expect(output.String()).NotTo(Or(ContainSubstring(alphaKey), ContainSubstring(betaKey)))
 		var out bytes.Buffer
