--- a/cmd/cyclamen-trial/main.go
+++ b/cmd/cyclamen-trial/main.go
@@ -77,7 +77,7 @@
 		return exitUsage
 	}
 	fmt.Println(string(out))
-	if !report.Whole() {
+	if !report.Passed() {
 		fmt.Println("BROKEN; seed", o.seed, "logs in", dir)
 		return exitBroken
 	}
--- a/internal/standin/trial/soak.go
+++ b/internal/standin/trial/soak.go
@@ -21,8 +21,8 @@
 	Unfinished, Broken []string
 }
 
-// Whole reports whether jobs were accepted, all of them finished, and no violation was observed.
-func (r Report) Whole() bool { return len(r.Unfinished) == 0 && len(r.Broken) == 0 && r.Accepted > 0 }
+// Passed reports whether jobs were accepted, all of them finished, and no violation was observed.
+func (r Report) Passed() bool { return len(r.Unfinished) == 0 && len(r.Broken) == 0 && r.Accepted > 0 }
 
 const (
 	// faultInterval is the mean interval between faults, and maxFaultDuration the longest
