--- a/internal/standin/trial/jobs.go
+++ b/internal/standin/trial/jobs.go
@@ -16,8 +16,8 @@
 	Accepted bool
 	// Refused reports that every attempt was refused as not accepted.
 	Refused bool
-	// Ends is the state that the job must end in.
-	Ends string
+	// WantState is the state that the job must end in.
+	WantState string
 	// caller submitted the job, and may query it.
 	caller *Caller
 }
@@ -33,13 +33,13 @@
 func (c *Caller) Submit(pool string, number, width, workMs int) Submitted {
 	body := fmt.Sprintf(`{"spec":"%d","steps":[{"count":%d,"cpu":1000,"memMb":64,"estMs":%d},{"count":1,"cpu":1000,"memMb":64,"estMs":%d,"after":[0]}]}`,
 		workMs, width, workMs, workMs)
-	return c.submit(Submitted{Path: jobPath(pool, number), Tasks: width + 1, Ends: "completed"}, body)
+	return c.submit(Submitted{Path: jobPath(pool, number), Tasks: width + 1, WantState: "completed"}, body)
 }
 
 // SubmitCrashing submits a job whose only task crashes the endpoints that start it.
 func (c *Caller) SubmitCrashing(pool string, number int) Submitted {
 	body := fmt.Sprintf(`{"spec":%q,"steps":[{"count":1,"cpu":1000,"memMb":64,"estMs":100}]}`, wire.SpecCrashes)
-	return c.submit(Submitted{Path: jobPath(pool, number), Tasks: 1, Ends: "failed"}, body)
+	return c.submit(Submitted{Path: jobPath(pool, number), Tasks: 1, WantState: "failed"}, body)
 }
 
 func jobPath(pool string, number int) string { return fmt.Sprintf("/%s/%016x", pool, number) }
@@ -92,11 +92,11 @@
 			continue
 		}
 		state := j.caller.State(j.Path)
-		for state != j.Ends && time.Now().Before(deadline) {
+		for state != j.WantState && time.Now().Before(deadline) {
 			time.Sleep(50 * time.Millisecond)
 			state = j.caller.State(j.Path)
 		}
-		if state != j.Ends {
+		if state != j.WantState {
 			unfinished = append(unfinished, j.Path+" is "+state)
 		}
 	}
