--- a/internal/standin/trial/cost.go
+++ b/internal/standin/trial/cost.go
@@ -53,7 +53,7 @@
 	caller := &Caller{Cluster: c, Host: host}
 	var done sync.WaitGroup
 	var mu sync.Mutex
-	var jobs []Submitted
+	var jobs []Submission
 	stop := make(chan struct{})
 	done.Go(func() {
 		for n := 1; ; n++ {
--- a/internal/standin/trial/jobs.go
+++ b/internal/standin/trial/jobs.go
@@ -9,8 +9,8 @@
 	"cyclamenwheel/internal/standin/wire"
 )
 
-// Submitted is a job and the answer that its caller got.
-type Submitted struct {
+// Submission is a job and the answer that its caller got.
+type Submission struct {
 	Path     string
 	Tasks    int
 	Accepted bool
@@ -30,22 +30,22 @@
 
 // Submit submits a job of two steps whose tasks run for workMs each, with retries until it is
 // accepted.
-func (c *Caller) Submit(pool string, number, width, workMs int) Submitted {
+func (c *Caller) Submit(pool string, number, width, workMs int) Submission {
 	body := fmt.Sprintf(`{"spec":"%d","steps":[{"count":%d,"cpu":1000,"memMb":64,"estMs":%d},{"count":1,"cpu":1000,"memMb":64,"estMs":%d,"after":[0]}]}`,
 		workMs, width, workMs, workMs)
-	return c.submit(Submitted{Path: jobPath(pool, number), Tasks: width + 1, WantState: "completed"}, body)
+	return c.submit(Submission{Path: jobPath(pool, number), Tasks: width + 1, WantState: "completed"}, body)
 }
 
 // SubmitCrashing submits a job whose only task crashes the endpoints that start it.
-func (c *Caller) SubmitCrashing(pool string, number int) Submitted {
+func (c *Caller) SubmitCrashing(pool string, number int) Submission {
 	body := fmt.Sprintf(`{"spec":%q,"steps":[{"count":1,"cpu":1000,"memMb":64,"estMs":100}]}`, wire.SpecCrashes)
-	return c.submit(Submitted{Path: jobPath(pool, number), Tasks: 1, WantState: "failed"}, body)
+	return c.submit(Submission{Path: jobPath(pool, number), Tasks: 1, WantState: "failed"}, body)
 }
 
 func jobPath(pool string, number int) string { return fmt.Sprintf("/%s/%016x", pool, number) }
 
 // submit sends a job until it is accepted or maxAttempts is reached.
-func (c *Caller) submit(s Submitted, body string) Submitted {
+func (c *Caller) submit(s Submission, body string) Submission {
 	s.Refused, s.caller = true, c
 	if c.Account != "" {
 		c.Cluster.Platform.SetJobAccount(c.Account, s.Path[strings.LastIndexByte(s.Path, '/')+1:])
@@ -84,7 +84,7 @@
 
 // AwaitAll waits until every accepted job, of any caller, has the state that it must end in. It
 // returns the jobs that do not reach it within the limit.
-func (c *Caller) AwaitAll(jobs []Submitted, limit time.Duration) []string {
+func (c *Caller) AwaitAll(jobs []Submission, limit time.Duration) []string {
 	deadline := time.Now().Add(limit)
 	var unfinished []string
 	for _, j := range jobs {
--- a/internal/standin/trial/soak.go
+++ b/internal/standin/trial/soak.go
@@ -54,7 +54,7 @@
 	}
 	end := time.Now().Add(duration)
 	var r Report
-	var all []Submitted
+	var all []Submission
 	var mu sync.Mutex
 	var wg sync.WaitGroup
 	for s := range submitters {
@@ -99,9 +99,9 @@
 var SoakAccounts = []wire.Account{{Name: "alpha", Keys: []string{"alpha-key-1"}, CPUMilli: 8000}, {Name: "beta", Keys: []string{"beta-key-1"}, CPUMilli: 30000}}
 
 // submitCrashing submits jobs whose tasks crash their endpoints, until end.
-func submitCrashing(caller *Caller, pools []string, seed uint64, end time.Time) []Submitted {
+func submitCrashing(caller *Caller, pools []string, seed uint64, end time.Time) []Submission {
 	rng := rand.New(rand.NewPCG(seed, 79))
-	var all []Submitted
+	var all []Submission
 	for n := 1; time.Now().Add(crashingInterval).Before(end); n++ {
 		time.Sleep(time.Duration(rng.Int64N(int64(2 * crashingInterval))))
 		all = append(all, caller.SubmitCrashing(pools[rng.IntN(len(pools))], (submitters+1)<<32+n))
--- a/test/platform/accounts_test.go
+++ b/test/platform/accounts_test.go
@@ -69,7 +69,7 @@
 	// owners change.
 	It("stay within their limits across all pools while owners are killed", func() {
 		c, alpha, beta := startWithAccounts(3, 12)
-		var jobs []trial.Submitted
+		var jobs []trial.Submission
 		for i, n := range c.Nodes() {
 			jobs = append(jobs, submitMany(alpha, 1+100*i, 10)...)
 			jobs = append(jobs, submitMany(beta, 5000+100*i, 10)...)
--- a/test/platform/suite_test.go
+++ b/test/platform/suite_test.go
@@ -80,8 +80,8 @@
 	Eventually(func() int { s, _ := caller.Do(http.MethodGet, "/rooms/", ""); return s }, conditionTimeout).Should(Equal(http.StatusOK))
 }
 
-func submitMany(caller *trial.Caller, from, count int) []trial.Submitted {
-	var jobs []trial.Submitted
+func submitMany(caller *trial.Caller, from, count int) []trial.Submission {
+	var jobs []trial.Submission
 	for i := range count {
 		pool := []string{"tabs", "rooms"}[i%2]
 		jobs = append(jobs, caller.Submit(pool, from+i, 1+i%4, 100))
@@ -89,7 +89,7 @@
 	return jobs
 }
 
-func expectAllCompleted(c *trial.Cluster, caller *trial.Caller, jobs []trial.Submitted) {
+func expectAllCompleted(c *trial.Cluster, caller *trial.Caller, jobs []trial.Submission) {
 	GinkgoHelper()
 	Expect(caller.AwaitAll(jobs, conditionTimeout)).To(BeEmpty())
 	Expect(c.Platform.Violations()).To(BeEmpty())
@@ -117,7 +117,7 @@
 	// notice and restarted as callers submit jobs.
 	It("lose nothing while they are killed in turn", func() {
 		c, caller := start(3, 2)
-		var jobs []trial.Submitted
+		var jobs []trial.Submission
 		for i, n := range c.Nodes() {
 			jobs = append(jobs, submitMany(caller, 100*(i+1), 8)...)
 			Expect(n.Signal(syscall.SIGKILL)).To(Succeed())
@@ -161,7 +161,7 @@
 	It("neither lose nor repeat tasks when answers are lost", func() {
 		c, caller := start(3, 5)
 		c.Platform.SetFaults(wire.Faults{LostAnswers: 0.2, LostOrders: 0.1})
-		var jobs []trial.Submitted
+		var jobs []trial.Submission
 		for i := range 4 {
 			jobs = append(jobs, submitMany(caller, 100*(i+1), 8)...)
 			Expect(c.Platform.KillEndpoint("tabs")).To(Succeed())
--- a/test/restarts/crashes_test.go
+++ b/test/restarts/crashes_test.go
@@ -15,7 +15,7 @@
 func TestNodesFailJobsThatCrashTheirEndpoints(t *testing.T) {
 	g := NewWithT(t)
 	c, caller := start(t)
-	var jobs []trial.Submitted
+	var jobs []trial.Submission
 	for n := range 12 {
 		if n%4 == 0 {
 			jobs = append(jobs, caller.SubmitCrashing(pool, 1000+n))
@@ -37,7 +37,7 @@
 func TestNodesRespectReducedCapacity(t *testing.T) {
 	g := NewWithT(t)
 	c, caller := start(t)
-	var jobs []trial.Submitted
+	var jobs []trial.Submission
 	for n := range 40 {
 		c.Platform.ResizeEndpoint(pool, 1000*(1+n%5))
 		jobs = append(jobs, caller.Submit(pool, 1+n, 6, 4*taskMs))
--- a/test/restarts/restarts_test.go
+++ b/test/restarts/restarts_test.go
@@ -53,7 +53,7 @@
 func TestNothingIsDoubledWhereEndpointsRestartUnderTheirIDs(t *testing.T) {
 	g := NewWithT(t)
 	c, caller := start(t)
-	var jobs []trial.Submitted
+	var jobs []trial.Submission
 	for n := range restartCount {
 		for k := range 3 {
 			jobs = append(jobs, caller.Submit(pool, 1+10*n+k, 1+k, taskMs))
@@ -71,7 +71,7 @@
 	g := NewWithT(t)
 	c, caller := start(t)
 	c.Platform.KeepIDs()
-	jobs := []trial.Submitted{caller.Submit(pool, 1, 3, taskMs)}
+	jobs := []trial.Submission{caller.Submit(pool, 1, 3, taskMs)}
 	instances := c.Platform.Instances(pool)
 	g.Expect(c.Platform.PublishWave(1, 1, 20*time.Second, instances...)).To(Succeed())
 	g.Eventually(func() int { return c.Platform.Maintained(1) }, conditionTimeout).Should(Equal(len(instances)))
