--- a/cmd/cyclamen-trial/main.go
+++ b/cmd/cyclamen-trial/main.go
@@ -113,7 +113,7 @@
 	var cost trial.Cost
 	_, err := deploy(o, costlyShape, nil, func(c *trial.Cluster, pools []string, dir string) (err error) {
 		cost, err = trial.MeasureCost(c, host, trial.Load{Pool: pools[0], JobsPerSecond: costJobs, Width: costWidth,
-			WorkMs: costWorkMs, Lasts: time.Duration(o.seconds) * time.Second}, dir)
+			WorkMs: costWorkMs, Duration: time.Duration(o.seconds) * time.Second}, dir)
 		return err
 	}, oneCore)
 	if err != nil {
--- a/internal/standin/trial/cost.go
+++ b/internal/standin/trial/cost.go
@@ -40,7 +40,7 @@
 	// JobsPerSecond jobs are submitted, each with Width tasks and one more task that depends on
 	// them. Every task runs for WorkMs.
 	JobsPerSecond, Width, WorkMs int
-	Lasts                        time.Duration
+	Duration                     time.Duration
 }
 
 // warmUp is the load time before the measurement, in which connections open and nodes estimate
@@ -77,7 +77,7 @@
 		close(stop)
 		return Cost{}, err
 	}
-	profiles, err := c.profiles(dir, load.Lasts)
+	profiles, err := c.profiles(dir, load.Duration)
 	after, afterErr := c.processorSeconds()
 	tasks := c.Platform.Started() - startedBefore
 	close(stop)
