--- a/internal/standin/trial/cost.go
+++ b/internal/standin/trial/cost.go
@@ -151,10 +151,10 @@
 	return sum, nil
 }
 
-// AbsentMetricError reports a metric that a node does not expose.
-type AbsentMetricError struct{ Name string }
+// MissingMetricError reports a metric that a node does not expose.
+type MissingMetricError struct{ Name string }
 
-func (e *AbsentMetricError) Error() string { return e.Name + " is not among the metrics" }
+func (e *MissingMetricError) Error() string { return e.Name + " is not among the metrics" }
 
 // metric reads one metric of the node at addr.
 func metric(addr, name string) (float64, error) {
@@ -175,5 +175,5 @@
 		}
 		return number, nil
 	}
-	return 0, &AbsentMetricError{Name: name}
+	return 0, &MissingMetricError{Name: name}
 }
