--- a/internal/standin/trial/cost.go
+++ b/internal/standin/trial/cost.go
@@ -23,16 +23,16 @@
 	Profiles []string
 }
 
-// NotMeasuredError reports a measurement that could not be read from a node.
-type NotMeasuredError struct {
+// MeasurementError reports a measurement that could not be read from a node.
+type MeasurementError struct {
 	What  string
 	Cause error
 }
 
-func (e *NotMeasuredError) Error() string { return e.What + ": " + e.Cause.Error() }
+func (e *MeasurementError) Error() string { return e.What + ": " + e.Cause.Error() }
 
 // Unwrap returns the cause.
-func (e *NotMeasuredError) Unwrap() error { return e.Cause }
+func (e *MeasurementError) Unwrap() error { return e.Cause }
 
 // Load is a steady load of equal jobs on one pool.
 type Load struct {
@@ -122,16 +122,16 @@
 func fetch(url, path string) error {
 	resp, err := http.Get(url)
 	if err != nil {
-		return &NotMeasuredError{What: "profile", Cause: err}
+		return &MeasurementError{What: "profile", Cause: err}
 	}
 	defer resp.Body.Close()
 	out, err := os.Create(path)
 	if err != nil {
-		return &NotMeasuredError{What: "profile", Cause: err}
+		return &MeasurementError{What: "profile", Cause: err}
 	}
 	defer out.Close()
 	if _, err := io.Copy(out, resp.Body); err != nil {
-		return &NotMeasuredError{What: "profile", Cause: err}
+		return &MeasurementError{What: "profile", Cause: err}
 	}
 	return nil
 }
@@ -160,7 +160,7 @@
 func metric(addr, name string) (float64, error) {
 	resp, err := http.Get("http://" + addr + operator.PathMetrics)
 	if err != nil {
-		return 0, &NotMeasuredError{What: name, Cause: err}
+		return 0, &MeasurementError{What: name, Cause: err}
 	}
 	defer resp.Body.Close()
 	lines := bufio.NewScanner(resp.Body)
@@ -171,7 +171,7 @@
 		}
 		number, err := strconv.ParseFloat(value, 64)
 		if err != nil {
-			return 0, &NotMeasuredError{What: name, Cause: err}
+			return 0, &MeasurementError{What: name, Cause: err}
 		}
 		return number, nil
 	}
