--- a/internal/standin/load/load.go
+++ b/internal/standin/load/load.go
@@ -157,8 +157,8 @@
 	entries  [2]string
 	attempts int
 	service  string
-	post     bool // with a key
-	plain    bool // a POST without one
+	post     bool // a POST with an idempotency key
+	plain    bool // a POST without a key
 }
 
 func (d *driver) plan(n int) request {
--- a/internal/standin/load/outcome.go
+++ b/internal/standin/load/outcome.go
@@ -35,7 +35,7 @@
 	Wrong Kind = "wrong"
 )
 
-// problemType is the media type of a refusal.
+// problemType is the media type of a typed refusal.
 const problemType = "application/problem+json"
 
 // maxAnswerBytes limits how much of an answer is read.
--- a/internal/standin/load/verify.go
+++ b/internal/standin/load/verify.go
@@ -64,7 +64,7 @@
 	Broken Finding `json:"broken"`
 	// Lost requests were answered but have no completed run.
 	Lost Finding `json:"lost"`
-	// Doubled keys ran more than once.
+	// Doubled are the idempotency keys that ran more than once.
 	Doubled Finding `json:"doubled"`
 	// FalseNo requests were refused as not run but did run.
 	FalseNo Finding `json:"false_no"`
--- a/internal/standin/wire/heartbeat.go
+++ b/internal/standin/wire/heartbeat.go
@@ -50,7 +50,7 @@
 		"version": "v1", "slots": 8, "coldLeftMs": 0, "seq": e.seq, "born": e.startedAt.UnixMilli(), "clockMs": e.clock().Milliseconds(),
 		"capacity": map[string]int{"cpu": e.cpu, "memMb": endpointMemory, "gpu": 0}, "labels": []string{"a", "r-" + e.instance}})
 	if err != nil {
-		panic(err) // strings and numbers only
+		panic(err) // strings and numbers always encode
 	}
 	e.p.appendKeyed("keyed.servers", e.id, entry)
 }
