--- a/cmd/cyclamen-trial/main.go
+++ b/cmd/cyclamen-trial/main.go
@@ -79,7 +79,7 @@
 		return exitUsage
 	}
 	fmt.Println(string(out))
-	if !report.Whole() {
+	if !report.Passed() {
 		fmt.Println("BROKEN; seed", o.seed, "logs in", dir)
 		return exitViolations
 	}
@@ -116,7 +116,7 @@
 	var cost trial.Cost
 	_, err := withDeployment(o, costShape, nil, func(c *trial.Cluster, pools []string, dir string) (err error) {
 		cost, err = trial.MeasureCost(c, jobsHost, trial.Load{Pool: pools[0], JobsPerSecond: costJobs, Width: costWidth,
-			WorkMs: costWorkMs, Lasts: time.Duration(o.seconds) * time.Second}, dir)
+			WorkMs: costWorkMs, Duration: time.Duration(o.seconds) * time.Second}, dir)
 		return err
 	}, singleCoreEnv)
 	if err != nil {
@@ -188,7 +188,7 @@
 		fmt.Println("==", what)
 	}
 	time.Sleep(2 * time.Second)
-	report("maintenance wave over pool "+pool, c.Platform.AskWave(1, 3, 20*time.Second, c.Platform.Instances(pool)...))
+	report("maintenance wave over pool "+pool, c.Platform.PublishWave(1, 3, 20*time.Second, c.Platform.Instances(pool)...))
 	time.Sleep(2 * time.Second)
 	report("an endpoint of "+pool+" dies", c.Platform.KillEndpoint(pool))
 	n := c.Nodes()[0]
--- a/internal/standin/trial/cost.go
+++ b/internal/standin/trial/cost.go
@@ -14,45 +14,46 @@
 	"cyclamenwheel/internal/operator"
 )
 
-// Cost is what the nodes spent on the tasks of a steady load.
+// Cost is what the nodes spent under a steady load.
 type Cost struct {
 	Jobs, Accepted, Tasks int
-	// ProcessorMicros is the processor time of all nodes for each task.
+	// ProcessorMicros is the CPU time of all nodes per started task, in microseconds.
 	ProcessorMicros float64
-	// Profiles are where the profiles lie, one for each node.
+	// Profiles are the paths of the CPU profiles, one per node.
 	Profiles []string
 }
 
-// NotMeasuredError says that a node did not answer a question about itself.
-type NotMeasuredError struct {
+// MeasurementError reports a measurement that could not be read from a node.
+type MeasurementError struct {
 	What  string
 	Cause error
 }
 
-func (e *NotMeasuredError) Error() string { return e.What + ": " + e.Cause.Error() }
+func (e *MeasurementError) Error() string { return e.What + ": " + e.Cause.Error() }
 
 // Unwrap returns the cause.
-func (e *NotMeasuredError) Unwrap() error { return e.Cause }
+func (e *MeasurementError) Unwrap() error { return e.Cause }
 
 // Load is a steady load of equal jobs on one pool.
 type Load struct {
 	Pool string
-	// JobsPerSecond are handed in, of Width tasks and one more that follows them,
-	// each of which works for WorkMs.
+	// JobsPerSecond jobs are submitted, each with Width tasks and one more task that depends on
+	// them. Every task runs for WorkMs.
 	JobsPerSecond, Width, WorkMs int
-	Lasts                        time.Duration
+	Duration                     time.Duration
 }
 
-// warmUp lets connections open and lengths of runs be learnt before the cost is taken.
+// warmUp is the load time before the measurement, in which connections open and nodes estimate
+// run lengths.
 const warmUp = 2 * time.Second
 
-// MeasureCost loads a cluster steadily and takes what its nodes spend. Each node's
-// profile of processor time goes to dir.
+// MeasureCost runs a steady load and measures the CPU time that the nodes spend on it. Each
+// node's CPU profile is written to dir.
 func MeasureCost(c *Cluster, host string, load Load, dir string) (Cost, error) {
 	caller := &Caller{Cluster: c, Host: host}
 	var done sync.WaitGroup
 	var mu sync.Mutex
-	var jobs []Submitted
+	var jobs []Submission
 	stop := make(chan struct{})
 	done.Go(func() {
 		for n := 1; ; n++ {
@@ -70,25 +71,25 @@
 		}
 	})
 	time.Sleep(warmUp)
-	began := c.Platform.Started()
+	startedBefore := c.Platform.Started()
 	before, err := c.processorSeconds()
 	if err != nil {
 		close(stop)
 		return Cost{}, err
 	}
-	profiles, err := c.profiles(dir, load.Lasts)
-	spent, spentErr := c.processorSeconds()
-	tasks := c.Platform.Started() - began
+	profiles, err := c.profiles(dir, load.Duration)
+	after, afterErr := c.processorSeconds()
+	tasks := c.Platform.Started() - startedBefore
 	close(stop)
 	done.Wait()
 	if err != nil {
 		return Cost{}, err
 	}
-	if spentErr != nil {
-		return Cost{}, spentErr
+	if afterErr != nil {
+		return Cost{}, afterErr
 	}
 	out := Cost{Jobs: len(jobs), Tasks: tasks, Profiles: profiles,
-		ProcessorMicros: (spent - before) * 1e6 / float64(max(1, tasks))}
+		ProcessorMicros: (after - before) * 1e6 / float64(max(1, tasks))}
 	for _, j := range jobs {
 		if j.Accepted {
 			out.Accepted++
@@ -97,16 +98,16 @@
 	return out, nil
 }
 
-// profiles takes a profile of every node at once.
-func (c *Cluster) profiles(dir string, lasts time.Duration) ([]string, error) {
+// profiles takes a CPU profile of all nodes at the same time.
+func (c *Cluster) profiles(dir string, duration time.Duration) ([]string, error) {
 	paths := make([]string, len(c.nodes))
 	errs := make([]error, len(c.nodes))
 	var wg sync.WaitGroup
 	for i, n := range c.nodes {
 		paths[i] = fmt.Sprintf("%s/%s.pprof", dir, n.Name)
 		wg.Go(func() {
-			from := fmt.Sprintf("http://%s/debug/pprof/profile?seconds=%d", n.Operator, int(lasts.Seconds()))
-			errs[i] = fetch(from, paths[i])
+			url := fmt.Sprintf("http://%s/debug/pprof/profile?seconds=%d", n.Operator, int(duration.Seconds()))
+			errs[i] = fetch(url, paths[i])
 		})
 	}
 	wg.Wait()
@@ -118,26 +119,26 @@
 	return paths, nil
 }
 
-func fetch(from, path string) error {
-	resp, err := http.Get(from)
+func fetch(url, path string) error {
+	resp, err := http.Get(url)
 	if err != nil {
-		return &NotMeasuredError{What: "profile", Cause: err}
+		return &MeasurementError{What: "profile", Cause: err}
 	}
 	defer resp.Body.Close()
 	out, err := os.Create(path)
 	if err != nil {
-		return &NotMeasuredError{What: "profile", Cause: err}
+		return &MeasurementError{What: "profile", Cause: err}
 	}
 	defer out.Close()
 	if _, err := io.Copy(out, resp.Body); err != nil {
-		return &NotMeasuredError{What: "profile", Cause: err}
+		return &MeasurementError{What: "profile", Cause: err}
 	}
 	return nil
 }
 
 const metricProcessor = "process_cpu_seconds_total"
 
-// processorSeconds is the processor time of all nodes so far, by their metrics.
+// processorSeconds is the total CPU time of all nodes according to their metrics.
 func (c *Cluster) processorSeconds() (float64, error) {
 	sum := 0.0
 	for _, n := range c.nodes {
@@ -150,16 +151,16 @@
 	return sum, nil
 }
 
-// AbsentMetricError says that a node does not tell a metric.
-type AbsentMetricError struct{ Name string }
+// MissingMetricError reports a metric that a node does not expose.
+type MissingMetricError struct{ Name string }
 
-func (e *AbsentMetricError) Error() string { return e.Name + " is not among the metrics" }
+func (e *MissingMetricError) Error() string { return e.Name + " is not among the metrics" }
 
-// metric reads one metric of a node.
+// metric reads one metric of the node at addr.
 func metric(addr, name string) (float64, error) {
 	resp, err := http.Get("http://" + addr + operator.PathMetrics)
 	if err != nil {
-		return 0, &NotMeasuredError{What: name, Cause: err}
+		return 0, &MeasurementError{What: name, Cause: err}
 	}
 	defer resp.Body.Close()
 	lines := bufio.NewScanner(resp.Body)
@@ -170,9 +171,9 @@
 		}
 		number, err := strconv.ParseFloat(value, 64)
 		if err != nil {
-			return 0, &NotMeasuredError{What: name, Cause: err}
+			return 0, &MeasurementError{What: name, Cause: err}
 		}
 		return number, nil
 	}
-	return 0, &AbsentMetricError{Name: name}
+	return 0, &MissingMetricError{Name: name}
 }
