--- a/internal/standin/control.go
+++ b/internal/standin/control.go
@@ -106,7 +106,7 @@
 }
 
 // SetJob sets how a job's tasks deviate from what they declare.
-func (c *ControlClient) SetJob(ctx context.Context, job string, truth JobTruth) error {
+func (c *ControlClient) SetJob(ctx context.Context, job string, truth JobFactors) error {
 	return c.do(ctx, http.MethodPut, pathControlJobs+"/"+url.PathEscape(job), truth, nil)
 }
 
--- a/internal/standin/controlapi.go
+++ b/internal/standin/controlapi.go
@@ -187,7 +187,7 @@
 }
 
 func (s *Standin) handleJob(w http.ResponseWriter, r *http.Request) {
-	handleJSON(w, r, func(truth JobTruth) error {
+	handleJSON(w, r, func(truth JobFactors) error {
 		s.tasks.setJob(mux.Vars(r)["job"], truth)
 		return nil
 	})
--- a/internal/standin/platform_test.go
+++ b/internal/standin/platform_test.go
@@ -176,7 +176,7 @@
 var _ = Describe("Tasks", func() {
 	It("runs a task once per id and ends it when the instance goes down", func() {
 		r := startStandin(nil)
-		Expect(r.control.SetJob(ctx, "j", standin.JobTruth{UsageFactor: 2})).To(Succeed())
+		Expect(r.control.SetJob(ctx, "j", standin.JobFactors{UsageFactor: 2})).To(Succeed())
 		Expect(r.control.SetFailing(ctx, "w003", true)).To(Succeed())
 		tasks := []platform.Task{
 			{ID: "run", Job: "j", Instance: "w001", Cores: 2, LeaseMillis: 60_000},
--- a/internal/standin/tasks.go
+++ b/internal/standin/tasks.go
@@ -13,9 +13,9 @@
 // again.
 const endedTaskRetention = 10 * time.Minute
 
-// JobTruth sets how a job's tasks deviate from their declared resources and
+// JobFactors sets how a job's tasks deviate from their declared resources and
 // duration. 0 means 1.
-type JobTruth struct {
+type JobFactors struct {
 	UsageFactor    float64 `json:"usage_factor,omitempty"`
 	DurationFactor float64 `json:"duration_factor,omitempty"`
 }
@@ -35,13 +35,13 @@
 type taskStore struct {
 	mu             sync.Mutex
 	tasks          map[string]*task
-	jobFactors     map[string]JobTruth
+	jobFactors     map[string]JobFactors
 	failingWorkers map[string]bool
 	reportLag      time.Duration
 }
 
 func newTaskStore(lag time.Duration) *taskStore {
-	return &taskStore{tasks: map[string]*task{}, jobFactors: map[string]JobTruth{}, failingWorkers: map[string]bool{}, reportLag: lag}
+	return &taskStore{tasks: map[string]*task{}, jobFactors: map[string]JobFactors{}, failingWorkers: map[string]bool{}, reportLag: lag}
 }
 
 // start records a task and starts it, unless its id has been used before.
@@ -143,7 +143,7 @@
 	}
 }
 
-func (t *taskStore) setJob(job string, truth JobTruth) {
+func (t *taskStore) setJob(job string, truth JobFactors) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.jobFactors[job] = truth
