--- a/internal/standin/control.go
+++ b/internal/standin/control.go
@@ -35,8 +35,8 @@
 func (c *ControlClient) Close() { c.hc.CloseIdleConnections() }
 
 // Instances returns the actual state of all instances, without lag.
-func (c *ControlClient) Instances(ctx context.Context) ([]InstanceTruth, error) {
-	var out []InstanceTruth
+func (c *ControlClient) Instances(ctx context.Context) ([]ActualInstance, error) {
+	var out []ActualInstance
 	err := c.do(ctx, http.MethodGet, pathControlInstances, nil, &out)
 	return out, err
 }
--- a/internal/standin/controlapi.go
+++ b/internal/standin/controlapi.go
@@ -27,8 +27,8 @@
 // maxHistoryPageRuns is the maximum number of runs in one response.
 const maxHistoryPageRuns = 20_000
 
-// InstanceTruth is the actual state of an instance, without lag.
-type InstanceTruth struct {
+// ActualInstance is the actual state of an instance, without lag.
+type ActualInstance struct {
 	platform.Instance
 	// Revision is the installed maintenance revision.
 	Revision int `json:"revision"`
--- a/internal/standin/fleet.go
+++ b/internal/standin/fleet.go
@@ -163,12 +163,12 @@
 }
 
 // actualInstances returns the current state, without lag.
-func (f *fleet) actualInstances() []InstanceTruth {
+func (f *fleet) actualInstances() []ActualInstance {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	out := make([]InstanceTruth, 0, len(f.members))
+	out := make([]ActualInstance, 0, len(f.members))
 	for _, m := range f.sortedMembers() {
-		out = append(out, InstanceTruth{Instance: m.row, Revision: m.revision, Running: m.op, Fenced: m.fenced, Boots: m.boots})
+		out = append(out, ActualInstance{Instance: m.row, Revision: m.revision, Running: m.op, Fenced: m.fenced, Boots: m.boots})
 	}
 	return out
 }
--- a/internal/standin/suite_test.go
+++ b/internal/standin/suite_test.go
@@ -53,7 +53,7 @@
 }
 
 // instance returns the actual state of one instance.
-func (r testPlatform) instance(id string) standin.InstanceTruth {
+func (r testPlatform) instance(id string) standin.ActualInstance {
 	all, err := r.control.Instances(context.Background())
 	Expect(err).NotTo(HaveOccurred())
 	for _, i := range all {
@@ -62,7 +62,7 @@
 		}
 	}
 	Fail("no instance " + id)
-	return standin.InstanceTruth{}
+	return standin.ActualInstance{}
 }
 
 // get sends a request that takes workMillis to an instance.
--- a/test/budget/suite_test.go
+++ b/test/budget/suite_test.go
@@ -107,10 +107,10 @@
 }
 
 // rows are the workers as they are.
-func rows(c *harness.Cluster) []standin.InstanceTruth {
+func rows(c *harness.Cluster) []standin.ActualInstance {
 	all, err := c.Standin.Instances(bg)
 	Expect(err).NotTo(HaveOccurred())
-	var out []standin.InstanceTruth
+	var out []standin.ActualInstance
 	for _, r := range all {
 		if r.Kind == platform.KindWorker {
 			out = append(out, r)
--- a/test/onepool/suite_test.go
+++ b/test/onepool/suite_test.go
@@ -62,7 +62,7 @@
 }
 
 // truth is a worker as the platform has it.
-func truth(c *harness.Cluster, id string) standin.InstanceTruth {
+func truth(c *harness.Cluster, id string) standin.ActualInstance {
 	GinkgoHelper()
 	rows, err := c.Standin.Instances(bg)
 	Expect(err).NotTo(HaveOccurred())
@@ -72,7 +72,7 @@
 		}
 	}
 	Fail("no instance " + id)
-	return standin.InstanceTruth{}
+	return standin.ActualInstance{}
 }
 
 // awaitBegun waits until the log has the move's beginning.
