--- a/internal/standin/control.go
+++ b/internal/standin/control.go
@@ -87,9 +87,9 @@
 	return c.do(ctx, http.MethodDelete, pathControlFaults, nil, nil)
 }
 
-// Held counts the platform calls that are currently delayed by a fault and whose
+// CountDelayed counts the platform calls that are currently delayed by a fault and whose
 // body contains text, such as the id of the process that made them.
-func (c *ControlClient) Held(ctx context.Context, text string) (int, error) {
+func (c *ControlClient) CountDelayed(ctx context.Context, text string) (int, error) {
 	var out delayedCallsAnswer
 	err := c.do(ctx, http.MethodGet, pathControlFaults+"?with="+url.QueryEscape(text), nil, &out)
 	return out.Held, err
--- a/test/budget/suite_test.go
+++ b/test/budget/suite_test.go
@@ -76,7 +76,7 @@
 	awaitDecided(holder)
 	// The planner shows a decision before its record has reached the platform. With
 	// the delay ended by then, the record would not be late at all.
-	Eventually(func() (int, error) { return c.Standin.Held(bg, holder.ID) }, harness.Patience, harness.Poll).
+	Eventually(func() (int, error) { return c.Standin.CountDelayed(bg, holder.ID) }, harness.Patience, harness.Poll).
 		Should(BeNumerically(">", 0), "the planner's record never came")
 	Expect(c.Standin.ClearFaults(bg)).To(Succeed())
 	return holder
