--- a/internal/standin/control.go
+++ b/internal/standin/control.go
@@ -95,8 +95,8 @@
 	return out.Held, err
 }
 
-// Apply changes the settings that are given.
-func (c *ControlClient) Apply(ctx context.Context, s Settings) error {
+// ApplySettings changes the settings that are given.
+func (c *ControlClient) ApplySettings(ctx context.Context, s Settings) error {
 	return c.do(ctx, http.MethodPut, pathControlSettings, s, nil)
 }
 
--- a/internal/standin/platform_test.go
+++ b/internal/standin/platform_test.go
@@ -146,7 +146,7 @@
 		Expect(r.control.SetState(ctx, "w001", platform.StateGone)).To(Succeed())
 		Expect(r.control.SetState(ctx, "w001", platform.StateLive)).To(Succeed())
 		ms := int64(1)
-		Expect(r.control.Apply(ctx, standin.Settings{RebootMillis: &ms})).To(Succeed())
+		Expect(r.control.ApplySettings(ctx, standin.Settings{RebootMillis: &ms})).To(Succeed())
 		Eventually(func() string {
 			Expect(r.platform.Reboot(ctx, operation)).To(Succeed())
 			return r.instance("w001").Operation
--- a/test/graceful/rolling_test.go
+++ b/test/graceful/rolling_test.go
@@ -51,7 +51,7 @@
 	// meanwhile is the question of the suite in drain/.
 	It("cuts nothing in flight", func() {
 		c := formed(fewInstances)
-		Expect(c.Standin.Apply(GinkgoT().Context(), standin.Settings{DrainLimitMillis: new(int64(impatient))})).To(Succeed())
+		Expect(c.Standin.ApplySettings(GinkgoT().Context(), standin.Settings{DrainLimitMillis: new(int64(impatient))})).To(Succeed())
 		callers := c.Steady(c.Balance(), poolTabs, poolCharges)
 		c.Publish(fleetManifest(1))
 		c.SettledAt(poolTabs, 1)
