--- a/internal/standin/controlapi.go
+++ b/internal/standin/controlapi.go
@@ -32,10 +32,10 @@
 	platform.Instance
 	// Revision is the installed maintenance revision.
 	Revision int `json:"revision"`
-	// Running is the id of the operation in progress.
-	Running string `json:"running,omitempty"`
-	Fenced  bool   `json:"fenced,omitempty"`
-	Boots   int    `json:"boots"`
+	// OperationInProgress is the id of the operation in progress.
+	OperationInProgress string `json:"running,omitempty"`
+	Fenced              bool   `json:"fenced,omitempty"`
+	Boots               int    `json:"boots"`
 }
 
 // InstanceChange describes a change of one instance.
--- a/internal/standin/fleet.go
+++ b/internal/standin/fleet.go
@@ -168,7 +168,7 @@
 	defer f.mu.Unlock()
 	out := make([]ActualInstance, 0, len(f.members))
 	for _, m := range f.sortedMembers() {
-		out = append(out, ActualInstance{Instance: m.row, Revision: m.revision, Running: m.op, Fenced: m.fenced, Boots: m.boots})
+		out = append(out, ActualInstance{Instance: m.row, Revision: m.revision, OperationInProgress: m.op, Fenced: m.fenced, Boots: m.boots})
 	}
 	return out
 }
--- a/test/budget/suite_test.go
+++ b/test/budget/suite_test.go
@@ -134,7 +134,7 @@
 // none.
 func running(c *harness.Cluster, pool string) string {
 	for _, r := range rows(c) {
-		if r.Running != "" && r.Pool == pool {
+		if r.OperationInProgress != "" && r.Pool == pool {
 			return r.ID
 		}
 	}
@@ -146,7 +146,7 @@
 func allServing(c *harness.Cluster, pool string) []string {
 	var out []string
 	for _, r := range rows(c) {
-		if r.Running == "" && r.Pool == pool && r.State == platform.StateLive {
+		if r.OperationInProgress == "" && r.Pool == pool && r.State == platform.StateLive {
 			out = append(out, r.ID)
 		}
 	}
--- a/test/harness/operate.go
+++ b/test/harness/operate.go
@@ -119,7 +119,7 @@
 		for _, row := range rows {
 			if row.Pool == pool && row.State != "gone" {
 				g.Expect(row.Revision).To(gomega.BeNumerically(">=", revision), row.ID)
-				g.Expect(row.Running).To(gomega.BeEmpty(), row.ID)
+				g.Expect(row.OperationInProgress).To(gomega.BeEmpty(), row.ID)
 			}
 		}
 	}, Patience, Poll).Should(gomega.Succeed())
--- a/test/onepool/planner_test.go
+++ b/test/onepool/planner_test.go
@@ -34,7 +34,7 @@
 		c.Form(before())
 		l := callers(c, 2)
 		publish(c, after())
-		Eventually(func() string { return truth(c, mover).Running }, harness.Patience, harness.Poll/4).ShouldNot(BeEmpty())
+		Eventually(func() string { return truth(c, mover).OperationInProgress }, harness.Patience, harness.Poll/4).ShouldNot(BeEmpty())
 		c.Planner().Kill()
 		expectMoved(c)
 		Expect(l.Stop().Broken.Count).To(BeZero())
--- a/test/onepool/suite_test.go
+++ b/test/onepool/suite_test.go
@@ -112,7 +112,7 @@
 	GinkgoHelper()
 	Consistently(func(g Gomega) {
 		r := truth(c, mover)
-		g.Expect(r.Running).To(BeEmpty())
+		g.Expect(r.OperationInProgress).To(BeEmpty())
 		g.Expect(r.Boots).To(Equal(formedBoots))
 		g.Expect(r.Pool).To(Equal("tabs"))
 	}, stillFor, harness.Poll).Should(Succeed())
