--- a/test/budget/suite_test.go
+++ b/test/budget/suite_test.go
@@ -76,7 +76,7 @@
 	awaitDecided(holder)
 	// The planner shows a decision before its record has reached the platform. With
 	// the delay ended by then, the record would not be late at all.
-	Eventually(func() (int, error) { return c.Standin.Held(bg, holder.ID) }, harness.Patience, harness.Poll).
+	Eventually(func() (int, error) { return c.Standin.CountDelayed(bg, holder.ID) }, harness.Patience, harness.Poll).
 		Should(BeNumerically(">", 0), "the planner's record never came")
 	Expect(c.Standin.ClearFaults(bg)).To(Succeed())
 	return holder
@@ -107,10 +107,10 @@
 }
 
 // rows are the workers as they are.
-func rows(c *harness.Cluster) []standin.InstanceTruth {
+func rows(c *harness.Cluster) []standin.ActualInstance {
 	all, err := c.Standin.Instances(bg)
 	Expect(err).NotTo(HaveOccurred())
-	var out []standin.InstanceTruth
+	var out []standin.ActualInstance
 	for _, r := range all {
 		if r.Kind == platform.KindWorker {
 			out = append(out, r)
@@ -134,7 +134,7 @@
 // none.
 func running(c *harness.Cluster, pool string) string {
 	for _, r := range rows(c) {
-		if r.Running != "" && r.Pool == pool {
+		if r.OperationInProgress != "" && r.Pool == pool {
 			return r.ID
 		}
 	}
@@ -146,7 +146,7 @@
 func allServing(c *harness.Cluster, pool string) []string {
 	var out []string
 	for _, r := range rows(c) {
-		if r.Running == "" && r.Pool == pool && r.State == platform.StateLive {
+		if r.OperationInProgress == "" && r.Pool == pool && r.State == platform.StateLive {
 			out = append(out, r.ID)
 		}
 	}
