--- a/test/harness/balancer.go
+++ b/test/harness/balancer.go
@@ -12,20 +12,20 @@
 	"cyclamenwheel/internal/operator"
 )
 
-// balancerPoll is the time between two looks at an entry's readiness.
-const balancerPoll = 100 * time.Millisecond
+// balancerPollInterval is the interval between two readiness checks of an
+// entry.
+const balancerPollInterval = 100 * time.Millisecond
 
-// Balancer is what callers see of the platform's balancer: it looks at the
-// readiness of every entry and sends new requests only to those that are
-// ready.
+// Balancer stands in for the load balancer that callers use: it polls the
+// readiness of every entry and offers only ready entries for new requests.
 type Balancer struct {
 	cluster *Cluster
 	mu      sync.Mutex
 	ready   []string
 }
 
-// Balance starts a balancer in front of the entries, those that are started
-// later included. It ends with the spec.
+// Balance starts a balancer in front of all entries, including those started
+// later. It stops at the end of the spec.
 func (c *Cluster) Balance() *Balancer {
 	ginkgo.GinkgoHelper()
 	b := &Balancer{cluster: c}
@@ -36,19 +36,19 @@
 		done.Wait()
 	})
 	b.poll(ctx)
-	done.Go(func() { b.watch(ctx) })
+	done.Go(func() { b.pollLoop(ctx) })
 	return b
 }
 
-// Ready returns the URLs of the entries that were ready at the last look.
+// Ready returns the URLs of the entries that were ready at the last poll.
 func (b *Balancer) Ready() []string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return slices.Clone(b.ready)
 }
 
-func (b *Balancer) watch(ctx context.Context) {
-	tick := time.NewTicker(balancerPoll)
+func (b *Balancer) pollLoop(ctx context.Context) {
+	tick := time.NewTicker(balancerPollInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -63,7 +63,7 @@
 func (b *Balancer) poll(ctx context.Context) {
 	var ready []string
 	for _, e := range b.cluster.Entries() {
-		if e.readyz(ctx) {
+		if e.probeReady(ctx) {
 			ready = append(ready, e.CallerURL())
 		}
 	}
@@ -72,12 +72,14 @@
 	b.ready = ready
 }
 
-func (p *Process) readyz(ctx context.Context) bool {
+// probeReady reports whether the process answers its readiness probe with
+// 200.
+func (p *Process) probeReady(ctx context.Context) bool {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+p.OperatorAddr()+operator.PathReady, nil)
 	if err != nil {
 		return false
 	}
-	resp, err := asker.Do(req)
+	resp, err := inspectClient.Do(req)
 	if err != nil {
 		return false
 	}
--- a/test/harness/build.go
+++ b/test/harness/build.go
@@ -10,7 +10,8 @@
 	"github.com/onsi/gomega"
 )
 
-// binaries holds where the processes under test were built, once per test run.
+// binaries holds the directory of the commands under test, which are built
+// once per test run.
 var binaries struct {
 	once sync.Once
 	dir  string
@@ -18,7 +19,8 @@
 	out  []byte
 }
 
-// binary returns the path of a built command. RemoveBinaries deletes it.
+// binary returns the path of a built command and builds all commands on first
+// use. RemoveBinaries deletes them.
 func binary(name string) string {
 	ginkgo.GinkgoHelper()
 	binaries.once.Do(func() {
@@ -33,7 +35,7 @@
 	return filepath.Join(binaries.dir, name)
 }
 
-// RemoveBinaries deletes what was built. A suite calls it in AfterSuite.
+// RemoveBinaries deletes the built commands. Suites call it in AfterSuite.
 func RemoveBinaries() {
 	if binaries.dir != "" {
 		_ = os.RemoveAll(binaries.dir)
--- a/test/harness/caller.go
+++ b/test/harness/caller.go
@@ -17,37 +17,40 @@
 	"cyclamenwheel/internal/standin"
 )
 
-// Request is one request of a caller.
+// Request is one HTTP request of a caller.
 type Request struct {
-	// ID is the X-Request-Id, by which the endpoints' history is searched.
+	// ID is the X-Request-Id; RunsOf finds the runs of the request by it.
 	ID      string
 	Method  string // GET by default
 	Service string
 	Body    string
-	// Work is the service time asked for, Deadline the caller's own.
+	// Work is the service time requested from the endpoint, Deadline the
+	// deadline that the caller sends.
 	Work, Deadline time.Duration
 }
 
-// Reply is what the caller got.
+// Reply is the outcome of a request as the caller sees it.
 type Reply struct {
 	Status int
 	Header http.Header
 	Body   []byte
-	// Problem is set, and Refused, where the entry itself refused.
+	// Problem is set and Refused true if the entry answered with a problem
+	// document of its own.
 	Problem dispatch.Problem
 	Refused bool
-	// Err is set where no whole answer came.
+	// Err is set if no complete answer arrived.
 	Err error
 }
 
-// caller sends each request on a connection of its own, and once.
-var caller = &http.Client{
+// callerClient opens a new connection for each request and never retries or
+// follows redirects.
+var callerClient = &http.Client{
 	Timeout:       Patience,
 	Transport:     &http.Transport{DisableKeepAlives: true, DisableCompression: true},
 	CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
 }
 
-// Send sends a request to an entry and returns what came of it.
+// Send sends a request to an entry and returns the outcome.
 func (p *Process) Send(r Request) Reply {
 	ginkgo.GinkgoHelper()
 	if r.Method == "" {
@@ -63,7 +66,7 @@
 	if r.Deadline > 0 {
 		req.Header.Set(dispatch.HeaderDeadline, strconv.FormatInt(r.Deadline.Milliseconds(), 10))
 	}
-	resp, err := caller.Do(req)
+	resp, err := callerClient.Do(req)
 	if err != nil {
 		return Reply{Err: err}
 	}
@@ -77,7 +80,8 @@
 	return out
 }
 
-// Own reports whether the reply is the endpoint's whole answer to the request.
+// Own reports whether the reply is the endpoint's complete answer to the
+// given request: its request ID, service and body hash all match.
 func (r Reply) Own(to Request) bool {
 	var answer standin.EndpointAnswer
 	if r.Err != nil || r.Refused || json.Unmarshal(r.Body, &answer) != nil {
@@ -88,7 +92,7 @@
 		answer.Service == to.Service && answer.BodySHA256 == hex.EncodeToString(sum[:])
 }
 
-// RunsOf returns the runs of a request.
+// RunsOf returns all runs of a request that the endpoints recorded.
 func (c *Cluster) RunsOf(id string) []standin.Run {
 	ginkgo.GinkgoHelper()
 	hist, err := c.Standin.History(bg, 1)
--- a/test/harness/check.go
+++ b/test/harness/check.go
@@ -12,12 +12,13 @@
 	"cyclamenwheel/internal/standin"
 )
 
-// lossGrace is how long a forced loss may be unknown to whoever decides a
-// drain: the list's lag, a record's way through the log, and a margin for a
-// busy machine. A drain that begins later must have reckoned with the loss.
-const lossGrace = 3 * time.Second
+// lossDetectionGrace is how long after a forced loss a drain decision may
+// still ignore it. It covers the lag of the instance list, the time for a
+// record to pass through the log, and a margin for a busy machine. A drain
+// that begins later must account for the loss.
+const lossDetectionGrace = 3 * time.Second
 
-// Finding is one breach of a promise.
+// Finding is one violation of a guarantee.
 type Finding struct {
 	Promise string
 	Detail  string
@@ -25,31 +26,33 @@
 
 func (f Finding) String() string { return f.Promise + ": " + f.Detail }
 
-// Observed is what the platform saw of a run.
+// Observed is what the stand-in platform recorded during a run.
 type Observed struct {
 	Availability standin.Availability
 	History      standin.History
 	Violations   standin.Violations
 }
 
-// Rules are what the manifests that were in force asked for.
+// Rules are the requirements of all manifests that have been in force.
 type Rules struct {
-	// MinAvailable is each pool's budget, the laxest of the manifests.
+	// MinAvailable is the lowest availability budget of each pool over all
+	// manifests.
 	MinAvailable map[string]int
-	// PoolsOf holds the pools that may answer a service.
+	// PoolsOf lists, for each service, the pools that may answer it.
 	PoolsOf map[string][]string
 }
 
-func (l *ledger) rules() Rules {
+// checkRules derives the rules from the manifests that were accepted.
+func (l *manifestHistory) checkRules() Rules {
 	r := Rules{MinAvailable: map[string]int{}, PoolsOf: map[string][]string{}}
 	for _, p := range l.all() {
-		for _, s := range p.man.Services {
+		for _, s := range p.manifest.Services {
 			r.PoolsOf[s.Name] = append(r.PoolsOf[s.Name], s.Pool)
 		}
-		for _, pool := range p.man.Pools {
-			least, known := r.MinAvailable[pool.Name]
-			budget := p.man.MinAvailable(pool.Name)
-			if !known || budget < least {
+		for _, pool := range p.manifest.Pools {
+			laxest, exists := r.MinAvailable[pool.Name]
+			budget := p.manifest.MinAvailable(pool.Name)
+			if !exists || budget < laxest {
 				r.MinAvailable[pool.Name] = budget
 			}
 		}
@@ -57,39 +60,40 @@
 	return r
 }
 
-// Check expects that the platform saw no breach of any promise so far.
+// Check expects that neither the platform records, nor the log, nor the
+// generation watch show a violation so far.
 func (c *Cluster) Check() {
 	ginkgo.GinkgoHelper()
-	var seen Observed
+	var observed Observed
 	var err error
-	seen.Availability, err = c.Standin.Availability(bg)
+	observed.Availability, err = c.Standin.Availability(bg)
 	gomega.Expect(err).NotTo(gomega.HaveOccurred())
-	seen.History, err = c.Standin.History(bg, 1)
+	observed.History, err = c.Standin.History(bg, 1)
 	gomega.Expect(err).NotTo(gomega.HaveOccurred())
-	seen.Violations, err = c.Standin.Violations(bg)
+	observed.Violations, err = c.Standin.Violations(bg)
 	gomega.Expect(err).NotTo(gomega.HaveOccurred())
-	gomega.Expect(seen.History.Dropped).To(gomega.BeZero(), "the history is incomplete")
-	gomega.Expect(Judge(seen, c.ledger.rules())).To(gomega.BeEmpty())
-	gomega.Expect(c.judgeLog()).To(gomega.BeEmpty())
-	gomega.Expect(c.watch.found()).To(gomega.BeEmpty())
+	gomega.Expect(observed.History.Dropped).To(gomega.BeZero(), "the history is incomplete")
+	gomega.Expect(Judge(observed, c.manifests.checkRules())).To(gomega.BeEmpty())
+	gomega.Expect(c.checkLog()).To(gomega.BeEmpty())
+	gomega.Expect(c.generations.currentFindings()).To(gomega.BeEmpty())
 }
 
-// Judge finds all breaches in what was seen.
-func Judge(seen Observed, rules Rules) []Finding {
+// Judge returns all violations in the records of the platform.
+func Judge(observed Observed, rules Rules) []Finding {
 	return slices.Concat(
-		budget(seen.Availability, rules.MinAvailable),
-		onePool(seen.History.Runs, rules.PoolsOf),
-		atMostOnce(seen.History.Runs),
-		endpoints(seen.Violations),
+		checkBudget(observed.Availability, rules.MinAvailable),
+		checkOnePool(observed.History.Runs, rules.PoolsOf),
+		checkAtMostOnce(observed.History.Runs),
+		checkEndpoints(observed.Violations),
 	)
 }
 
-// budget looks at every moment of the timeline. Two things are asked of each
-// pool. What would be live had nothing been lost by force is never under the
-// budget: that is what the system's own acts leave. And no instance is taken
-// out of service while the pool is under its budget for losses that had been
-// there for long enough to be known.
-func budget(a standin.Availability, least map[string]int) []Finding {
+// checkBudget checks every point of the availability timeline against two
+// rules for each pool. The instances that would be live without forced losses
+// never fall below the budget, as only operations of the system itself reduce
+// them. And no instance is drained while the pool is below its budget because
+// of losses older than lossDetectionGrace.
+func checkBudget(a standin.Availability, minAvailable map[string]int) []Finding {
 	points := slices.Clone(a.Points)
 	slices.SortStableFunc(points, func(x, y standin.AvailabilityPoint) int {
 		return cmp.Compare(x.TimeMicros, y.TimeMicros)
@@ -99,10 +103,10 @@
 	for _, p := range points {
 		t := pools[p.Pool]
 		if t == nil {
-			t = &poolTimeline{budget: least[p.Pool], last: p.PoolCount}
+			t = &poolTimeline{budget: minAvailable[p.Pool], last: p.PoolCount}
 			pools[p.Pool] = t
 		}
-		if detail := t.step(p); detail != "" {
+		if detail := t.advance(p); detail != "" {
 			out = append(out, Finding{Promise: "availability budget", Detail: fmt.Sprintf(
 				"pool %s at %d us: %s: %+v, budget %d", p.Pool, p.TimeMicros, detail, p.PoolCount, t.budget)})
 		}
@@ -110,49 +114,55 @@
 	return out
 }
 
-// poolTimeline walks along one pool's points.
+// poolTimeline is the state of the check after the points of one pool so far.
 type poolTimeline struct {
 	budget int
 	last   standin.PoolCount
-	lostAt []int64 // times of forced losses that are still missing
+	lostAt []int64 // times of the forced losses whose instances have not returned
 }
 
-func (t *poolTimeline) step(p standin.AvailabilityPoint) string {
-	t.note(p)
-	took := p.VoluntaryDown > t.last.VoluntaryDown
-	had := t.last.Live + t.last.ForcedDown
+// advance applies the next point and describes the violation that it shows,
+// or returns an empty string.
+func (t *poolTimeline) advance(p standin.AvailabilityPoint) string {
+	t.recordLosses(p)
+	drained := p.VoluntaryDown > t.last.VoluntaryDown
+	unforcedBefore := t.last.Live + t.last.ForcedDown
 	t.last = p.PoolCount
-	if unforced := p.Live + p.ForcedDown; unforced < t.budget && unforced < had {
-		return "the system's own acts leave less than the budget"
+	if unforced := p.Live + p.ForcedDown; unforced < t.budget && unforced < unforcedBefore {
+		return "operations of the system leave fewer instances than the budget"
 	}
-	if took && p.Live+t.recentLosses(p.TimeMicros) < t.budget {
-		return "taken out of service although losses had left no room"
+	if drained && p.Live+t.recentLosses(p.TimeMicros) < t.budget {
+		return "drained although earlier losses had used up the budget"
 	}
 	return ""
 }
 
-func (t *poolTimeline) note(p standin.AvailabilityPoint) {
+// recordLosses adds new forced losses and drops the oldest ones when
+// instances return.
+func (t *poolTimeline) recordLosses(p standin.AvailabilityPoint) {
 	for range p.ForcedDown - t.last.ForcedDown {
 		t.lostAt = append(t.lostAt, p.TimeMicros)
 	}
-	if extra := len(t.lostAt) - p.ForcedDown; extra > 0 {
-		t.lostAt = t.lostAt[extra:]
+	if recovered := len(t.lostAt) - p.ForcedDown; recovered > 0 {
+		t.lostAt = t.lostAt[recovered:]
 	}
 }
 
+// recentLosses counts the missing instances that were lost within
+// lossDetectionGrace.
 func (t *poolTimeline) recentLosses(now int64) int {
 	n := 0
 	for _, at := range t.lostAt {
-		if now-at < lossGrace.Microseconds() {
+		if now-at < lossDetectionGrace.Microseconds() {
 			n++
 		}
 	}
 	return n
 }
 
-// onePool finds requests that reached an instance while it was in a pool that
-// does not answer their service.
-func onePool(runs []standin.Run, poolsOf map[string][]string) []Finding {
+// checkOnePool finds requests that ran on an instance while it was in a pool
+// that does not answer their service.
+func checkOnePool(runs []standin.Run, poolsOf map[string][]string) []Finding {
 	var out []Finding
 	for _, r := range runs {
 		if !slices.Contains(poolsOf[r.Service], r.Pool) {
@@ -163,15 +173,15 @@
 	return out
 }
 
-// atMostOnce finds keys of non-idempotent requests that ran twice.
-func atMostOnce(runs []standin.Run) []Finding {
+// checkAtMostOnce finds idempotency keys whose request ran more than once.
+func checkAtMostOnce(runs []standin.Run) []Finding {
 	first := map[string]int{}
 	var out []Finding
 	for _, r := range runs {
 		if r.IdempotencyKey == "" {
 			continue
 		}
-		if seq, ran := first[r.IdempotencyKey]; ran {
+		if seq, ranBefore := first[r.IdempotencyKey]; ranBefore {
 			out = append(out, Finding{Promise: "at most once", Detail: fmt.Sprintf(
 				"key %s ran as %d and as %d", r.IdempotencyKey, seq, r.Seq)})
 			continue
@@ -181,17 +191,18 @@
 	return out
 }
 
-// endpoints finds what must not happen to endpoints.
-func endpoints(v standin.Violations) []Finding {
+// checkEndpoints finds exceeded slots, exceeded connection limits and
+// requests that an operation interrupted.
+func checkEndpoints(v standin.Violations) []Finding {
 	var out []Finding
 	if n := v.SlotTotal(); n > 0 {
-		out = append(out, Finding{Promise: "slots", Detail: fmt.Sprintf("%d requests over the slots: %v", n, v.SlotViolations)})
+		out = append(out, Finding{Promise: "slots", Detail: fmt.Sprintf("%d requests beyond the slot limit: %v", n, v.SlotViolations)})
 	}
 	if n := v.ConnectionTotal(); n > 0 {
-		out = append(out, Finding{Promise: "connections", Detail: fmt.Sprintf("%d connections too many: %v", n, v.ConnectionViolations)})
+		out = append(out, Finding{Promise: "connections", Detail: fmt.Sprintf("%d connections beyond the limit: %v", n, v.ConnectionViolations)})
 	}
 	if v.CutByOperation > 0 {
-		out = append(out, Finding{Promise: "graceful", Detail: fmt.Sprintf("%d requests cut by operations", v.CutByOperation)})
+		out = append(out, Finding{Promise: "graceful", Detail: fmt.Sprintf("%d requests interrupted by operations", v.CutByOperation)})
 	}
 	return out
 }
--- a/test/harness/check_test.go
+++ b/test/harness/check_test.go
@@ -8,7 +8,7 @@
 	"cyclamenwheel/test/harness"
 )
 
-// second in the timeline's unit.
+// second is one second in the microseconds of the timeline.
 const second = 1_000_000
 
 func point(at int64, live, voluntary, forced int) standin.AvailabilityPoint {
@@ -16,29 +16,31 @@
 		PoolCount: standin.PoolCount{Live: live, VoluntaryDown: voluntary, ForcedDown: forced}}
 }
 
-func judge(points ...standin.AvailabilityPoint) []harness.Finding {
+// findInTimeline checks a timeline of pool "tabs", whose budget is three
+// instances.
+func findInTimeline(points ...standin.AvailabilityPoint) []harness.Finding {
 	return harness.Judge(
 		harness.Observed{Availability: standin.Availability{Points: points}},
 		harness.Rules{MinAvailable: map[string]int{"tabs": 3}})
 }
 
 var _ = Describe("The checks", func() {
-	It("take a wave within the budget", func() {
-		Expect(judge(point(0, 4, 0, 0), point(1, 3, 1, 0), point(2, 4, 0, 0), point(3, 3, 1, 0))).To(BeEmpty())
+	It("accept a maintenance wave within the budget", func() {
+		Expect(findInTimeline(point(0, 4, 0, 0), point(1, 3, 1, 0), point(2, 4, 0, 0), point(3, 3, 1, 0))).To(BeEmpty())
 	})
-	It("find a drain that takes the last instance to spare twice", func() {
-		Expect(judge(point(0, 4, 0, 0), point(1, 3, 1, 0), point(2, 2, 2, 0))).NotTo(BeEmpty())
+	It("find a second drain that takes the pool below its budget", func() {
+		Expect(findInTimeline(point(0, 4, 0, 0), point(1, 3, 1, 0), point(2, 2, 2, 0))).NotTo(BeEmpty())
 	})
-	It("do not blame the system for a loss in the middle of a drain", func() {
-		Expect(judge(point(0, 4, 0, 0), point(1, 3, 1, 0), point(2, 2, 1, 1))).To(BeEmpty())
+	It("accept a forced loss during a drain", func() {
+		Expect(findInTimeline(point(0, 4, 0, 0), point(1, 3, 1, 0), point(2, 2, 1, 1))).To(BeEmpty())
 	})
-	It("allow a drain that crosses a loss nobody can know of yet", func() {
-		Expect(judge(point(0, 4, 0, 0), point(1, 3, 0, 1), point(2, 2, 1, 1))).To(BeEmpty())
+	It("accept a drain right after a loss that cannot have been reported yet", func() {
+		Expect(findInTimeline(point(0, 4, 0, 0), point(1, 3, 0, 1), point(2, 2, 1, 1))).To(BeEmpty())
 	})
-	It("find a drain long after a loss that left no room", func() {
-		Expect(judge(point(0, 4, 0, 0), point(1, 3, 0, 1), point(10*second, 2, 1, 1))).NotTo(BeEmpty())
+	It("find a drain long after a loss that used up the budget", func() {
+		Expect(findInTimeline(point(0, 4, 0, 0), point(1, 3, 0, 1), point(10*second, 2, 1, 1))).NotTo(BeEmpty())
 	})
-	It("find a request at an instance of another pool, and a key that ran twice", func() {
+	It("find a request on an instance of another pool, and an idempotency key that ran twice", func() {
 		found := harness.Judge(
 			harness.Observed{History: standin.History{Runs: []standin.Run{
 				{Seq: 1, Service: "tabs", Pool: "tabs", IdempotencyKey: "k"},
@@ -48,7 +50,7 @@
 			harness.Rules{PoolsOf: map[string][]string{"tabs": {"tabs"}}})
 		Expect(found).To(HaveLen(2))
 	})
-	It("find requests cut by an operation and slots taken twice", func() {
+	It("find requests interrupted by an operation and an exceeded slot limit", func() {
 		found := harness.Judge(harness.Observed{Violations: standin.Violations{
 			SlotViolations: map[string]int{"w001": 1}, CutByOperation: 1}}, harness.Rules{})
 		Expect(found).To(HaveLen(2))
--- a/test/harness/checklog.go
+++ b/test/harness/checklog.go
@@ -10,10 +10,10 @@
 	"cyclamenwheel/internal/pools"
 )
 
-// judgeLog looks at the log at every offset: no move or drain that took effect
-// may have left its pool with less than the budget that was in force there,
-// and a generation never goes back.
-func (c *Cluster) judgeLog() []Finding {
+// checkLog replays the log and finds accepted moves and drains that left
+// their pool below the budget in force at that offset, and generations that
+// decreased.
+func (c *Cluster) checkLog() []Finding {
 	ginkgo.GinkgoHelper()
 	var out []Finding
 	var generation uint64
@@ -24,37 +24,39 @@
 		}
 		generation = st.Manifest.Generation
 		if a.Record.Kind == fleetlog.KindBegin && a.Verdict.Accepted {
-			out = append(out, begun(st, a)...)
+			out = append(out, checkBegin(st, a)...)
 		}
 	})
 	return out
 }
 
-// begun counts the serving instances anew rather than trust the fold's own
-// count.
-func begun(st *fleetlog.State, a fleetlog.Applied) []Finding {
+// checkBegin checks the budget of each pool that an instance left at this
+// offset. It counts the serving instances itself, so that a wrong count in
+// the fold does not go unnoticed.
+func checkBegin(st *fleetlog.State, a fleetlog.Applied) []Finding {
 	var out []Finding
 	serving := map[string]int{}
-	touched := map[string]bool{}
+	affected := map[string]bool{}
 	for _, in := range st.Pools.Instances {
 		if in.Phase == pools.PhaseServing {
 			serving[in.Pool]++
 		} else if in.Since == a.Offset && in.Pool != "" {
-			touched[in.Pool] = true
+			affected[in.Pool] = true
 		}
 	}
 	man := st.Manifest.Current()
-	for pool := range touched {
-		if least := man.MinAvailable(pool); serving[pool] < least {
+	for pool := range affected {
+		if minAvailable := man.MinAvailable(pool); serving[pool] < minAvailable {
 			out = append(out, Finding{Promise: "availability budget", Detail: fmt.Sprintf(
-				"offset %d leaves pool %s with %d serving, budget %d", a.Offset, pool, serving[pool], least)})
+				"offset %d leaves pool %s with %d serving, budget %d", a.Offset, pool, serving[pool], minAvailable)})
 		}
 	}
 	return out
 }
 
-// Verdicts returns the fold's verdicts on an author's records of a kind, in log
-// order; it tells whether an attack took place at all, and how it ended.
+// Verdicts returns the fold's verdicts on an author's records of a kind, in
+// log order. Tests use it to see whether the delayed records of an earlier
+// planner reached the log, and with which verdict.
 func (c *Cluster) Verdicts(author string, kind fleetlog.Kind) []fold.Verdict {
 	ginkgo.GinkgoHelper()
 	var out []fold.Verdict
--- a/test/harness/endpointlink.go
+++ b/test/harness/endpointlink.go
@@ -11,10 +11,11 @@
 	"cyclamenwheel/internal/standin"
 )
 
-// portEndpoints is the first port of proxies in front of endpoints.
-const portEndpoints = 9000
+// firstEndpointPort is the port of the first proxy in front of an endpoint;
+// the others follow in the order of the instance list.
+const firstEndpointPort = 9000
 
-// Direction of the bytes through an EndpointLink.
+// Direction is a direction of the bytes through an EndpointLink.
 type Direction string
 
 // Directions.
@@ -23,11 +24,12 @@
 	FromEndpoint Direction = "downstream"
 )
 
-// EndpointLink is a proxy between the entries and one worker's endpoint.
+// EndpointLink is a TCP proxy between the entries and the endpoint of one
+// worker.
 type EndpointLink struct{ proxy *toxiproxy.Proxy }
 
-// LinkEndpoint puts a proxy in front of a worker's endpoint, and waits until
-// the entries use it.
+// LinkEndpoint puts a proxy in front of a worker's endpoint and waits until
+// all entries route through it.
 func (c *Cluster) LinkEndpoint(id string) *EndpointLink {
 	ginkgo.GinkgoHelper()
 	rows, err := c.Standin.Instances(bg)
@@ -37,7 +39,7 @@
 	for i, row := range rows {
 		if row.ID == id {
 			l.proxy.Upstream = row.Addr
-			l.proxy.Listen = fmt.Sprintf("%s1:%d", c.net.Prefix, portEndpoints+i)
+			l.proxy.Listen = fmt.Sprintf("%s1:%d", c.net.Prefix, firstEndpointPort+i)
 		}
 	}
 	gomega.Expect(l.proxy.Start()).To(gomega.Succeed())
@@ -49,6 +51,7 @@
 	return l
 }
 
+// routesTo reports whether the routes of the entry contain the address.
 func (p *Process) routesTo(addr string) bool {
 	view, err := p.EntryView()
 	if err != nil {
@@ -64,10 +67,11 @@
 	return false
 }
 
-// Refuse breaks the connections and has new ones refused, until Renew.
+// Refuse closes the connections and refuses new ones until Renew.
 func (l *EndpointLink) Refuse() { l.proxy.Stop() }
 
-// Renew breaks the connections, ends CutAfter and Refuse and takes new ones.
+// Renew closes the connections, ends CutAfter and Refuse, and accepts new
+// connections.
 func (l *EndpointLink) Renew() {
 	ginkgo.GinkgoHelper()
 	l.proxy.Stop()
@@ -75,8 +79,8 @@
 	gomega.Expect(l.proxy.Start()).To(gomega.Succeed())
 }
 
-// CutAfter breaks each connection, those that stand included, once so many
-// bytes more have passed in a direction.
+// CutAfter closes each connection, including open ones, after the given
+// number of further bytes in one direction.
 func (l *EndpointLink) CutAfter(d Direction, bytes int) {
 	ginkgo.GinkgoHelper()
 	_, err := l.proxy.Toxics.AddToxicJson(strings.NewReader(fmt.Sprintf(
--- a/test/harness/harness.go
+++ b/test/harness/harness.go
@@ -1,10 +1,11 @@
-// Package harness runs a deployment for the integration tests: a stand-in
-// platform inside the test, and real cyclamen-entry and cyclamen-control
-// processes, each of which reaches the platform and, where asked for, its
-// peers through proxies that the test can cut, slow and reset.
-//
-// It is made for Ginkgo: New registers the cleanup, and a failure inside a
-// method fails the spec.
+// Package harness runs a whole deployment for the integration suites: a
+// stand-in platform inside the test process, and real cyclamen-entry and
+// cyclamen-control processes. From Options it decides the fleet, the settings
+// and the proxies through which each process reaches the platform and, if
+// requested, its peers, so that a suite can cut, delay or block these
+// connections and check the recorded guarantees afterwards. The Ginkgo suites
+// under test call it: New registers the cleanup, and a failed expectation
+// inside a method fails the spec.
 package harness
 
 import (
@@ -24,17 +25,18 @@
 	"cyclamenwheel/internal/standin/loopback"
 )
 
-// Patience is how long a test waits for something that must come about. It is
-// generous: only a test that fails waits for so long.
+// Patience is the timeout of waits for a condition. It is generous, as only a
+// failing test waits that long.
 const Patience = 60 * time.Second
 
-// Poll is the time between two looks at a condition.
+// Poll is the interval between two checks of a condition.
 const Poll = 20 * time.Millisecond
 
-// Deployment is the name of the tests' deployment.
+// Deployment is the deployment name that the tests use.
 const Deployment = "proof"
 
-// Timings of the stand-in: short, but in the proportions of a real platform.
+// Timings of the stand-in platform: shorter than those of a real platform, in
+// the same proportions.
 const (
 	DefaultLag    = 60 * time.Millisecond
 	DefaultReboot = 100 * time.Millisecond
@@ -42,24 +44,24 @@
 	drainLimit    = 10 * time.Second
 )
 
-// Options say what to start. Zero values take the defaults.
+// Options configure a cluster. Zero values select the defaults.
 type Options struct {
 	Entries  int // 3
 	Controls int // 2
-	// Workers is the fleet; twelve workers in three availability zones by
-	// default.
+	// Workers is the fleet; by default twelve workers in three availability
+	// zones.
 	Workers standin.FleetSpec
-	// Lag is the instance list's, Reboot how long a reboot takes.
+	// Lag is the delay of the instance list, Reboot the duration of a reboot.
 	Lag, Reboot time.Duration
 	// Retention is how long the log keeps records.
 	Retention time.Duration
-	// PeerProxies puts a UDP proxy in front of each process, which CutPeers
-	// needs.
+	// PeerProxies puts a UDP proxy in front of each process; CutPeers needs
+	// it.
 	PeerProxies bool
-	// FenceAfter is how long a silent entry may hold a handover up; the
-	// product's default if 0.
+	// FenceAfter is how long an unresponsive entry may delay a handover
+	// before it is fenced; 0 keeps the default of the settings.
 	FenceAfter time.Duration
-	// Settings are added to the processes' settings, by section and key.
+	// Settings are added to every process's settings, by section and key.
 	Settings map[string]map[string]string
 }
 
@@ -82,11 +84,11 @@
 	return o
 }
 
-// Zones of the tests' fleets.
+// Zones are the availability zones of the test fleets.
 var Zones = []string{"north", "east", "south"}
 
-// Fleet describes a fleet of racks with two workers each, racksPerZone in each
-// of the Zones. Workers are called w001 and so on.
+// Fleet describes a fleet with racksPerZone racks of two workers in each of
+// the Zones. The workers are called w001, w002 and so on.
 func Fleet(racksPerZone int) standin.FleetSpec {
 	spec := standin.FleetSpec{
 		InstancesPerRack: 2, Cores: 16, MemoryMB: 65536, Slots: 8, Connections: 64, IDPrefix: "w",
@@ -99,35 +101,36 @@
 
 // Cluster is a running deployment.
 type Cluster struct {
-	// Standin steers the platform and tells what really happened.
+	// Standin controls the stand-in platform and returns its records.
 	Standin *standin.ControlClient
-	// PlatformURL and ControlURL are the stand-in's, without a proxy between.
+	// PlatformURL and ControlURL reach the stand-in directly, without a
+	// proxy.
 	PlatformURL, ControlURL string
 
-	opts     Options
-	platform *standin.Standin
-	dir      string
-	net      *loopback.Network
-	peers    *peerNetwork
-	loads    []*Load
-	ledger   ledger
-	watch    *watcher
-	stop     context.CancelFunc
-	watched  chan struct{}
-
-	mu       sync.Mutex // guards what Successor changes
+	opts           Options
+	platform       *standin.Standin
+	dir            string
+	net            *loopback.Network
+	peers          *peerNetwork
+	loads          []*Load
+	manifests      manifestHistory
+	generations    *generationWatcher
+	stopFencing    context.CancelFunc
+	fencingStopped chan struct{}
+
+	mu       sync.Mutex // guards the fields that Successor changes
 	entries  []*Process
 	controls []*Process
 	retired  []*Process
-	started  map[Role]int
+	created  map[Role]int
 }
 
-// New starts a deployment and waits until every process is a member. It is
-// closed at the end of the spec.
+// New starts a deployment and waits until every process is a member. The
+// deployment is closed at the end of the spec.
 func New(opts Options) *Cluster {
 	ginkgo.GinkgoHelper()
 	opts = opts.withDefaults()
-	c := &Cluster{opts: opts, dir: ginkgo.GinkgoT().TempDir(), net: claimNetwork(), watched: make(chan struct{}), started: map[Role]int{}}
+	c := &Cluster{opts: opts, dir: ginkgo.GinkgoT().TempDir(), net: claimNetwork(), fencingStopped: make(chan struct{}), created: map[Role]int{}}
 	ginkgo.DeferCleanup(c.Close)
 	c.startPlatform()
 	c.peers = newPeerNetwork()
@@ -139,7 +142,7 @@
 	}
 	c.issueCertificates(c.All()...)
 	ctx, cancel := context.WithCancel(context.Background())
-	c.stop = cancel
+	c.stopFencing = cancel
 	go c.enforceFences(ctx)
 	for _, p := range c.All() {
 		p.Start()
@@ -155,11 +158,11 @@
 	spec := c.opts.Workers
 	for i := range c.opts.Entries {
 		spec.Entries = append(spec.Entries, standin.EntrySpec{
-			ID: instanceOf(RoleEntry, i), Zone: zoneOf(i), Addr: addressOf(c.net, RoleEntry, i) + ":0"})
+			ID: instanceID(RoleEntry, i), Zone: zoneOf(i), Addr: addressOf(c.net, RoleEntry, i) + ":0"})
 	}
 	for i := range c.opts.Controls {
 		spec.Entries = append(spec.Entries, standin.EntrySpec{
-			ID: instanceOf(RoleControl, i), Zone: zoneOf(i), Addr: addressOf(c.net, RoleControl, i) + ":0"})
+			ID: instanceID(RoleControl, i), Zone: zoneOf(i), Addr: addressOf(c.net, RoleControl, i) + ":0"})
 	}
 	c.platform = standin.New(standin.Options{
 		Fleet: spec, Lag: c.opts.Lag, Reboot: c.opts.Reboot, Retention: c.opts.Retention,
@@ -179,14 +182,14 @@
 	gomega.Expect(certs.Create(c.dir, Deployment, ids...)).To(gomega.Succeed())
 }
 
-func instanceOf(role Role, i int) string { return fmt.Sprintf("host-%s-%d", role, i+1) }
+func instanceID(role Role, i int) string { return fmt.Sprintf("host-%s-%d", role, i+1) }
 
 func zoneOf(i int) string { return Zones[i%len(Zones)] }
 
-// Entry returns entry number i, from 0.
+// Entry returns entry i, counted from 0.
 func (c *Cluster) Entry(i int) *Process { return c.Entries()[i] }
 
-// Control returns control process number i, from 0.
+// Control returns control process i, counted from 0.
 func (c *Cluster) Control(i int) *Process { return c.Controls()[i] }
 
 // Entries returns all entries.
@@ -206,16 +209,16 @@
 // All returns all processes, entries first.
 func (c *Cluster) All() []*Process { return append(c.Entries(), c.Controls()...) }
 
-// Planner returns the control process that holds the planner lease, and waits
-// for there to be one.
+// Planner waits until a control process holds the planner lease and returns
+// it.
 func (c *Cluster) Planner() *Process {
 	ginkgo.GinkgoHelper()
-	var holder *Process
+	var planner *Process
 	gomega.Eventually(func() bool {
-		holder = c.planner()
-		return holder != nil
+		planner = c.planner()
+		return planner != nil
 	}, Patience, Poll).Should(gomega.BeTrue(), "no control process holds the planner lease")
-	return holder
+	return planner
 }
 
 func (c *Cluster) planner() *Process {
@@ -241,25 +244,25 @@
 	return out
 }
 
-// Close ends everything that New started, and prints the processes' logs if
-// the spec has failed.
+// Close stops everything that New started, and prints the logs of the
+// processes if the spec has failed.
 func (c *Cluster) Close() {
 	for _, l := range c.loads {
-		l.abandon()
+		l.cancelAndWait()
 	}
-	c.watch.stop()
-	if c.stop != nil {
-		c.stop()
-		<-c.watched
+	c.generations.stop()
+	if c.stopFencing != nil {
+		c.stopFencing()
+		<-c.fencingStopped
 	}
 	for _, p := range c.All() {
-		p.reap()
+		p.killAndWait()
 	}
 	if ginkgo.CurrentSpecReport().Failed() {
 		c.printLogs()
 	}
 	for _, p := range append(c.All(), c.retired...) {
-		p.closeLinks()
+		p.closeProxies()
 	}
 	if c.platform != nil {
 		c.platform.Close()
@@ -268,7 +271,7 @@
 	c.net.Release()
 }
 
-// logTail is how much of each process's log is printed.
+// logTail is the number of bytes printed from the end of each process's log.
 const logTail = 24 << 10
 
 func (c *Cluster) printLogs() {
@@ -284,15 +287,15 @@
 	}
 }
 
-// enforceFences does what a platform does before it lists a fenced instance as
-// gone: the processes on it are stopped.
+// enforceFences kills the processes on fenced instances, as a platform does
+// before it lists a fenced instance as gone.
 func (c *Cluster) enforceFences(ctx context.Context) {
-	defer close(c.watched)
+	defer close(c.fencingStopped)
 	for ctx.Err() == nil {
 		rows, err := c.Standin.Instances(ctx)
 		for _, row := range rows {
 			if err == nil && row.Fenced {
-				c.stopHost(row.ID)
+				c.killProcessesOn(row.ID)
 			}
 		}
 		select {
@@ -302,10 +305,10 @@
 	}
 }
 
-func (c *Cluster) stopHost(instance string) {
+func (c *Cluster) killProcessesOn(instance string) {
 	for _, p := range c.All() {
 		if p.Instance == instance && p.Alive() {
-			p.signalKill()
+			p.tryKill()
 		}
 	}
 }
--- a/test/harness/harness_test.go
+++ b/test/harness/harness_test.go
@@ -18,7 +18,7 @@
 var _ = AfterSuite(harness.RemoveBinaries)
 
 var _ = Describe("A cluster", func() {
-	It("forms, serves, restarts a process and stops without a loss", func() {
+	It("forms, serves, restarts a process and stops without breaking a guarantee", func() {
 		c := harness.New(harness.Options{PeerProxies: true})
 		c.Form(harness.Manifest(2,
 			harness.ServicePool{Name: "tabs", Count: 4, MinAvailable: 3},
--- a/test/harness/inspect.go
+++ b/test/harness/inspect.go
@@ -16,30 +16,31 @@
 	"cyclamenwheel/internal/planner"
 )
 
-// bg is for calls that are bounded by their client.
+// bg is the context of calls whose client has its own timeout.
 var bg = context.Background()
 
-// askLimit bounds one question to a process: a frozen one never answers.
-const askLimit = time.Second
+// inspectTimeout bounds one request to an operator port, as a paused process
+// never answers.
+const inspectTimeout = time.Second
 
-// operators' ports are asked without connections kept: a frozen or killed
-// process leaves none behind.
-var asker = &http.Client{Timeout: askLimit, Transport: &http.Transport{DisableKeepAlives: true}}
+// inspectClient sends requests to operator ports. It keeps no connections, as
+// a paused or killed process would leave them unusable.
+var inspectClient = &http.Client{Timeout: inspectTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
 
-// Status is a process's answer at /status.
+// Status is the response of a process at /status.
 type Status struct {
 	StartedAt time.Time          `json:"started_at"`
 	Readiness operator.Readiness `json:"readiness"`
 	Detail    node.Status        `json:"detail"`
 }
 
-// UnansweredError says that a process did not answer as expected.
+// UnansweredError says that a process did not return the expected response.
 type UnansweredError struct{ ID, Detail string }
 
 func (e *UnansweredError) Error() string { return e.ID + " does not answer: " + e.Detail }
 
-func (p *Process) ask(path string, into any) error {
-	resp, err := asker.Get("http://" + p.OperatorAddr() + path)
+func (p *Process) getJSON(path string, into any) error {
+	resp, err := inspectClient.Get("http://" + p.OperatorAddr() + path)
 	if err != nil {
 		return &UnansweredError{ID: p.ID, Detail: err.Error()}
 	}
@@ -53,17 +54,17 @@
 	return nil
 }
 
-// Status asks the process for its status.
+// Status returns the status of the process.
 func (p *Process) Status() (Status, error) {
 	var st Status
-	err := p.ask("/status", &st)
+	err := p.getJSON("/status", &st)
 	return st, err
 }
 
-// Dump asks the process for a section of its dump.
+// Dump decodes one section of the dump of the process.
 func (p *Process) Dump(section string, into any) error {
 	var all map[string]json.RawMessage
-	if err := p.ask("/dump?section="+section, &all); err != nil {
+	if err := p.getJSON("/dump?section="+section, &all); err != nil {
 		return err
 	}
 	if err := json.Unmarshal(all[section], into); err != nil {
@@ -72,19 +73,19 @@
 	return nil
 }
 
-// EntryView is the entry's own view of its routes.
+// EntryView returns the routes of the entry.
 func (p *Process) EntryView() (entry.View, error) {
 	var v entry.View
 	return v, p.Dump("entry", &v)
 }
 
-// PlannerView is what the planner last decided.
+// PlannerView returns the latest decisions of the planner.
 func (p *Process) PlannerView() (planner.View, error) {
 	var v planner.View
 	return v, p.Dump("planner", &v)
 }
 
-// Ready reports whether the process says that it is ready.
+// Ready reports whether the process reports itself ready.
 func (p *Process) Ready() bool {
 	st, err := p.Status()
 	return err == nil && st.Readiness.Ready
@@ -100,7 +101,7 @@
 	}, Patience, Poll).Should(gomega.Succeed())
 }
 
-// AwaitMember waits until the present boot answers and is a member.
+// AwaitMember waits until the running incarnation answers and is a member.
 func (p *Process) AwaitMember() {
 	ginkgo.GinkgoHelper()
 	gomega.Eventually(func(g gomega.Gomega) {
@@ -111,15 +112,15 @@
 	}, Patience, Poll).Should(gomega.Succeed())
 }
 
-// Generation is the generation that the process reports, 0 if it does not
-// answer.
+// Generation returns the manifest generation that the process reports, or 0
+// if it does not answer.
 func (p *Process) Generation() uint64 {
 	st, _ := p.Status()
 	return st.Detail.Generation
 }
 
-// Fold reads the platform's log itself and returns the state that it folds to.
-// It sees what is in the log, not what any process has made of it.
+// Fold reads the platform's log directly and returns the folded state,
+// independent of the state of any process.
 func (c *Cluster) Fold() *fleetlog.State {
 	ginkgo.GinkgoHelper()
 	st, _ := c.FoldWith(nil)
--- a/test/harness/levels.go
+++ b/test/harness/levels.go
@@ -19,28 +19,28 @@
 	"cyclamenwheel/internal/operator"
 )
 
-// Levels are what a process holds at a moment.
+// Levels are the numbers of goroutines and open files of a process.
 type Levels struct{ Goroutines, Files int }
 
-// Names of the metrics that Levels come from.
+// Names of the metrics that Levels are read from.
 const (
 	metricGoroutines = "go_goroutines"
 	metricFiles      = "process_open_fds"
 )
 
-// restSamples is how many looks tell what a process holds at rest: its long
-// polls and heartbeats come and go.
-const restSamples = 30
+// idleSamples is the number of samples for the levels of an idle process. One
+// sample is not enough, as long polls and heartbeats start and end.
+const idleSamples = 30
 
-// Levels asks the process what it holds.
+// Levels returns the current levels of the process.
 func (p *Process) Levels() (Levels, error) {
 	all, err := p.Metrics()
 	return Levels{Goroutines: int(all[metricGoroutines]), Files: int(all[metricFiles])}, err
 }
 
-// Metrics returns the process's metrics by name, with labels.
+// Metrics returns the metrics of the process; the keys include the labels.
 func (p *Process) Metrics() (map[string]float64, error) {
-	resp, err := asker.Get("http://" + p.OperatorAddr() + operator.PathMetrics)
+	resp, err := inspectClient.Get("http://" + p.OperatorAddr() + operator.PathMetrics)
 	if err != nil {
 		return nil, &UnansweredError{ID: p.ID, Detail: err.Error()}
 	}
@@ -60,12 +60,12 @@
 	return all, lines.Err()
 }
 
-// LevelsAtRest returns the most that the process holds while nothing is asked
-// of it.
+// LevelsAtRest returns the highest levels of the idle process over several
+// samples.
 func (p *Process) LevelsAtRest() Levels {
 	ginkgo.GinkgoHelper()
 	var most Levels
-	for range restSamples {
+	for range idleSamples {
 		l, err := p.Levels()
 		gomega.Expect(err).NotTo(gomega.HaveOccurred())
 		gomega.Expect(l.Goroutines).NotTo(gomega.BeZero())
@@ -76,7 +76,8 @@
 	return most
 }
 
-// AwaitLevels waits until the process holds no more than that again.
+// AwaitLevels waits until the levels of the process are down to the given
+// ones.
 func (p *Process) AwaitLevels(rest Levels) {
 	ginkgo.GinkgoHelper()
 	gomega.Eventually(func(g gomega.Gomega) {
@@ -87,7 +88,7 @@
 	}, Patience, Poll).Should(gomega.Succeed(), p.ID)
 }
 
-// PlainLogLines returns the lines of the process's log that are no JSON.
+// PlainLogLines returns the lines of the process's log that are not JSON.
 func (p *Process) PlainLogLines() []string {
 	ginkgo.GinkgoHelper()
 	data, err := os.ReadFile(p.logFile)
@@ -101,25 +102,26 @@
 	return plain
 }
 
-// PeerAddr is where the process's peers reach it.
+// PeerAddr returns the address that peers dial.
 func (p *Process) PeerAddr() string { return p.addr(portPeer) }
 
-// Certificate issues a certificate of the deployment.
+// Certificate issues a certificate signed by the deployment's CA.
 func (c *Cluster) Certificate(role certs.Role, id string) tls.Certificate {
 	ginkgo.GinkgoHelper()
 	gomega.Expect(certs.Create(c.dir, Deployment, string(role)+"/"+id)).To(gomega.Succeed())
-	return loadPair(c.dir, role, id)
+	return loadKeyPair(c.dir, role, id)
 }
 
-// ForeignCertificate issues a certificate of the same name by another CA.
+// ForeignCertificate issues a certificate with the same name, signed by
+// another CA.
 func (c *Cluster) ForeignCertificate(role certs.Role, id string) tls.Certificate {
 	ginkgo.GinkgoHelper()
 	dir := filepath.Join(c.dir, "foreign")
 	gomega.Expect(certs.Create(dir, Deployment, string(role)+"/"+id)).To(gomega.Succeed())
-	return loadPair(dir, role, id)
+	return loadKeyPair(dir, role, id)
 }
 
-func loadPair(dir string, role certs.Role, id string) tls.Certificate {
+func loadKeyPair(dir string, role certs.Role, id string) tls.Certificate {
 	ginkgo.GinkgoHelper()
 	pair, err := tls.LoadX509KeyPair(
 		filepath.Join(dir, certs.CertFile(role, id)), filepath.Join(dir, certs.KeyFile(role, id)))
--- a/test/harness/load.go
+++ b/test/harness/load.go
@@ -9,17 +9,17 @@
 	"cyclamenwheel/internal/standin/load"
 )
 
-// Defaults of a load.
+// Defaults of the load options.
 const (
 	defaultRate        = 200
 	defaultWorkMillis  = 10
 	defaultConcurrency = 256
-	// defaultTimeout is how long callers wait, and so how long one that met a
-	// frozen entry takes to give up.
+	// defaultTimeout is how long callers wait for an answer, and so when a
+	// request to a paused entry fails.
 	defaultTimeout = 2 * requestDeadline
 )
 
-// Load is callers' requests in the background.
+// Load sends requests of callers in the background.
 type Load struct {
 	cancel context.CancelFunc
 	done   chan struct{}
@@ -27,9 +27,9 @@
 	err    error
 }
 
-// Load starts callers that send to the given entries, all by default, until
-// Stop. Options that are not set take defaults; Entries and ControlURL are
-// set here.
+// Load starts callers that send to the given entries, or to all if none are
+// given, until Stop. Options that are not set get defaults; Entries and
+// ControlURL are always set here.
 func (c *Cluster) Load(opts load.Options, entries ...*Process) *Load {
 	if len(entries) == 0 {
 		entries = c.Entries()
@@ -63,32 +63,33 @@
 	return l
 }
 
-// Stop ends the load, waits for the outcomes of all requests, and expects that
-// every promise to callers was kept.
+// Stop ends the load, waits for the outcomes of all requests, and expects
+// that every guarantee to callers held.
 func (l *Load) Stop() load.Summary {
 	ginkgo.GinkgoHelper()
 	l.cancel()
 	return l.Finish()
 }
 
-// Finish is Stop for a load that ends by itself: it waits for that.
+// Finish waits for a load that ends by itself, with the same expectation as
+// Stop.
 func (l *Load) Finish() load.Summary {
 	ginkgo.GinkgoHelper()
 	gomega.Eventually(l.done, Patience).Should(gomega.BeClosed())
 	gomega.Expect(l.err).NotTo(gomega.HaveOccurred())
-	gomega.Expect(l.sum.OK()).To(gomega.BeTrue(), "a promise to callers was broken: %+v", l.sum)
+	gomega.Expect(l.sum.OK()).To(gomega.BeTrue(), "a guarantee to callers was violated: %+v", l.sum)
 	return l.sum
 }
 
-// Wait waits until a load of so many requests is over, and expects what Stop
-// expects.
+// Wait waits until a load with a fixed number of requests is complete, with
+// the same expectation as Stop.
 func (l *Load) Wait() load.Summary {
 	ginkgo.GinkgoHelper()
 	gomega.Eventually(l.done, Patience).Should(gomega.BeClosed())
 	return l.Stop()
 }
 
-func (l *Load) abandon() {
+func (l *Load) cancelAndWait() {
 	l.cancel()
 	<-l.done
 }
--- a/test/harness/logview.go
+++ b/test/harness/logview.go
@@ -11,14 +11,15 @@
 	"cyclamenwheel/internal/platform"
 )
 
-// logPage is how many records are read at a time.
+// logPage is the number of records per read.
 const logPage = 1000
 
-// FoldWith is Fold; each is called after every record folded, with the state
-// at that record. It returns the records folded as well.
+// FoldWith is Fold with a callback: each, if not nil, is called after every
+// folded record with the state at that record. It also returns the folded
+// records.
 func (c *Cluster) FoldWith(each func(*fleetlog.State, fleetlog.Applied)) (*fleetlog.State, []fleetlog.Applied) {
 	ginkgo.GinkgoHelper()
-	records := c.records()
+	records := c.readLog()
 	replica := fleetlog.NewReplica()
 	var all []fleetlog.Applied
 	for i := range records {
@@ -32,10 +33,10 @@
 	return replica.State(), all
 }
 
-// records reads the log from the oldest record kept to its head. Faults of the
-// platform do not concern it where they are of another class than reads; the
-// caller heals those first.
-func (c *Cluster) records() []platform.LogRecord {
+// readLog reads the log from the oldest retained record to its head. Platform
+// faults on reads also affect it, so the caller clears those first; faults on
+// other calls do not.
+func (c *Cluster) readLog() []platform.LogRecord {
 	ginkgo.GinkgoHelper()
 	hc := &http.Client{Transport: &http.Transport{}}
 	defer hc.CloseIdleConnections()
--- a/test/harness/network.go
+++ b/test/harness/network.go
@@ -6,17 +6,18 @@
 	"cyclamenwheel/internal/standin/loopback"
 )
 
-// Ports on a process's own loopback address.
+// Ports on the loopback address of each process.
 const (
-	portCallers  = 8100
-	portPeer     = 8200 // what peers dial
-	portPeerOwn  = 8201 // what the process listens on behind a proxy
-	portOperator = 8300
-	portPlatform = 8500 // the proxy that leads to the platform
+	portCallers         = 8100
+	portPeer            = 8200 // dialled by peers
+	portPeerBehindProxy = 8201 // listened on by the process if a peer proxy has portPeer
+	portOperator        = 8300
+	portPlatform        = 8500 // the proxy to the platform
 )
 
-// controlBase keeps the addresses of control processes apart from those of entries.
-const controlBase = 100
+// controlHostOffset separates the addresses of control processes from those
+// of entries.
+const controlHostOffset = 100
 
 func claimNetwork() *loopback.Network {
 	n, err := loopback.Claim()
@@ -26,11 +27,11 @@
 	return n
 }
 
-// addressOf is the address of a process on a network.
+// addressOf returns the IP address of process i of a role.
 func addressOf(n *loopback.Network, role Role, i int) string {
 	host := i + 2
 	if role == RoleControl {
-		host += controlBase
+		host += controlHostOffset
 	}
 	return n.IP(host)
 }
--- a/test/harness/operate.go
+++ b/test/harness/operate.go
@@ -17,36 +17,36 @@
 	"cyclamenwheel/internal/manifest"
 )
 
-// ledger notes the manifests that came into force.
-type ledger struct {
-	mu      sync.Mutex
-	entries []published
+// manifestHistory records the manifests that were accepted.
+type manifestHistory struct {
+	mu        sync.Mutex
+	published []publishedManifest
 }
 
-type published struct {
+type publishedManifest struct {
 	generation uint64
-	man        *manifest.Manifest
+	manifest   *manifest.Manifest
 }
 
-func (l *ledger) add(generation uint64, m *manifest.Manifest) {
+func (l *manifestHistory) add(generation uint64, m *manifest.Manifest) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.entries = append(l.entries, published{generation: generation, man: m})
+	l.published = append(l.published, publishedManifest{generation: generation, manifest: m})
 }
 
-func (l *ledger) all() []published {
+func (l *manifestHistory) all() []publishedManifest {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return append([]published{}, l.entries...)
+	return append([]publishedManifest{}, l.published...)
 }
 
-// CtlResult is what a run of cyclamenctl gave.
+// CtlResult is the exit code and output of a cyclamenctl run.
 type CtlResult struct {
 	Code     int
 	Out, Err string
 }
 
-// Ctl runs cyclamenctl against the platform, without a proxy between.
+// Ctl runs cyclamenctl.
 func (c *Cluster) Ctl(args ...string) CtlResult {
 	ginkgo.GinkgoHelper()
 	cmd := exec.Command(binary("cyclamenctl"), args...)
@@ -57,8 +57,8 @@
 	return CtlResult{Code: cmd.ProcessState.ExitCode(), Out: out.String(), Err: errOut.String()}
 }
 
-// TryPublish publishes a manifest with further flags and returns what
-// cyclamenctl said. An accepted manifest is noted for the checks.
+// TryPublish publishes a manifest with further flags and returns the result
+// of cyclamenctl. An accepted manifest is recorded for the checks.
 func (c *Cluster) TryPublish(m *manifest.Manifest, flags ...string) (ctl.Published, CtlResult) {
 	ginkgo.GinkgoHelper()
 	data, err := m.Encode()
@@ -73,7 +73,7 @@
 	var pub ctl.Published
 	if res.Code == ctl.ExitOK {
 		gomega.Expect(json.Unmarshal([]byte(res.Out), &pub)).To(gomega.Succeed(), res.Out)
-		c.ledger.add(pub.Generation, m)
+		c.manifests.add(pub.Generation, m)
 	}
 	return pub, res
 }
@@ -84,7 +84,7 @@
 	ginkgo.GinkgoHelper()
 	pub, res := c.TryPublish(m, append([]string{"--wait", "--timeout", Patience.String()}, flags...)...)
 	gomega.Expect(res.Code).To(gomega.Equal(ctl.ExitOK), res.Err)
-	c.watch.raise(pub.Generation)
+	c.generations.raiseFloor(pub.Generation)
 	return pub
 }
 
@@ -97,8 +97,8 @@
 }
 
 // Form publishes the first manifest, waits until the fleet is formed and all
-// entries are ready, and starts the availability timeline anew: what is
-// checked begins here.
+// entries are ready, and then resets the availability timeline, so that Check
+// covers only what follows.
 func (c *Cluster) Form(m *manifest.Manifest) {
 	ginkgo.GinkgoHelper()
 	c.Publish(m)
@@ -109,8 +109,8 @@
 	gomega.Expect(c.Standin.ResetAvailability(bg)).To(gomega.Succeed())
 }
 
-// SettledAt waits until every instance of a pool has a maintenance revision
-// and nothing is in progress, as the platform itself sees it.
+// SettledAt waits until the platform lists every instance of a pool at the
+// maintenance revision or a later one, with no operation in progress.
 func (c *Cluster) SettledAt(pool string, revision int) {
 	ginkgo.GinkgoHelper()
 	gomega.Eventually(func(g gomega.Gomega) {
@@ -126,7 +126,8 @@
 	c.Settle()
 }
 
-// ServicePool describes one pool and the service of the same name.
+// ServicePool describes a pool and the service of the same name that it
+// answers.
 type ServicePool struct {
 	Name         string
 	Count        int
@@ -135,11 +136,11 @@
 	Revision     int
 }
 
-// requestDeadline is the services' deadline.
+// requestDeadline is the deadline of all request classes.
 const requestDeadline = 5 * time.Second
 
-// Manifest builds a manifest of pools that each answer the service of their
-// name.
+// Manifest builds a manifest in which each pool answers the service of the
+// same name.
 func Manifest(waveParallel int, list ...ServicePool) *manifest.Manifest {
 	m := &manifest.Manifest{
 		Version: manifest.Version, Deployment: Deployment,
@@ -161,7 +162,7 @@
 	return m
 }
 
-// WorkerIDs names workers by their numbers, from 1.
+// WorkerIDs returns the IDs of workers by their numbers, counted from 1.
 func WorkerIDs(numbers ...int) []string {
 	ids := make([]string, len(numbers))
 	for i, n := range numbers {
--- a/test/harness/process.go
+++ b/test/harness/process.go
@@ -16,7 +16,7 @@
 	"cyclamenwheel/internal/platform"
 )
 
-// Role is a process's duty.
+// Role is the kind of program that a process runs.
 type Role string
 
 // Roles.
@@ -25,7 +25,7 @@
 	RoleControl Role = "control"
 )
 
-// Process is one process of the deployment, over all its restarts.
+// Process is one process of the deployment across all its restarts.
 type Process struct {
 	Role     Role
 	ID       string
@@ -33,50 +33,51 @@
 	Instance string
 	IP       string
 
-	cluster   *Cluster
-	settings  string
-	logFile   string
-	toPlat    *toxiproxy.Proxy
-	peerProxy *quicproxy.Proxy
+	cluster       *Cluster
+	settingsFile  string
+	logFile       string
+	platformProxy *toxiproxy.Proxy
+	peerProxy     *quicproxy.Proxy
 
 	mu     sync.Mutex
 	cmd    *exec.Cmd
 	exited chan struct{}
 }
 
-// newProcess makes the next process of a role; it does not run yet.
+// newProcess creates the next process of a role with its proxies, without
+// starting it.
 func (c *Cluster) newProcess(role Role) *Process {
 	ginkgo.GinkgoHelper()
-	i := c.started[role]
-	c.started[role]++
+	i := c.created[role]
+	c.created[role]++
 	p := &Process{
-		Role: role, ID: fmt.Sprintf("%s-%d", role, i+1), Zone: zoneOf(i), Instance: instanceOf(role, i),
+		Role: role, ID: fmt.Sprintf("%s-%d", role, i+1), Zone: zoneOf(i), Instance: instanceID(role, i),
 		IP: addressOf(c.net, role, i), cluster: c,
 	}
-	p.settings = filepath.Join(c.dir, p.ID+".ini")
+	p.settingsFile = filepath.Join(c.dir, p.ID+".ini")
 	p.logFile = filepath.Join(c.dir, p.ID+".log")
-	p.openPlatformLink()
+	p.startPlatformProxy()
 	if c.opts.PeerProxies {
-		p.openPeerLink()
+		p.startPeerProxy()
 	}
 	return p
 }
 
-// Start starts the process under a new boot.
+// Start starts a new incarnation of the process.
 func (p *Process) Start() {
 	ginkgo.GinkgoHelper()
 	p.writeSettings()
 	out, err := os.OpenFile(p.logFile, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	gomega.Expect(err).NotTo(gomega.HaveOccurred())
-	cmd := exec.Command(binary("cyclamen-"+string(p.Role)), "--settings", p.settings)
+	cmd := exec.Command(binary("cyclamen-"+string(p.Role)), "--settings", p.settingsFile)
 	cmd.Stdout, cmd.Stderr = out, out
-	// Should the test itself be killed, its processes end with it.
+	// The kernel kills the process if the test process dies.
 	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	gomega.Expect(cmd.Start()).To(gomega.Succeed())
 	exited := make(chan struct{})
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	gomega.Expect(p.alive()).To(gomega.BeFalse(), p.ID+" runs already")
+	gomega.Expect(p.alive()).To(gomega.BeFalse(), p.ID+" is already running")
 	p.cmd, p.exited = cmd, exited
 	go func() {
 		_ = cmd.Wait()
@@ -85,7 +86,7 @@
 	}()
 }
 
-// Alive reports whether the process runs, frozen or not.
+// Alive reports whether the process exists, including while it is paused.
 func (p *Process) Alive() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -104,24 +105,26 @@
 	}
 }
 
-// signal sends sig to the process of the present boot.
+// signal sends sig to the running incarnation and returns the channel that is
+// closed when it exits.
 func (p *Process) signal(sig syscall.Signal) <-chan struct{} {
 	ginkgo.GinkgoHelper()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	gomega.Expect(p.alive()).To(gomega.BeTrue(), p.ID+" does not run")
+	gomega.Expect(p.alive()).To(gomega.BeTrue(), p.ID+" is not running")
 	gomega.Expect(p.cmd.Process.Signal(sig)).To(gomega.Succeed())
 	return p.exited
 }
 
-// Kill ends the process at once and waits until it has ended.
+// Kill sends SIGKILL and waits until the process has exited.
 func (p *Process) Kill() {
 	ginkgo.GinkgoHelper()
 	<-p.signal(syscall.SIGKILL)
 }
 
-// signalKill is Kill for those that must not fail a spec.
-func (p *Process) signalKill() {
+// tryKill sends SIGKILL if the process runs; unlike Kill, it never fails the
+// spec.
+func (p *Process) tryKill() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.alive() {
@@ -129,20 +132,20 @@
 	}
 }
 
-// Freeze stops the process in its tracks, as a paused machine does; Wake lets
-// it go on.
+// Freeze pauses the process with SIGSTOP, as on a paused machine, until Wake.
 func (p *Process) Freeze() {
 	ginkgo.GinkgoHelper()
 	p.signal(syscall.SIGSTOP)
 }
 
-// Wake ends Freeze.
+// Wake resumes a process that Freeze paused.
 func (p *Process) Wake() {
 	ginkgo.GinkgoHelper()
 	p.signal(syscall.SIGCONT)
 }
 
-// Stop asks for a planned stop, waits for it and returns the exit code.
+// Stop requests a graceful shutdown with SIGTERM, waits for it and returns
+// the exit code.
 func (p *Process) Stop() int {
 	ginkgo.GinkgoHelper()
 	exited := p.signal(syscall.SIGTERM)
@@ -150,21 +153,24 @@
 	return p.ExitCode()
 }
 
-// Exited is closed when the present boot has ended.
+// Exited returns a channel that is closed when the latest incarnation has
+// exited.
 func (p *Process) Exited() <-chan struct{} {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.exited
 }
 
-// ExitCode is that of the last boot; -1 for one that a signal ended.
+// ExitCode returns the exit code of the latest incarnation, or -1 if a signal
+// ended it.
 func (p *Process) ExitCode() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.cmd.ProcessState.ExitCode()
 }
 
-// Restart starts the process anew, killing it first if it runs.
+// Restart starts a new incarnation, after killing the running one if there is
+// one.
 func (p *Process) Restart() {
 	ginkgo.GinkgoHelper()
 	if p.Alive() {
@@ -173,8 +179,8 @@
 	p.Start()
 }
 
-// LoseHost takes the process's instance away from one moment to the next: the
-// process ends and the platform lists the instance as gone.
+// LoseHost simulates the sudden loss of the process's instance: the process
+// is killed and the platform lists the instance as gone.
 func (p *Process) LoseHost() {
 	ginkgo.GinkgoHelper()
 	if p.Alive() {
@@ -183,16 +189,16 @@
 	gomega.Expect(p.cluster.Standin.SetState(bg, p.Instance, platform.StateGone)).To(gomega.Succeed())
 }
 
-// Replace brings a new instance in the place of a lost one, and starts the
-// process on it.
+// Replace lists the lost instance as live again, as a new instance in its
+// place, and starts the process on it.
 func (p *Process) Replace() {
 	ginkgo.GinkgoHelper()
 	gomega.Expect(p.cluster.Standin.SetState(bg, p.Instance, platform.StateLive)).To(gomega.Succeed())
 	p.Start()
 }
 
-func (p *Process) reap() {
-	p.signalKill()
+func (p *Process) killAndWait() {
+	p.tryKill()
 	if exited := p.Exited(); exited != nil {
 		<-exited
 	}
--- a/test/harness/settings.go
+++ b/test/harness/settings.go
@@ -12,20 +12,20 @@
 	"github.com/onsi/gomega"
 )
 
-// settingsValues are the settings of one process, by section and key. Leases
-// and heartbeats are short, so that a test of a takeover takes a second.
+// settingsValues returns the settings of one process by section and key.
+// Leases and heartbeats are short, so that a takeover takes about a second.
 func (p *Process) settingsValues() map[string]map[string]string {
 	dir := p.cluster.dir
 	peerListen := p.addr(portPeer)
 	if p.peerProxy != nil {
-		peerListen = p.addr(portPeerOwn)
+		peerListen = p.addr(portPeerBehindProxy)
 	}
 	cert := filepath.Join(dir, fmt.Sprintf("%s-%s", p.Role, p.ID))
 	values := map[string]map[string]string{
 		"process":  {"id": p.ID, "zone": p.Zone, "instance": p.Instance, "deployment": Deployment},
 		"platform": {"url": "http://" + p.addr(portPlatform)},
 		"peer": {
-			"listen": peerListen, "advertise": p.addr(portPeer), "peers": p.cluster.seeds(),
+			"listen": peerListen, "advertise": p.addr(portPeer), "peers": p.cluster.peerSeeds(),
 			"ca": filepath.Join(dir, "ca.pem"), "cert": cert + ".pem", "key": cert + "-key.pem",
 		},
 		"operator": {"listen": p.addr(portOperator)},
@@ -49,7 +49,7 @@
 	return values
 }
 
-func (c *Cluster) seeds() string {
+func (c *Cluster) peerSeeds() string {
 	var all []string
 	for _, p := range c.All() {
 		all = append(all, p.ID+"@"+p.addr(portPeer))
@@ -67,13 +67,13 @@
 			fmt.Fprintf(&b, "%s = %s\n", key, values[section][key])
 		}
 	}
-	gomega.Expect(os.WriteFile(p.settings, []byte(b.String()), 0o600)).To(gomega.Succeed())
+	gomega.Expect(os.WriteFile(p.settingsFile, []byte(b.String()), 0o600)).To(gomega.Succeed())
 }
 
 func (p *Process) addr(port int) string { return fmt.Sprintf("%s:%d", p.IP, port) }
 
-// CallerURL is where an entry takes requests.
+// CallerURL returns the URL at which an entry accepts requests of callers.
 func (p *Process) CallerURL() string { return "http://" + p.addr(portCallers) }
 
-// OperatorAddr is where the process answers operators.
+// OperatorAddr returns the address of the operator port.
 func (p *Process) OperatorAddr() string { return p.addr(portOperator) }
--- a/test/harness/successor.go
+++ b/test/harness/successor.go
@@ -9,25 +9,27 @@
 	"cyclamenwheel/internal/platform"
 )
 
-// Successor starts a process in the place of one that has ended, as a rolling
-// replacement does: on a new instance, under a new id and with a certificate
-// of its own. The platform lists the old instance as gone. Entry and Control
-// return the successor under the old number.
+// Successor starts a replacement for a process that has exited, as a rolling
+// replacement does: on a new instance, with a new ID and its own certificate.
+// The platform lists the old instance as gone. Entry and Control then return
+// the replacement under the old index.
 func (p *Process) Successor() *Process {
 	ginkgo.GinkgoHelper()
 	c := p.cluster
-	gomega.Expect(p.Alive()).To(gomega.BeFalse(), p.ID+" still runs")
+	gomega.Expect(p.Alive()).To(gomega.BeFalse(), p.ID+" is still running")
 	gomega.Expect(c.Standin.SetState(bg, p.Instance, platform.StateGone)).To(gomega.Succeed())
-	next := c.newProcess(p.Role)
-	next.Zone = p.Zone
-	gomega.Expect(c.Standin.PutEntry(bg, next.Instance, next.Zone, next.IP+":0")).To(gomega.Succeed())
-	c.issueCertificates(next)
-	c.succeed(p, next)
-	next.Start()
-	return next
+	replacement := c.newProcess(p.Role)
+	replacement.Zone = p.Zone
+	gomega.Expect(c.Standin.PutEntry(bg, replacement.Instance, replacement.Zone, replacement.IP+":0")).To(gomega.Succeed())
+	c.issueCertificates(replacement)
+	c.replaceProcess(p, replacement)
+	replacement.Start()
+	return replacement
 }
 
-func (c *Cluster) succeed(old, next *Process) {
+// replaceProcess puts the replacement at the index of the old process, and
+// keeps the old one so that its proxies get closed and its log printed.
+func (c *Cluster) replaceProcess(old, next *Process) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, list := range [][]*Process{c.entries, c.controls} {
--- a/test/harness/watch.go
+++ b/test/harness/watch.go
@@ -7,70 +7,70 @@
 	"time"
 )
 
-// watchEvery is the time between two questions to one process.
-const watchEvery = 40 * time.Millisecond
+// watchInterval is the pause between two status requests to one process.
+const watchInterval = 40 * time.Millisecond
 
-// watcher asks every process for its generation, all the time.
-type watcher struct {
+// generationWatcher polls every process for its generation.
+type generationWatcher struct {
 	cancel context.CancelFunc
 	wg     sync.WaitGroup
 
 	mu sync.Mutex
-	// floor is the generation known to be in force on every entry.
-	floor    uint64
-	newest   map[boot]uint64
-	samples  int
-	findings []Finding
+	// floor is the highest generation that is in force on every entry.
+	floor        uint64
+	lastReported map[incarnation]uint64
+	samples      int
+	findings     []Finding
 }
 
-// boot tells a process's starts apart.
-type boot struct {
+// incarnation identifies one start of a process.
+type incarnation struct {
 	id      string
 	started time.Time
 }
 
-// Watch starts to ask every process for the generation it reports. Check then
-// also expects that no start of a process ever reported less than before, and
-// that no entry that said it was ready was behind a generation that had been
-// in force everywhere: one that starts anew must not serve an older manifest.
+// Watch starts polling the generation that every process reports. Check then
+// also expects that no incarnation reported a lower generation than before,
+// and that no ready entry was behind a generation that had been in force
+// everywhere: a restarted entry must not serve an older manifest.
 func (c *Cluster) Watch() {
 	ctx, cancel := context.WithCancel(context.Background())
-	w := &watcher{cancel: cancel, newest: map[boot]uint64{}}
-	for _, p := range c.ledger.all() {
+	w := &generationWatcher{cancel: cancel, lastReported: map[incarnation]uint64{}}
+	for _, p := range c.manifests.all() {
 		w.floor = max(w.floor, p.generation)
 	}
-	c.watch = w
+	c.generations = w
 	for _, p := range c.All() {
 		w.wg.Go(func() {
 			for ctx.Err() == nil {
-				floor := w.inForce()
+				floor := w.currentFloor()
 				if st, err := p.Status(); err == nil {
-					w.note(p, st, floor)
+					w.record(p, st, floor)
 				}
 				select {
 				case <-ctx.Done():
-				case <-time.After(watchEvery):
+				case <-time.After(watchInterval):
 				}
 			}
 		})
 	}
 }
 
-// Samples is how many answers the watch has seen.
+// Samples returns the number of answers that the watch has received.
 func (c *Cluster) Samples() int {
-	c.watch.mu.Lock()
-	defer c.watch.mu.Unlock()
-	return c.watch.samples
+	c.generations.mu.Lock()
+	defer c.generations.mu.Unlock()
+	return c.generations.samples
 }
 
-func (w *watcher) inForce() uint64 {
+func (w *generationWatcher) currentFloor() uint64 {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.floor
 }
 
-// raise notes that a generation is in force on every entry.
-func (w *watcher) raise(generation uint64) {
+// raiseFloor records that a generation is in force on every entry.
+func (w *generationWatcher) raiseFloor(generation uint64) {
 	if w == nil {
 		return
 	}
@@ -79,26 +79,27 @@
 	w.floor = max(w.floor, generation)
 }
 
-// note takes one answer; floor was in force before the question was put.
-func (w *watcher) note(p *Process, st Status, floor uint64) {
+// record checks one status; floor must have been read before the status was
+// requested.
+func (w *generationWatcher) record(p *Process, st Status, floor uint64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.samples++
-	b := boot{id: p.ID, started: st.StartedAt}
+	b := incarnation{id: p.ID, started: st.StartedAt}
 	got := st.Detail.Generation
-	if got < w.newest[b] {
+	if got < w.lastReported[b] {
 		w.findings = append(w.findings, Finding{Promise: "generation", Detail: fmt.Sprintf(
-			"%s reports %d after %d", p.ID, got, w.newest[b])})
+			"%s reports %d after %d", p.ID, got, w.lastReported[b])})
 	}
-	// One finding for each fall, however long it lasts.
-	w.newest[b] = got
+	// Each decrease is reported once, however long it lasts.
+	w.lastReported[b] = got
 	if p.Role == RoleEntry && st.Readiness.Ready && got < floor {
 		w.findings = append(w.findings, Finding{Promise: "generation", Detail: fmt.Sprintf(
-			"%s is ready with %d although %d is in force", p.ID, got, floor)})
+			"%s is ready at generation %d although %d is in force", p.ID, got, floor)})
 	}
 }
 
-func (w *watcher) found() []Finding {
+func (w *generationWatcher) currentFindings() []Finding {
 	if w == nil {
 		return nil
 	}
@@ -107,7 +108,7 @@
 	return append([]Finding{}, w.findings...)
 }
 
-func (w *watcher) stop() {
+func (w *generationWatcher) stop() {
 	if w == nil {
 		return
 	}
