--- a/test/spares/spares_test.go
+++ b/test/spares/spares_test.go
@@ -1,5 +1,8 @@
-// Package spares proves that instances go back to the spares when no pool
-// needs them, without cost to a service.
+// Package spares tests that instances return to the spares when no pool needs
+// them, without cost to a service. Its specs publish manifests under load,
+// for a wave that needs a spare and for a pool that shrinks, and check the
+// size of the pool and the guarantees of the harness. It runs as a Ginkgo
+// suite under go test.
 package spares_test
 
 import (
@@ -21,11 +24,12 @@
 
 var _ = AfterSuite(harness.RemoveBinaries)
 
-func tabs(count, revision int) *manifest.Manifest {
+func tabsManifest(count, revision int) *manifest.Manifest {
 	return harness.Manifest(2, harness.ServicePool{Name: "tabs", Count: count, MinAvailable: 4, Revision: revision})
 }
 
-func inPool(c *harness.Cluster, pool string) int {
+// workersInPool counts the workers that the platform lists in a pool.
+func workersInPool(c *harness.Cluster, pool string) int {
 	GinkgoHelper()
 	rows, err := c.Standin.Instances(context.Background())
 	Expect(err).NotTo(HaveOccurred())
@@ -39,28 +43,28 @@
 }
 
 var _ = Describe("Spares", func() {
-	// A pool's budget is all of its instances, so that its wave can only go on
-	// with a spare lent to it. At the end the pool gives one instance back: the
-	// platform is asked to put it into no pool.
-	It("lend an instance to a wave without headroom and take one back", func() {
+	// The budget equals the size of the pool, so that the maintenance wave needs
+	// a spare in the pool. After the wave the pool must release one instance: the
+	// platform is asked to remove it from the pool.
+	It("join a pool for a wave without headroom, and one instance is released afterwards", func() {
 		c := harness.New(harness.Options{})
-		c.Form(tabs(4, 0))
+		c.Form(tabsManifest(4, 0))
 		l := c.Load(load.Options{Services: []string{"tabs"}, Seed: 1})
-		c.Publish(tabs(4, 1))
+		c.Publish(tabsManifest(4, 1))
 		c.SettledAt("tabs", 1)
-		Eventually(func() int { return inPool(c, "tabs") }, harness.Patience, harness.Poll).Should(Equal(4))
+		Eventually(func() int { return workersInPool(c, "tabs") }, harness.Patience, harness.Poll).Should(Equal(4))
 		c.Settle()
 		l.Stop()
 		c.Check()
 	})
 
-	// A manifest makes a pool smaller.
-	It("take what a smaller pool leaves over", func() {
+	// A manifest reduces the size of a pool.
+	It("receive the surplus instances of a pool that shrinks", func() {
 		c := harness.New(harness.Options{})
-		c.Form(tabs(6, 0))
+		c.Form(tabsManifest(6, 0))
 		l := c.Load(load.Options{Services: []string{"tabs"}, Seed: 2})
-		c.Publish(tabs(4, 0))
-		Eventually(func() int { return inPool(c, "tabs") }, harness.Patience, harness.Poll).Should(Equal(4))
+		c.Publish(tabsManifest(4, 0))
+		Eventually(func() int { return workersInPool(c, "tabs") }, harness.Patience, harness.Poll).Should(Equal(4))
 		c.Settle()
 		l.Stop()
 		c.Check()
