--- a/test/whole/answers_test.go
+++ b/test/whole/answers_test.go
@@ -12,71 +12,71 @@
 	"cyclamenwheel/test/harness"
 )
 
-// rounds is how often a fault that concerns two answers is made.
+// rounds is the number of repetitions of a fault that involves two requests.
 const rounds = 5
 
 var _ = Describe("A caller", Ordered, ContinueOnFailure, func() {
-	var a *callers
-	BeforeAll(func() { a = &callers{cluster: formed()} })
-	BeforeEach(func() { a.fault(standin.EndpointFault{}) })
+	var a *soloClient
+	BeforeAll(func() { a = &soloClient{cluster: newCluster()} })
+	BeforeEach(func() { a.setFault(standin.EndpointFault{}) })
 
-	// The caller's deadline passes, and the answer comes later. The caller is
-	// told so at its deadline; the connection that the late answer arrives on
-	// is not used again, or the next caller would be given that answer.
-	DescribeTable("does not get an answer that comes late to another", func(f standin.EndpointFault) {
-		a.expectOwn(a.next(""))
+	// An answer arrives after the caller's deadline. The caller gets a timeout at
+	// its deadline; the entry must not reuse the connection, or the next caller
+	// would get the late answer.
+	DescribeTable("does not get the late answer to another request", func(f standin.EndpointFault) {
+		a.expectOwnAnswer(a.nextRequest(""))
 		for range rounds {
-			a.fault(f)
-			r := a.next("")
+			a.setFault(f)
+			r := a.nextRequest("")
 			r.Deadline = shortDeadline
 			got := a.send(r)
 			Expect(got.Status).To(Equal(http.StatusGatewayTimeout))
 			Expect(got.Problem.Ran).To(Equal(dispatch.RanUnknown))
-			a.fault(standin.EndpointFault{})
+			a.setFault(standin.EndpointFault{})
 			for range 3 {
-				a.expectOwn(a.next(""))
+				a.expectOwnAnswer(a.nextRequest(""))
 			}
 		}
 	},
 		Entry("slow", standin.EndpointFault{LatencyMillis: 2 * shortDeadline.Milliseconds()}),
 		Entry("held back until the next request", standin.EndpointFault{HoldBack: true}),
-		Entry("slow and unnamed", standin.EndpointFault{
+		Entry("slow, without a request id", standin.EndpointFault{
 			LatencyMillis: 2 * shortDeadline.Milliseconds(), NoRequestID: true}),
 	)
 
-	// The endpoint answers twice: at once, or ahead of its answer to the next
-	// request on the connection. That next caller must not take the repetition
-	// for its own answer, not even where the endpoint names no request or both
-	// callers chose the same id.
+	// The endpoint sends its answer twice: the second copy right after the first,
+	// or before its answer to the next request on the connection. The next caller
+	// must not get the copy as its answer, even if the answer has no request id or
+	// both callers chose the same id.
 	DescribeTable("does not get an answer that was sent twice", func(f standin.EndpointFault, id string) {
 		for range rounds {
-			a.fault(f)
-			a.expectOwn(a.next(id))
+			a.setFault(f)
+			a.expectOwnAnswer(a.nextRequest(id))
 			for range 3 {
-				r := a.next(id)
-				expectNothingElse(r, a.send(r))
+				r := a.nextRequest(id)
+				expectOwnAnswerOrError(r, a.send(r))
 			}
 		}
 	},
-		Entry("at once", standin.EndpointFault{Duplicate: true, Next: 1}, ""),
-		Entry("at once, unnamed", standin.EndpointFault{Duplicate: true, NoRequestID: true, Next: 1}, ""),
-		Entry("at once, same id", standin.EndpointFault{Duplicate: true, Next: 1}, "same"),
+		Entry("immediately", standin.EndpointFault{Duplicate: true, Next: 1}, ""),
+		Entry("immediately, without a request id", standin.EndpointFault{Duplicate: true, NoRequestID: true, Next: 1}, ""),
+		Entry("immediately, same id", standin.EndpointFault{Duplicate: true, Next: 1}, "same"),
 		Entry("late", standin.EndpointFault{RepeatLate: true, Next: 1}, ""),
-		Entry("late, unnamed", standin.EndpointFault{RepeatLate: true, NoRequestID: true, Next: 1}, ""),
+		Entry("late, without a request id", standin.EndpointFault{RepeatLate: true, NoRequestID: true, Next: 1}, ""),
 		Entry("late, same id", standin.EndpointFault{RepeatLate: true, Next: 1}, "same"),
 	)
 
-	// The endpoint exchanges the answers of two requests that run at the same
-	// time. Neither caller may get the other's, although both answers are whole.
-	DescribeTable("does not get the answer of a request beside it", func(id string) {
-		a.fault(standin.EndpointFault{Cross: true})
+	// The endpoint swaps the answers of two concurrent requests. Neither caller
+	// may get the other's answer, although both answers are complete.
+	DescribeTable("does not get the answer to a concurrent request", func(id string) {
+		a.setFault(standin.EndpointFault{Cross: true})
 		for range rounds {
-			pair := []harness.Request{a.next(id), a.next(id)}
+			pair := []harness.Request{a.nextRequest(id), a.nextRequest(id)}
 			var wg sync.WaitGroup
 			for _, r := range pair {
 				wg.Go(func() {
 					defer GinkgoRecover()
-					expectNothingElse(r, a.send(r))
+					expectOwnAnswerOrError(r, a.send(r))
 				})
 			}
 			wg.Wait()
@@ -86,33 +86,34 @@
 		Entry("with the same id", "same"),
 	)
 
-	// The endpoint names another request in its answer: it may be anybody's.
-	It("does not get an answer that names another request", func() {
-		a.fault(standin.EndpointFault{WrongRequestID: true})
+	// The answer has the request id of another request, so it may belong to any
+	// caller.
+	It("does not get an answer with the id of another request", func() {
+		a.setFault(standin.EndpointFault{WrongRequestID: true})
 		for range rounds {
-			r := a.next("")
+			r := a.nextRequest("")
 			got := a.send(r)
 			Expect(got.Refused).To(BeTrue())
 			Expect(got.Problem.Ran).To(Equal(dispatch.RanUnknown))
 		}
-		a.fault(standin.EndpointFault{})
-		a.expectOwn(a.next(""))
+		a.setFault(standin.EndpointFault{})
+		a.expectOwnAnswer(a.nextRequest(""))
 	})
 
-	// The endpoint's connection breaks in the middle of an answer. A short one
-	// is not passed on at all; of a long one the beginning has gone out already,
-	// and the caller's connection must break too, so that no HTTP client takes
-	// it for complete.
-	DescribeTable("does not take a part for the whole", func(f standin.EndpointFault) {
+	// The connection to the endpoint closes in the middle of an answer. The entry
+	// does not forward a short answer at all; the first part of a long one has
+	// been sent already, so the entry must close the caller's connection too, or
+	// an HTTP client would treat the answer as complete.
+	DescribeTable("does not get a truncated answer as complete", func(f standin.EndpointFault) {
 		f.CutBody = true
-		a.fault(f)
+		a.setFault(f)
 		for range rounds {
-			got := a.send(a.next(""))
+			got := a.send(a.nextRequest(""))
 			Expect(got.Err != nil || got.Refused).To(BeTrue(), "%d bytes passed as complete", len(got.Body))
 		}
 		f.CutBody = false
-		a.fault(f)
-		a.expectOwn(a.next(""))
+		a.setFault(f)
+		a.expectOwnAnswer(a.nextRequest(""))
 	},
 		Entry("short", standin.EndpointFault{}),
 		Entry("short, in chunks", standin.EndpointFault{Chunked: true}),
--- a/test/whole/load_test.go
+++ b/test/whole/load_test.go
@@ -18,48 +18,49 @@
 	"cyclamenwheel/test/harness"
 )
 
-// faulty is what the workers of a pool do with a third of their answers.
-var faulty = []standin.EndpointFault{
+// answerFaults are the faults of the workers of a pool, one each.
+var answerFaults = []standin.EndpointFault{
 	{CutBody: true}, {Duplicate: true}, {RepeatLate: true}, {Cross: true}, {WrongRequestID: true},
 	{RepeatLate: true, NoRequestID: true},
 }
 
 const (
-	faultyPart     = 1.0 / 3
-	faultyRequests = 3000
-	faultyRate     = 400
+	faultProbability = 1.0 / 3
+	requestCount     = 3000
+	requestRate      = 400
 )
 
-var _ = Describe("Callers of endpoints that do everything wrong", func() {
-	// Each worker of the pool cuts, doubles, repeats or crosses a third of its
-	// answers, under load on connections that all callers share. Callers see
-	// errors, retries hide some of them; nobody sees an answer that is not its
-	// own, or one of a request that did not run.
+var _ = Describe("Callers of faulty endpoints", func() {
+	// Each worker of the pool truncates, duplicates, repeats or swaps a third of
+	// its answers, or answers with a wrong or missing request id. All callers share
+	// the connections. Callers may see errors, some of which retries hide, but
+	// never the answer to another request or to a request that did not run.
 	It("get their own answers or errors", func() {
-		c := formed()
+		c := newCluster()
 		setFaults(c)
-		sum := c.Load(load.Options{Services: []string{poolTabs}, Rate: faultyRate, Count: faultyRequests,
+		sum := c.Load(load.Options{Services: []string{poolTabs}, Rate: requestRate, Count: requestCount,
 			WorkMillis: 5, PlainPostShare: 0.5, Seed: 5}).Wait()
 		AddReportEntry("outcomes", ReportEntryVisibilityAlways, fmt.Sprintf("%v", sum.Outcomes))
 		Expect(sum.WrongAnswers.Count).To(BeZero())
-		Expect(sum.Outcomes[load.RefusedUnknown]).NotTo(BeZero(), "no fault was met")
+		Expect(sum.Outcomes[load.RefusedUnknown]).NotTo(BeZero(), "no fault affected a request")
 	})
 
-	// A caller of HTTP/1.0, as some balancers are, takes the end of the
-	// connection for the end of the answer. A long answer without a length that
-	// the endpoint breaks off would look complete.
-	It("are not given a part for the whole over HTTP/1.0", func() {
-		c := formed()
-		a := &callers{cluster: c}
-		a.fault(standin.EndpointFault{AnswerBytes: largeAnswer, Chunked: true, CutBody: true})
-		resp, err := getHTTP10(c.Entry(0), "/"+solo+"/item/1")
+	// An HTTP/1.0 client, as in some balancers, treats the end of the connection
+	// as the end of the answer. A long answer without a length that the endpoint
+	// truncates would look complete to it.
+	It("do not get a truncated answer as complete over HTTP/1.0", func() {
+		c := newCluster()
+		a := &soloClient{cluster: c}
+		a.setFault(standin.EndpointFault{AnswerBytes: largeAnswer, Chunked: true, CutBody: true})
+		resp, err := getHTTP10(c.Entry(0), "/"+poolSolo+"/item/1")
 		Expect(err).NotTo(HaveOccurred())
 		Expect(resp.StatusCode).To(Equal(http.StatusBadGateway))
 		Expect(resp.Header.Get("Content-Type")).To(Equal(dispatch.ProblemContentType))
 	})
 })
 
-// setFaults gives each worker of the pool a fault of its own.
+// setFaults sets one of answerFaults on each worker of the pool, with its own
+// seed.
 func setFaults(c *harness.Cluster) {
 	GinkgoHelper()
 	rows, err := c.Standin.Instances(GinkgoT().Context())
@@ -69,15 +70,15 @@
 		if row.Kind != platform.KindWorker || row.Pool != poolTabs {
 			continue
 		}
-		f := faulty[n%len(faulty)]
-		f.Probability, f.Seed = faultyPart, uint64(n)
+		f := answerFaults[n%len(answerFaults)]
+		f.Probability, f.Seed = faultProbability, uint64(n)
 		Expect(c.Standin.SetEndpointFault(GinkgoT().Context(), row.ID, f)).To(Succeed())
 		n++
 	}
-	Expect(n).To(Equal(tabs))
+	Expect(n).To(Equal(tabsCount))
 }
 
-// getHTTP10 sends a request as a client of HTTP/1.0 does.
+// getHTTP10 sends a GET request as an HTTP/1.0 client.
 func getHTTP10(entry *harness.Process, path string) (*http.Response, error) {
 	conn, err := net.Dial("tcp", strings.TrimPrefix(entry.CallerURL(), "http://"))
 	if err != nil {
