--- a/test/notrun/kills_test.go
+++ b/test/notrun/kills_test.go
@@ -18,12 +18,13 @@
 	"cyclamenwheel/test/harness"
 )
 
-// unsentBody is the size of a body that a caller announces and never sends.
-const unsentBody = 1000
+// unsentBodyBytes is the announced size of a body that the caller never
+// sends.
+const unsentBodyBytes = 1000
 
-// withoutBody sends the head of a request with a body, and returns the refusal
-// that comes while the body is still outstanding.
-func withoutBody(entry *harness.Process, path string, header ...string) (dispatch.Problem, error) {
+// sendWithoutBody sends the header of a request with a body and returns the
+// refusal that arrives before the body is sent.
+func sendWithoutBody(entry *harness.Process, path string, header ...string) (dispatch.Problem, error) {
 	conn, err := net.Dial("tcp", strings.TrimPrefix(entry.CallerURL(), "http://"))
 	if err != nil {
 		return dispatch.Problem{}, err
@@ -33,7 +34,7 @@
 		return dispatch.Problem{}, err
 	}
 	head := append([]string{"POST " + path + " HTTP/1.1", "Host: entry",
-		fmt.Sprintf("Content-Length: %d", unsentBody)}, header...)
+		fmt.Sprintf("Content-Length: %d", unsentBodyBytes)}, header...)
 	if _, err := conn.Write([]byte(strings.Join(head, "\r\n") + "\r\n\r\n")); err != nil {
 		return dispatch.Problem{}, err
 	}
@@ -46,7 +47,7 @@
 	return p, json.NewDecoder(resp.Body).Decode(&p)
 }
 
-// awaitRuns waits until endpoints have run so many requests more.
+// awaitRuns waits until the endpoints have run that many further requests.
 func awaitRuns(c *harness.Cluster, more int) {
 	GinkgoHelper()
 	total := func() int {
@@ -59,12 +60,12 @@
 }
 
 var _ = Describe("A refusal", func() {
-	// Entries are killed and restarted, and workers are lost and come back,
-	// under load. Callers of a killed entry see their connections end and know
-	// nothing; whatever else is refused as not run did not run.
-	It("that says so is true while entries and endpoints are killed", func() {
+	// Under load, entries are killed and restarted, and workers are lost and
+	// return. Callers of a killed entry lose their connections and learn nothing
+	// about their requests; a request that is refused as not run must not have run.
+	It("as not run is correct while entries and endpoints are killed", func() {
 		const rounds, between = 2, 150
-		c := formed(3)
+		c := newCluster(3)
 		l := c.Load(load.Options{Services: []string{poolTabs}, Rate: 300, WorkMillis: 20, PlainPostShare: 0.7, Seed: 4})
 		for range rounds {
 			for i, e := range c.Entries() {
--- a/test/notrun/steps_test.go
+++ b/test/notrun/steps_test.go
@@ -16,18 +16,19 @@
 )
 
 const (
-	// stride is the number of bytes between two places where the connection is
-	// cut. It is odd, so that over a sweep every part of a line is met.
-	stride = 13
-	// sweep is more than the bytes of a health check and a request, or of
-	// their answers.
-	sweep = 900
-	// chargeBytes is the size of a charge's body: it makes a cut inside the
-	// body as likely as one inside the header.
+	// cutStep is the number of bytes between two positions at which the
+	// connection is closed. It is odd, so that the positions fall on every
+	// part of a line over the range.
+	cutStep = 13
+	// cutRange exceeds the bytes of a health check and a request, and those
+	// of their answers.
+	cutRange = 900
+	// chargeBytes is the size of a request body, large enough that a cut is
+	// as likely inside the body as inside the header.
 	chargeBytes = 200
 )
 
-var charge = strings.Repeat("c", chargeBytes)
+var chargeBody = strings.Repeat("c", chargeBytes)
 
 var _ = Describe("A request refused as not run", Ordered, ContinueOnFailure, func() {
 	var (
@@ -35,49 +36,49 @@
 		link *harness.EndpointLink
 	)
 	BeforeAll(func() {
-		c = formed(1)
-		link = c.LinkEndpoint(worker)
+		c = newCluster(1)
+		link = c.LinkEndpoint(soloWorker)
 	})
 	BeforeEach(func() {
-		Expect(c.Standin.SetEndpointFault(GinkgoT().Context(), worker, standin.EndpointFault{})).To(Succeed())
+		Expect(c.Standin.SetEndpointFault(GinkgoT().Context(), soloWorker, standin.EndpointFault{})).To(Succeed())
 		link.Renew()
 	})
 
-	// The connection to the only endpoint breaks after so many bytes, at every
-	// place of the health check, the request and the answer in turn, on new
-	// connections and on ones that were kept. The caller of a charge is told
-	// "no" where not one byte of the charge was sent, and "unknown" from the
-	// first byte on: the endpoint may have read all of it.
-	DescribeTable("did not run, wherever its connection broke", func(d harness.Direction, kept bool) {
-		v := judge(c)
-		for n := 0; n < sweep; n += stride {
+	// The connection to the only endpoint closes after a number of bytes that
+	// sweeps over the health check, the request and the answer, on new and on
+	// reused connections. The refusal of a POST request says that it did not run
+	// only if no byte of it was sent; from the first byte on it says "unknown", as
+	// the endpoint may have read the whole request.
+	DescribeTable("did not run, wherever its connection closed", func(d harness.Direction, kept bool) {
+		v := newCallerOutcomes(c)
+		for n := 0; n < cutRange; n += cutStep {
 			link.Renew()
 			if kept {
 				Expect(v.send(fmt.Sprintf("warm-%d", n), http.MethodGet, "")).To(Equal(dispatch.RanYes))
 			}
 			link.CutAfter(d, n)
-			v.send(fmt.Sprintf("charge-%d", n), http.MethodPost, charge)
+			v.send(fmt.Sprintf("charge-%d", n), http.MethodPost, chargeBody)
 			link.Renew()
 		}
-		v.check()
+		v.checkAgainstRuns()
 		Expect(v.count(dispatch.RanUnknown)).NotTo(BeZero())
 		Expect(v.count(dispatch.RanYes)).NotTo(BeZero())
 		if !kept {
 			Expect(v.count(dispatch.RanNo)).NotTo(BeZero())
 		}
 	},
-		Entry("on the way there, new connection", harness.ToEndpoint, false),
-		Entry("on the way there, kept connection", harness.ToEndpoint, true),
-		Entry("on the way back, new connection", harness.FromEndpoint, false),
-		Entry("on the way back, kept connection", harness.FromEndpoint, true),
+		Entry("towards the endpoint, new connection", harness.ToEndpoint, false),
+		Entry("towards the endpoint, reused connection", harness.ToEndpoint, true),
+		Entry("from the endpoint, new connection", harness.FromEndpoint, false),
+		Entry("from the endpoint, reused connection", harness.FromEndpoint, true),
 	)
 
-	// What the endpoint itself does at each step of a request: it refuses the
-	// connection, refuses the request, or runs it and answers nothing, half, or
-	// a failure of its own. The deadline is minutes away; the caller has its
-	// final answer at once.
+	// The endpoint fails at each step of a request: it refuses the connection or
+	// the request, or runs the request and returns no answer, a truncated or
+	// mislabelled answer, or an error status. The deadline is minutes away, but the
+	// caller must get its final answer without waiting for it.
 	It("did not run, whatever the endpoint did", func() {
-		v := judge(c)
+		v := newCallerOutcomes(c)
 		faults := map[string]struct {
 			fault standin.EndpointFault
 			want  dispatch.Ran
@@ -93,61 +94,60 @@
 		for name, f := range faults {
 			for n := range 3 {
 				link.Renew()
-				Expect(c.Standin.SetEndpointFault(GinkgoT().Context(), worker, f.fault)).To(Succeed())
-				Expect(v.send(fmt.Sprintf("%s-%d", name, n), http.MethodPost, charge)).To(Equal(f.want), name)
-				Expect(c.Standin.SetEndpointFault(GinkgoT().Context(), worker, standin.EndpointFault{})).To(Succeed())
+				Expect(c.Standin.SetEndpointFault(GinkgoT().Context(), soloWorker, f.fault)).To(Succeed())
+				Expect(v.send(fmt.Sprintf("%s-%d", name, n), http.MethodPost, chargeBody)).To(Equal(f.want), name)
+				Expect(c.Standin.SetEndpointFault(GinkgoT().Context(), soloWorker, standin.EndpointFault{})).To(Succeed())
 			}
 		}
 		link.Refuse()
-		Expect(v.send("no-listener", http.MethodPost, charge)).To(Equal(dispatch.RanNo))
-		v.check()
+		Expect(v.send("no-listener", http.MethodPost, chargeBody)).To(Equal(dispatch.RanNo))
+		v.checkAgainstRuns()
 	})
 
-	// The endpoint refuses one request as not run, and says so again when the
-	// next one on the connection has run. The second caller must not be told
-	// that its charge did not run, and the entry must not believe it: it would
-	// send the charge again. Where the endpoint does not say which request it
-	// refuses, its word proves nothing.
-	DescribeTable("is not refused by the late answer to another", func(unnamed bool) {
-		v := judge(c)
+	// The endpoint refuses one request as not run, and repeats the refusal after
+	// it has run the next request on the connection. The entry must not apply the
+	// repeated refusal to the second request: it would report it as not run or
+	// send it again. A refusal without a request id is no evidence for any request.
+	DescribeTable("is not refused because of the late answer to another", func(unnamed bool) {
+		v := newCallerOutcomes(c)
 		Expect(v.send("warm", http.MethodGet, "")).To(Equal(dispatch.RanYes))
 		for n := range 3 {
-			Expect(c.Standin.SetEndpointFault(GinkgoT().Context(), worker,
+			Expect(c.Standin.SetEndpointFault(GinkgoT().Context(), soloWorker,
 				standin.EndpointFault{NotRun: true, RepeatLate: true, NoRequestID: unnamed, Next: 1})).To(Succeed())
 			for m := range 2 {
-				v.send(fmt.Sprintf("charge-%d-%d", n, m), http.MethodPost, charge)
+				v.send(fmt.Sprintf("charge-%d-%d", n, m), http.MethodPost, chargeBody)
 			}
 		}
-		v.check()
+		v.checkAgainstRuns()
 		if unnamed {
-			Expect(v.count(dispatch.RanNo)).To(BeZero(), "an unnamed refusal was believed")
+			Expect(v.count(dispatch.RanNo)).To(BeZero(), "a refusal without a request id was accepted as evidence")
 		}
 	},
-		Entry("that names its request", false),
-		Entry("that names no request", true),
+		Entry("with its request id", false),
+		Entry("without a request id", true),
 	)
 
-	// The caller announces a body on a slow line. The entry refuses the request
-	// for what stands in its head, and says so while the body is still on its
-	// way. Were it to read the body first, the refusal would be held back for as
-	// long as the caller takes to send what nobody wants.
-	DescribeTable("is told before a body comes that nobody wants",
+	// The caller announces a body and sends it slowly. The entry refuses the
+	// request because of its header, and must answer before the body arrives:
+	// reading the body first would delay the refusal for as long as the caller
+	// takes to send it.
+	DescribeTable("is answered before its body has been sent",
 		func(path string, want dispatch.Type, header ...string) {
-			got, err := withoutBody(c.Entry(0), path, header...)
+			got, err := sendWithoutBody(c.Entry(0), path, header...)
 			Expect(err).NotTo(HaveOccurred())
 			Expect(got.Type).To(Equal(want))
 			Expect(got.Ran).To(Equal(dispatch.RanNo))
 		},
 		Entry("unknown service", "/nobody/x", dispatch.TypeUnknownService),
-		Entry("key too long", "/"+solo+"/x", dispatch.TypeBadKey,
+		Entry("key too long", "/"+poolSolo+"/x", dispatch.TypeBadKey,
 			"Idempotency-Key: "+strings.Repeat("k", idempotency.MaxKeyLen+1)),
 	)
 
-	// Far more requests come than the one worker has slots for. Those beyond
-	// the queue are refused; callers learn it at once, although the deadline is
-	// minutes away, and none of the refused ones runs.
-	It("did not run under overload, and was told so at once", func() {
-		l := c.Load(load.Options{Services: []string{solo}, Rate: 400, Count: 1600, WorkMillis: 50,
+	// Load: far more requests than the one worker has slots for. Those beyond the
+	// queue are refused immediately, although the deadline is minutes away, and
+	// no refused request runs.
+	It("did not run under overload, and was refused immediately", func() {
+		l := c.Load(load.Options{Services: []string{poolSolo}, Rate: 400, Count: 1600, WorkMillis: 50,
 			PlainPostShare: 0.5, Concurrency: 1000, Seed: 3})
 		sum := l.Wait()
 		Expect(sum.Outcomes[load.RefusedNo]).NotTo(BeZero())
--- a/test/notrun/suite_test.go
+++ b/test/notrun/suite_test.go
@@ -1,5 +1,8 @@
-// Package notrun_test proves that a request refused as not run did not run,
-// and that a refusal comes as soon as the request has been given up.
+// Package notrun_test tests that a request that an entry refused as not run
+// did not run, and that the refusal is sent as soon as the entry stops
+// trying. Its specs make connections, endpoints and entries fail at every
+// step of a request and compare the refusals with the run history of the
+// endpoints. It runs as a Ginkgo suite under go test.
 package notrun_test
 
 import (
@@ -24,22 +27,23 @@
 var _ = AfterSuite(harness.RemoveBinaries)
 
 const (
-	// solo is a pool of one worker: a request that fails there has nowhere
-	// else to go.
-	solo   = "solo"
-	worker = "w001"
-	// poolTabs has the other workers.
-	poolTabs = "tabs"
-	tabs     = 8
-	// longDeadline is the services': no refusal that is held back until then
-	// comes within a test's patience.
+	// poolSolo is a pool of one worker, so that a failed request cannot be
+	// retried on another.
+	poolSolo   = "solo"
+	soloWorker = "w001"
+	// poolTabs is a pool of other workers.
+	poolTabs  = "tabs"
+	tabsCount = 8
+	// longDeadline is the deadline of all request classes. It exceeds the
+	// timeouts of the tests, so that a refusal that is held back until the
+	// deadline fails a test.
 	longDeadline = 5 * time.Minute
 )
 
-func pools() *manifest.Manifest {
+func newManifest() *manifest.Manifest {
 	m := harness.Manifest(1,
-		harness.ServicePool{Name: solo, IDs: []string{worker}, MinAvailable: 1},
-		harness.ServicePool{Name: poolTabs, Count: tabs, MinAvailable: 2})
+		harness.ServicePool{Name: poolSolo, IDs: []string{soloWorker}, MinAvailable: 1},
+		harness.ServicePool{Name: poolTabs, Count: tabsCount, MinAvailable: 2})
 	for i := range m.Services {
 		for j := range m.Services[i].Classes {
 			m.Services[i].Classes[j].DeadlineMillis = longDeadline.Milliseconds()
@@ -48,84 +52,83 @@
 	return m
 }
 
-// formed is a fleet with some entries.
-func formed(entries int) *harness.Cluster {
+// newCluster forms a fleet with the given number of entries.
+func newCluster(entries int) *harness.Cluster {
 	GinkgoHelper()
 	c := harness.New(harness.Options{Entries: entries, Controls: 1})
-	c.Form(pools())
+	c.Form(newManifest())
 	return c
 }
 
-// verdicts holds what callers were told of their requests.
-type verdicts struct {
-	cluster *harness.Cluster
-	spec    string // begins the ids of this spec's requests
-	told    map[string]verdict
+// callerOutcomes collects the outcomes that callers got.
+type callerOutcomes struct {
+	cluster  *harness.Cluster
+	idPrefix string // prefix of the request IDs of this spec
+	byID     map[string]outcome
 }
 
-// verdict is what one caller was told: that its request was answered, or what
-// the refusal says of its having run.
-type verdict struct {
+// outcome is what one caller learned about its request: that it was answered
+// (RanYes), or what the refusal says about whether it ran.
+type outcome struct {
 	method string
 	ran    dispatch.Ran
 }
 
-func judge(c *harness.Cluster) *verdicts {
-	return &verdicts{cluster: c, spec: fmt.Sprintf("%d-", CurrentSpecReport().LineNumber()), told: map[string]verdict{}}
+func newCallerOutcomes(c *harness.Cluster) *callerOutcomes {
+	return &callerOutcomes{cluster: c, idPrefix: fmt.Sprintf("%d-", CurrentSpecReport().LineNumber()), byID: map[string]outcome{}}
 }
 
-// send sends a request to the pool of one worker and returns what its caller
-// was told.
-func (v *verdicts) send(id, method, body string) dispatch.Ran {
+// send sends a request to the pool of one worker and returns its outcome.
+func (v *callerOutcomes) send(id, method, body string) dispatch.Ran {
 	GinkgoHelper()
-	id = v.spec + id
-	got := v.cluster.Entry(0).Send(harness.Request{ID: id, Method: method, Service: solo, Body: body})
+	id = v.idPrefix + id
+	got := v.cluster.Entry(0).Send(harness.Request{ID: id, Method: method, Service: poolSolo, Body: body})
 	Expect(got.Err).NotTo(HaveOccurred(), id)
-	told := verdict{method: method, ran: dispatch.RanYes}
+	result := outcome{method: method, ran: dispatch.RanYes}
 	if got.Refused {
-		told.ran = got.Problem.Ran
+		result.ran = got.Problem.Ran
 	}
-	v.told[id] = told
-	return told.ran
+	v.byID[id] = result
+	return result.ran
 }
 
-// count tells how many callers were told so.
-func (v *verdicts) count(ran dispatch.Ran) int {
+// count returns the number of requests with this outcome.
+func (v *callerOutcomes) count(ran dispatch.Ran) int {
 	n := 0
-	for _, told := range v.told {
-		if told.ran == ran {
+	for _, result := range v.byID {
+		if result.ran == ran {
 			n++
 		}
 	}
 	return n
 }
 
-// check compares what callers were told with what the endpoints ran, once
-// nothing is under way any more.
-func (v *verdicts) check() {
+// checkAgainstRuns compares the outcomes with the run history of the
+// endpoints, once no request is in flight.
+func (v *callerOutcomes) checkAgainstRuns() {
 	GinkgoHelper()
-	ran := v.settledRuns()
-	maybe := 0
-	for id, told := range v.told {
+	ran := v.runsByID()
+	unknownRan := 0
+	for id, result := range v.byID {
 		switch {
-		case told.ran == dispatch.RanNo:
+		case result.ran == dispatch.RanNo:
 			Expect(ran[id]).To(BeZero(), "%s was refused as not run", id)
-		case told.ran == dispatch.RanYes:
+		case result.ran == dispatch.RanYes:
 			Expect(ran[id]).NotTo(BeZero(), "%s was answered", id)
 		default:
-			maybe += min(ran[id], 1)
+			unknownRan += min(ran[id], 1)
 		}
-		if told.method == http.MethodPost {
+		if result.method == http.MethodPost {
 			Expect(ran[id]).To(BeNumerically("<=", 1), "%s is not idempotent", id)
 		}
 	}
 	AddReportEntry("refusals", ReportEntryVisibilityAlways, fmt.Sprintf(
 		"%d requests: %d answered, %d refused as not run, %d as unknown, of which %d had run",
-		len(v.told), v.count(dispatch.RanYes), v.count(dispatch.RanNo), v.count(dispatch.RanUnknown), maybe))
+		len(v.byID), v.count(dispatch.RanYes), v.count(dispatch.RanNo), v.count(dispatch.RanUnknown), unknownRan))
 }
 
-// settledRuns counts the runs of each request, after all have ended.
-func (v *verdicts) settledRuns() map[string]int {
+// runsByID counts the runs of each request after all have ended.
+func (v *callerOutcomes) runsByID() map[string]int {
 	GinkgoHelper()
 	var ran map[string]int
 	Eventually(func(g Gomega) {
