--- a/test/onepool/entries_test.go
+++ b/test/onepool/entries_test.go
@@ -11,41 +11,41 @@
 	"cyclamenwheel/test/harness"
 )
 
-var _ = Describe("An entry that is frozen before it has acknowledged a move", func() {
-	// The entry still sends to the instance as far as it knows, and callers'
-	// requests pile up in front of it. The move begins in the log and waits,
-	// and the planner says for whom. When the entry wakes it first meets the
-	// requests that have waited; the instance must still be in its old pool
-	// then, or get none of them.
-	It("holds the move up, and sends nothing to the instance after it", func() {
+var _ = Describe("An entry that is paused before it has acknowledged a move", func() {
+	// The paused entry still routes to the instance, and requests of callers
+	// queue up at the entry. The move begins in the log and waits, and the planner
+	// reports which entry it waits for. When the entry resumes, it first handles
+	// the queued requests; the instance must still be in its old pool then, or get
+	// none of them.
+	It("delays the move, and sends nothing to the instance afterwards", func() {
 		c := harness.New(harness.Options{})
-		c.Form(before())
-		l := callers(c, 11)
+		c.Form(manifestBefore())
+		l := startLoad(c, 11)
 		frozen := c.Entry(2)
 		frozen.Freeze()
-		publish(c, after())
-		awaitBegun(c)
-		awaitWaiting(c, frozen, membership.CauseNotAcked)
-		expectUntouched(c)
+		publish(c, manifestAfter())
+		awaitMoveBegun(c)
+		awaitMoveWaitsFor(c, frozen, membership.CauseNotAcked)
+		expectNotMoved(c)
 		frozen.Wake()
 		expectMoved(c)
 		l.Stop()
 		c.Check()
 	})
 
-	// The frozen entry never wakes: its process is started anew under the same
-	// id. The new one has folded the beginning of the move before it is ready,
-	// and the old one cannot send any more.
-	It("no longer holds it up once it has been started anew", func() {
+	// The paused entry never resumes: its process is restarted under the same ID.
+	// The new incarnation has folded the beginning of the move before it is ready,
+	// and the old one can send nothing any more.
+	It("no longer delays the move after a restart", func() {
 		c := harness.New(harness.Options{})
-		c.Form(before())
-		l := callers(c, 12)
+		c.Form(manifestBefore())
+		l := startLoad(c, 12)
 		frozen := c.Entry(1)
 		frozen.Freeze()
-		publish(c, after())
-		awaitBegun(c)
-		awaitWaiting(c, frozen, membership.CauseNotAcked)
-		expectUntouched(c)
+		publish(c, manifestAfter())
+		awaitMoveBegun(c)
+		awaitMoveWaitsFor(c, frozen, membership.CauseNotAcked)
+		expectNotMoved(c)
 		frozen.Restart()
 		expectMoved(c)
 		frozen.AwaitReady()
@@ -53,19 +53,19 @@
 		c.Check()
 	})
 
-	// The frozen entry stays listed. After fence_after the planner asks the
-	// platform to stop its instance, and only once that is listed as gone does
-	// the move go on: no time limit passes over an entry that could wake.
-	It("is stopped by the platform when it holds the move up for too long", func() {
+	// The paused entry stays listed. After fence_after the planner asks the
+	// platform to stop its instance, and the move continues only once the instance
+	// is listed as gone: no timeout alone may skip an entry that could resume.
+	It("is fenced by the platform when it delays the move for too long", func() {
 		c := harness.New(harness.Options{FenceAfter: time.Second})
-		c.Form(before())
-		l := callers(c, 13)
+		c.Form(manifestBefore())
+		l := startLoad(c, 13)
 		frozen := c.Entry(2)
 		frozen.Freeze()
-		publish(c, after())
+		publish(c, manifestAfter())
 		expectMoved(c)
 		Eventually(frozen.Exited(), harness.Patience).Should(BeClosed())
-		Expect(truth(c, frozen.Instance).Fenced).To(BeTrue())
+		Expect(instanceState(c, frozen.Instance).Fenced).To(BeTrue())
 		frozen.Replace()
 		frozen.AwaitReady()
 		l.Stop()
@@ -73,36 +73,36 @@
 	})
 })
 
-var _ = Describe("An entry that is cut off", func() {
-	// The entry cannot read the log. Its peers hand it the records, so that
-	// the manifest comes into force on it and the move need not wait.
-	It("from the log alone holds no move up", func() {
+var _ = Describe("An entry that is disconnected", func() {
+	// The entry cannot read the log. It receives the records from its peers, so
+	// that the manifest comes into force on it and the move need not wait.
+	It("from the log alone delays no move", func() {
 		c := harness.New(harness.Options{PeerProxies: true})
-		c.Form(before())
-		l := callers(c, 21)
+		c.Form(manifestBefore())
+		l := startLoad(c, 21)
 		c.Entry(1).CutLog()
-		c.Publish(after())
+		c.Publish(manifestAfter())
 		expectMoved(c)
 		c.Entry(1).HealLog()
 		Expect(l.Stop().Broken.Count).To(BeZero())
 		c.Check()
 	})
 
-	// The entry hears neither the log nor its peers and goes on answering what
-	// reaches it, by the routes that it has. The move waits for it. It says
-	// that it is cut off, so that the balancer leaves it.
-	It("from log and peers holds the move up and goes on answering", func() {
+	// The entry reaches neither the log nor its peers and continues to answer
+	// requests by its last known routes. The move waits for it. It reports in its
+	// readiness that it is cut off, so that the balancer stops using it.
+	It("from log and peers delays the move and continues to answer", func() {
 		c := harness.New(harness.Options{PeerProxies: true})
-		c.Form(before())
+		c.Form(manifestBefore())
 		cut := c.Entry(1)
-		others := callers(c, 22, c.Entry(0), c.Entry(2))
+		others := startLoad(c, 22, c.Entry(0), c.Entry(2))
 		own := c.Load(load.Options{Services: []string{"tabs", "charges"}, Rate: 50, Seed: 23}, cut)
 		cut.CutLog()
 		cut.CutPeers()
-		publish(c, after())
-		awaitBegun(c)
-		awaitWaiting(c, cut, membership.CauseNotAcked, membership.CauseNotHeard)
-		expectUntouched(c)
+		publish(c, manifestAfter())
+		awaitMoveBegun(c)
+		awaitMoveWaitsFor(c, cut, membership.CauseNotAcked, membership.CauseNotHeard)
+		expectNotMoved(c)
 		Eventually(func(g Gomega) {
 			st, err := cut.Status()
 			g.Expect(err).NotTo(HaveOccurred())
--- a/test/onepool/planner_test.go
+++ b/test/onepool/planner_test.go
@@ -9,16 +9,16 @@
 )
 
 var _ = Describe("A planner that is killed between the beginning and the end of a move", func() {
-	// The move's beginning is in the log and the platform cannot be asked yet.
-	// The planner dies. Its successor finds the beginning and asks for the same
-	// operation.
-	It("before it has asked the platform leaves a move that the next one finishes", func() {
+	// The beginning of the move is in the log, but the platform does not accept
+	// operations yet. The planner is killed; the next planner finds the beginning
+	// and requests the same operation.
+	It("before it has requested the operation leaves a move that the next one finishes", func() {
 		c := harness.New(harness.Options{Controls: 3})
-		c.Form(before())
-		l := callers(c, 1)
+		c.Form(manifestBefore())
+		l := startLoad(c, 1)
 		Expect(c.Standin.SetFault(bg, standin.ClassOperations, standin.PlatformFault{Down: true})).To(Succeed())
-		publish(c, after())
-		awaitBegun(c)
+		publish(c, manifestAfter())
+		awaitMoveBegun(c)
 		c.Planner().Kill()
 		Expect(c.Standin.ClearFaults(bg)).To(Succeed())
 		expectMoved(c)
@@ -26,15 +26,16 @@
 		c.Check()
 	})
 
-	// The platform has taken the operation, and the planner dies before it has
-	// recorded the end. Its successor finds the instance back under that
-	// operation, or asks again under the same id, which reboots nothing twice.
-	It("after it has asked the platform leaves a move that the next one finishes", func() {
+	// The platform has accepted the operation, and the planner is killed before it
+	// records the end. The next planner finds the instance back after that
+	// operation, or repeats the request with the same ID, which must not reboot the
+	// instance again.
+	It("after it has requested the operation leaves a move that the next one finishes", func() {
 		c := harness.New(harness.Options{Controls: 3})
-		c.Form(before())
-		l := callers(c, 2)
-		publish(c, after())
-		Eventually(func() string { return truth(c, mover).Running }, harness.Patience, harness.Poll/4).ShouldNot(BeEmpty())
+		c.Form(manifestBefore())
+		l := startLoad(c, 2)
+		publish(c, manifestAfter())
+		Eventually(func() string { return instanceState(c, tabsToCharges).Running }, harness.Patience, harness.Poll/4).ShouldNot(BeEmpty())
 		c.Planner().Kill()
 		expectMoved(c)
 		Expect(l.Stop().Broken.Count).To(BeZero())
@@ -42,20 +43,20 @@
 	})
 })
 
-var _ = Describe("A platform whose answers to pool operations get lost", func() {
-	// Half of the calls take effect without an answer, some take effect twice
-	// and some are refused. The planner asks again until the list shows the
-	// operation, and every instance is rebooted once for each of its moves.
+var _ = Describe("A platform that loses responses to pool operations", func() {
+	// Half of the calls take effect without a response, some take effect twice
+	// and some are refused. The planner retries until the instance list shows the
+	// operation, and every instance must reboot once for each of its moves.
 	It("moves each instance once", func() {
 		c := harness.New(harness.Options{})
-		c.Form(before())
-		l := callers(c, 3)
+		c.Form(manifestBefore())
+		l := startLoad(c, 3)
 		Expect(c.Standin.SetFault(bg, standin.ClassOperations, standin.PlatformFault{
 			LoseProbability: 0.5, RepeatProbability: 0.3, DownProbability: 0.3, Seed: 7})).To(Succeed())
 		for range 2 {
-			publish(c, after())
+			publish(c, manifestAfter())
 			expectMoved(c)
-			publish(c, before())
+			publish(c, manifestBefore())
 			c.Settle()
 		}
 		expectOneBootPerOperation(c)
@@ -63,15 +64,15 @@
 		c.Check()
 	})
 
-	// The same of the log: records stand in it twice, and writers do not know
-	// of the first. The fold takes each once.
+	// The same for appends: the log contains records twice, as writers retry after
+	// a lost response. The fold must apply each record once.
 	It("and to appends moves each instance once", func() {
 		c := harness.New(harness.Options{})
-		c.Form(before())
-		l := callers(c, 4)
+		c.Form(manifestBefore())
+		l := startLoad(c, 4)
 		Expect(c.Standin.SetFault(bg, standin.ClassAppend, standin.PlatformFault{
 			LoseProbability: 0.4, RepeatProbability: 0.3, DownProbability: 0.1, Seed: 8})).To(Succeed())
-		publish(c, after())
+		publish(c, manifestAfter())
 		expectMoved(c)
 		Expect(c.Standin.ClearFaults(bg)).To(Succeed())
 		Expect(l.Stop().Broken.Count).To(BeZero())
--- a/test/onepool/suite_test.go
+++ b/test/onepool/suite_test.go
@@ -1,6 +1,8 @@
-// Package onepool proves that an instance belongs to exactly one pool at any
-// moment. The verdict is the endpoints': whatever reached an instance must
-// have been for the pool that it served then.
+// Package onepool tests that an instance belongs to exactly one pool at any
+// time. Its specs move two instances between pools under load while entries,
+// planners or the platform fail, and check in the records of the endpoints
+// that every request reached an instance of its own pool. It runs as a Ginkgo
+// suite under go test.
 package onepool_test
 
 import (
@@ -29,40 +31,41 @@
 
 var bg = context.Background()
 
-// stillFor is how long nothing must happen where nothing may: several times
-// what a move takes.
-const stillFor = 2 * time.Second
+// quietPeriod is how long a test checks that nothing happens: several times
+// the duration of a move.
+const quietPeriod = 2 * time.Second
 
-// The two instances that change places in every test.
+// The two instances that swap pools in every test.
 const (
-	mover   = "w001"
-	partner = "w005"
+	tabsToCharges = "w001"
+	chargesToTabs = "w005"
 )
 
-// before and after are the manifests between which the two change places. The
-// pools list their instances, so that exactly these move.
-func before() *manifest.Manifest { return pair([]int{1, 2, 3, 4}, []int{5, 6, 7, 8}) }
-func after() *manifest.Manifest  { return pair([]int{5, 2, 3, 4}, []int{1, 6, 7, 8}) }
+// manifestBefore and manifestAfter differ in the pools of these two
+// instances. The pools list their instances by ID, so that exactly these two
+// move.
+func manifestBefore() *manifest.Manifest { return twoPools([]int{1, 2, 3, 4}, []int{5, 6, 7, 8}) }
+func manifestAfter() *manifest.Manifest  { return twoPools([]int{5, 2, 3, 4}, []int{1, 6, 7, 8}) }
 
-func pair(tabs, charges []int) *manifest.Manifest {
+func twoPools(tabs, charges []int) *manifest.Manifest {
 	return harness.Manifest(2,
 		harness.ServicePool{Name: "tabs", IDs: harness.WorkerIDs(tabs...), MinAvailable: 3},
 		harness.ServicePool{Name: "charges", IDs: harness.WorkerIDs(charges...), MinAvailable: 3})
 }
 
-func callers(c *harness.Cluster, seed uint64, entries ...*harness.Process) *harness.Load {
+func startLoad(c *harness.Cluster, seed uint64, entries ...*harness.Process) *harness.Load {
 	return c.Load(load.Options{Services: []string{"tabs", "charges"}, Seed: seed}, entries...)
 }
 
-// publish publishes without waiting for entries: some cannot report.
+// publish does not wait for the entries, as some cannot report.
 func publish(c *harness.Cluster, m *manifest.Manifest) {
 	GinkgoHelper()
 	_, res := c.TryPublish(m)
 	Expect(res.Code).To(BeZero(), res.Err)
 }
 
-// truth is a worker as the platform has it.
-func truth(c *harness.Cluster, id string) standin.InstanceTruth {
+// instanceState returns an instance as the platform records it.
+func instanceState(c *harness.Cluster, id string) standin.InstanceTruth {
 	GinkgoHelper()
 	rows, err := c.Standin.Instances(bg)
 	Expect(err).NotTo(HaveOccurred())
@@ -75,16 +78,16 @@
 	return standin.InstanceTruth{}
 }
 
-// awaitBegun waits until the log has the move's beginning.
-func awaitBegun(c *harness.Cluster) {
+// awaitMoveBegun waits until the log contains the beginning of the move.
+func awaitMoveBegun(c *harness.Cluster) {
 	GinkgoHelper()
-	Eventually(func() pools.Phase { return c.Fold().Pools.Instances[mover].Phase },
+	Eventually(func() pools.Phase { return c.Fold().Pools.Instances[tabsToCharges].Phase },
 		harness.Patience, harness.Poll).Should(Equal(pools.PhaseMoving))
 }
 
-// awaitWaiting waits until the planner names the entry and the cause that the
-// move waits for.
-func awaitWaiting(c *harness.Cluster, entry *harness.Process, causes ...string) {
+// awaitMoveWaitsFor waits until the planner reports that the move waits for
+// the entry, with one of the causes.
+func awaitMoveWaitsFor(c *harness.Cluster, entry *harness.Process, causes ...string) {
 	GinkgoHelper()
 	var wanted []any
 	for _, cause := range causes {
@@ -95,7 +98,7 @@
 		g.Expect(err).NotTo(HaveOccurred())
 		var waiting []membership.Waiting
 		for _, p := range view.Progress {
-			if p.Instance == mover {
+			if p.Instance == tabsToCharges {
 				waiting = p.Waiting
 			}
 		}
@@ -103,28 +106,29 @@
 	}, harness.Patience, harness.Poll).Should(Succeed())
 }
 
-// formedBoots is how often an instance has booted once the fleet is formed: to
-// be there at all, and out of the spares into its pool.
-const formedBoots = 2
+// bootsAfterForm is the number of boots of an instance once the fleet is
+// formed: its first boot, and one for the move from the spares into its pool.
+const bootsAfterForm = 2
 
-// expectUntouched expects that the platform is not asked to move the instance.
-func expectUntouched(c *harness.Cluster) {
+// expectNotMoved expects that the planner does not request the move from the
+// platform.
+func expectNotMoved(c *harness.Cluster) {
 	GinkgoHelper()
 	Consistently(func(g Gomega) {
-		r := truth(c, mover)
+		r := instanceState(c, tabsToCharges)
 		g.Expect(r.Running).To(BeEmpty())
-		g.Expect(r.Boots).To(Equal(formedBoots))
+		g.Expect(r.Boots).To(Equal(bootsAfterForm))
 		g.Expect(r.Pool).To(Equal("tabs"))
-	}, stillFor, harness.Poll).Should(Succeed())
+	}, quietPeriod, harness.Poll).Should(Succeed())
 }
 
-// expectMoved waits for the end of the moves and expects that each instance
-// has been rebooted once for each of its operations.
+// expectMoved waits until the moves are complete and expects one reboot of
+// each instance per operation.
 func expectMoved(c *harness.Cluster) {
 	GinkgoHelper()
 	c.Settle()
-	Expect(truth(c, mover).Pool).To(Equal("charges"))
-	Expect(truth(c, partner).Pool).To(Equal("tabs"))
+	Expect(instanceState(c, tabsToCharges).Pool).To(Equal("charges"))
+	Expect(instanceState(c, chargesToTabs).Pool).To(Equal("tabs"))
 	expectOneBootPerOperation(c)
 }
 
@@ -142,6 +146,6 @@
 		}
 	})
 	for id, ops := range operations {
-		Expect(truth(c, id).Boots).To(Equal(1+len(ops)), "boots of %s after %d operations", id, len(ops))
+		Expect(instanceState(c, id).Boots).To(Equal(1+len(ops)), "boots of %s after %d operations", id, len(ops))
 	}
 }
