--- a/test/inforce/operators_test.go
+++ b/test/inforce/operators_test.go
@@ -10,29 +10,31 @@
 	"cyclamenwheel/test/harness"
 )
 
-// operators race each other in every round.
-const operators = 4
+// operatorCount is the number of operators that publish concurrently in every
+// round.
+const operatorCount = 4
 
-// attempt is what became of one operator's publication.
-type attempt struct {
+// publishAttempt is the result of one publication.
+type publishAttempt struct {
 	name string
 	pub  ctl.Published
 	res  harness.CtlResult
 }
 
-// race lets all operators publish at once, based on the same generation.
-func race(c *harness.Cluster, based uint64) (won attempt, lost []attempt) {
+// publishConcurrently lets all operators publish at the same time, based on
+// the same generation.
+func publishConcurrently(c *harness.Cluster, based uint64) (won publishAttempt, lost []publishAttempt) {
 	GinkgoHelper()
-	results := make(chan attempt, operators)
-	for i := range operators {
+	results := make(chan publishAttempt, operatorCount)
+	for i := range operatorCount {
 		go func() {
 			defer GinkgoRecover()
-			a := attempt{name: fmt.Sprintf("operator-%d", i)}
-			a.pub, a.res = c.TryPublish(sized(3+i), append(basedOn(based), "--operator", a.name)...)
+			a := publishAttempt{name: fmt.Sprintf("operator-%d", i)}
+			a.pub, a.res = c.TryPublish(manifestOfSize(3+i), append(basedOn(based), "--operator", a.name)...)
 			results <- a
 		}()
 	}
-	for range operators {
+	for range operatorCount {
 		a := <-results
 		if a.res.Code == ctl.ExitOK {
 			Expect(won.name).To(BeEmpty(), "both %s and %s won", won.name, a.name)
@@ -45,27 +47,27 @@
 	return won, lost
 }
 
-var _ = Describe("Operators that race each other", func() {
-	// All change the same generation at once. The first in the log wins; the
-	// others are told that there is a conflict, by whom, and on which
-	// generation to rebase, and can then publish again.
+var _ = Describe("Operators that publish concurrently", func() {
+	// All publish a change to the same generation. The first record in the log
+	// wins; the others get a conflict that names the winner and the generation to
+	// rebase on, and can then publish again.
 	It("have exactly one winner, and the others can rebase", func() {
-		c, l := start(harness.Options{}, 31)
+		c, l := startCluster(harness.Options{}, 31)
 		based := c.Fold().Manifest.Generation
 		for range 3 {
-			won, lost := race(c, based)
+			won, lost := publishConcurrently(c, based)
 			Expect(won.pub.Generation).To(Equal(based + 1))
 			for _, a := range lost {
 				Expect(a.res.Code).To(Equal(ctl.ExitConflict), a.res.Err)
 				Expect(a.res.Err).To(ContainSubstring("published by " + won.name))
 				Expect(a.res.Err).To(ContainSubstring(fmt.Sprintf("--based-on %d", won.pub.Generation)))
 			}
-			expectEverywhere(c, won.pub.Generation)
-			rebased := c.Publish(sized(6), basedOn(won.pub.Generation)...)
+			expectGeneration(c, won.pub.Generation)
+			rebased := c.Publish(manifestOfSize(6), basedOn(won.pub.Generation)...)
 			Expect(rebased.Generation).To(Equal(won.pub.Generation + 1))
 			based = rebased.Generation
 		}
-		expectEverywhere(c, based)
-		finish(c, l)
+		expectGeneration(c, based)
+		finishAndCheck(c, l)
 	})
 })
--- a/test/inforce/restart_test.go
+++ b/test/inforce/restart_test.go
@@ -8,15 +8,17 @@
 	"cyclamenwheel/test/harness"
 )
 
-// frequentSnapshots suits a log that the test trims.
+// frequentSnapshots lets trimToSnapshot find a new snapshot soon.
 var frequentSnapshots = map[string]map[string]string{"timing": {"snapshot_every": "500ms"}}
 
-// rareSnapshots leave time between two of them.
+// rareSnapshots leaves time between two snapshots, so that a test can act
+// between them.
 var rareSnapshots = map[string]map[string]string{"timing": {"snapshot_every": "3s"}}
 
-// trim waits for a snapshot that is newer than everything now in the log, and
-// drops all records up to it: what a starting process finds begins there.
-func trim(c *harness.Cluster) {
+// trimToSnapshot waits for a snapshot that covers everything now in the log,
+// and drops all records up to its mark, so that a process that starts finds
+// nothing older.
+func trimToSnapshot(c *harness.Cluster) {
 	GinkgoHelper()
 	head := c.Fold().Offset
 	var mark uint64
@@ -37,57 +39,57 @@
 }
 
 var _ = Describe("A log whose records are trimmed", func() {
-	// Every process is started anew, one after the other, and none finds the
-	// log's beginning any more: only a snapshot and what follows it.
+	// Every process is restarted, one after the other, and finds only a snapshot
+	// and the records after it, not the beginning of the log.
 	It("keeps the manifest in force while all processes are restarted one by one", func() {
-		c, l := start(harness.Options{Settings: frequentSnapshots}, 11)
-		generation := c.Publish(sized(4)).Generation
+		c, l := startCluster(harness.Options{Settings: frequentSnapshots}, 11)
+		generation := c.Publish(manifestOfSize(4)).Generation
 		c.Settle()
 		for _, p := range c.All() {
-			trim(c)
+			trimToSnapshot(c)
 			p.Restart()
 			p.AwaitMember()
-			expectEverywhere(c, generation)
+			expectGeneration(c, generation)
 		}
-		generation = c.Publish(sized(5)).Generation
-		expectEverywhere(c, generation)
+		generation = c.Publish(manifestOfSize(5)).Generation
+		expectGeneration(c, generation)
 		c.Settle()
-		finish(c, l)
+		finishAndCheck(c, l)
 	})
 
-	// All processes end at once. What the system knew is in the log alone.
-	It("keeps the manifest in force when all processes are lost together", func() {
-		c, l := start(harness.Options{Settings: frequentSnapshots}, 12)
-		generation := c.Publish(sized(4)).Generation
+	// All processes are killed together, so that only the log has the state.
+	It("keeps the manifest in force when all processes are killed together", func() {
+		c, l := startCluster(harness.Options{Settings: frequentSnapshots}, 12)
+		generation := c.Publish(manifestOfSize(4)).Generation
 		c.Settle()
-		trim(c)
+		trimToSnapshot(c)
 		for _, p := range c.All() {
 			p.Kill()
 		}
 		for _, p := range c.All() {
 			p.Start()
 		}
-		expectEverywhere(c, generation)
+		expectGeneration(c, generation)
 		for _, e := range c.Entries() {
 			e.AwaitReady()
 		}
-		expectEverywhere(c, c.Publish(sized(5)).Generation)
+		expectGeneration(c, c.Publish(manifestOfSize(5)).Generation)
 		c.Settle()
-		finish(c, l)
+		finishAndCheck(c, l)
 	})
 
-	// An entry is frozen for longer than the log keeps records, and cut off
-	// from its peers. It wakes with an old state and finds that what it needs
-	// next is gone, and the newest snapshot with it. It keeps what it has, says
-	// that it is not ready, and goes on from the next snapshot.
-	It("lets an entry that was frozen meanwhile catch up", func() {
-		c, l := start(harness.Options{PeerProxies: true, Settings: rareSnapshots}, 13)
+	// An entry is paused for longer than the log keeps records, and disconnected
+	// from its peers. It resumes with an old state, and both the next record that
+	// it needs and the newest snapshot have been trimmed. It must keep its state,
+	// report that it is not ready, and continue from the next snapshot.
+	It("lets an entry that was paused meanwhile catch up", func() {
+		c, l := startCluster(harness.Options{PeerProxies: true, Settings: rareSnapshots}, 13)
 		frozen := c.Entry(2)
 		frozen.Freeze()
-		frozen.CutLog() // the answer to the read under way would tell
-		_, res := c.TryPublish(sized(4))
+		frozen.CutLog() // or the response to the read in flight would deliver the new records
+		_, res := c.TryPublish(manifestOfSize(4))
 		Expect(res.Code).To(BeZero(), res.Err)
-		trim(c)
+		trimToSnapshot(c)
 		Expect(c.Standin.Trim(bg, c.Fold().Offset+1)).To(Succeed())
 		frozen.CutPeers()
 		frozen.HealLog()
@@ -100,33 +102,34 @@
 		frozen.AwaitReady()
 		Expect(frozen.Generation()).To(BeEquivalentTo(2))
 		frozen.HealPeers()
-		expectEverywhere(c, c.Publish(sized(5)).Generation)
+		expectGeneration(c, c.Publish(manifestOfSize(5)).Generation)
 		c.Settle()
-		finish(c, l)
+		finishAndCheck(c, l)
 	})
 })
 
-var _ = Describe("Instances of the system that are replaced", func() {
-	// Each control process is lost with its instance and another comes in its
-	// place, until none is left of those that saw the manifest.
-	It("one control process after the other keep the manifest in force", func() {
-		c, l := start(harness.Options{}, 21)
+var _ = Describe("Replacing the instances of the system", func() {
+	// Each control process is lost with its instance and started on another one,
+	// until no process is left that was running when the manifest was accepted.
+	It("one control process after the other keeps the manifest in force", func() {
+		c, l := startCluster(harness.Options{}, 21)
 		for i, p := range c.Controls() {
-			generation := c.Publish(sized(4 + i)).Generation
+			generation := c.Publish(manifestOfSize(4 + i)).Generation
 			p.LoseHost()
 			p.Replace()
 			p.AwaitMember()
-			expectEverywhere(c, generation)
+			expectGeneration(c, generation)
 		}
 		c.Settle()
-		finish(c, l)
+		finishAndCheck(c, l)
 	})
 
-	// The same of the entries: half of them by a planned stop, half lost.
-	It("one entry after the other keep the manifest in force", func() {
-		c, l := start(harness.Options{}, 22)
+	// The same for the entries: every second one is lost with its instance, the
+	// others stop gracefully.
+	It("one entry after the other keeps the manifest in force", func() {
+		c, l := startCluster(harness.Options{}, 22)
 		for i, p := range c.Entries() {
-			generation := c.Publish(sized(4 + i)).Generation
+			generation := c.Publish(manifestOfSize(4 + i)).Generation
 			if i%2 == 0 {
 				Expect(p.Stop()).To(BeZero())
 			} else {
@@ -134,9 +137,9 @@
 			}
 			p.Replace()
 			p.AwaitReady()
-			expectEverywhere(c, generation)
+			expectGeneration(c, generation)
 		}
 		c.Settle()
-		finish(c, l)
+		finishAndCheck(c, l)
 	})
 })
--- a/test/inforce/suite_test.go
+++ b/test/inforce/suite_test.go
@@ -1,6 +1,8 @@
-// Package inforce proves that an accepted manifest is in force everywhere
-// within seconds and never reverts. Every process is asked for its generation
-// all the time.
+// Package inforce tests that an accepted manifest comes into force on every
+// process within seconds and never reverts. Its specs publish manifests while
+// the log, entries, control processes or other operators interfere, and poll
+// every process for its generation throughout. It runs as a Ginkgo suite
+// under go test.
 package inforce_test
 
 import (
@@ -28,46 +30,49 @@
 
 var bg = context.Background()
 
-// sized is one pool of that many instances; the count tells manifests apart.
-func sized(count int) *manifest.Manifest {
+// manifestOfSize returns a manifest with one pool of that many instances; the
+// count distinguishes the manifests of a test.
+func manifestOfSize(count int) *manifest.Manifest {
 	return harness.Manifest(2, harness.ServicePool{Name: "tabs", Count: count, MinAvailable: 2})
 }
 
-// start forms a fleet of three instances under watch and load.
-func start(opts harness.Options, seed uint64) (*harness.Cluster, *harness.Load) {
+// startCluster forms a fleet with a pool of three instances, and starts the
+// generation watch and a load.
+func startCluster(opts harness.Options, seed uint64) (*harness.Cluster, *harness.Load) {
 	GinkgoHelper()
 	c := harness.New(opts)
-	c.Form(sized(3))
+	c.Form(manifestOfSize(3))
 	c.Watch()
 	return c, c.Load(load.Options{Services: []string{"tabs"}, Seed: seed})
 }
 
-// finish ends the load and expects that nothing was broken by the platform's
-// eyes and that no generation ever fell.
-func finish(c *harness.Cluster, l *harness.Load) {
+// finishAndCheck ends the load and expects that the platform recorded no
+// violation and that no generation decreased.
+func finishAndCheck(c *harness.Cluster, l *harness.Load) {
 	GinkgoHelper()
 	l.Stop()
 	Expect(c.Samples()).NotTo(BeZero())
 	c.Check()
 }
 
-// expectEverywhere expects that every process comes to report a generation.
-func expectEverywhere(c *harness.Cluster, generation uint64) {
+// expectGeneration waits until every process reports the generation.
+func expectGeneration(c *harness.Cluster, generation uint64) {
 	GinkgoHelper()
 	for _, p := range c.All() {
 		Eventually(p.Generation, harness.Patience, harness.Poll).Should(Equal(generation), p.ID)
 	}
 }
 
-// faults sets the same fault for appends and reads: the log as a whole.
-func faults(c *harness.Cluster, f standin.PlatformFault) {
+// setLogFault sets the same fault on appends and reads.
+func setLogFault(c *harness.Cluster, f standin.PlatformFault) {
 	GinkgoHelper()
 	Expect(c.Standin.SetFault(bg, standin.ClassAppend, f)).To(Succeed())
 	Expect(c.Standin.SetFault(bg, standin.ClassRead, f)).To(Succeed())
 }
 
-// verdicts are those on all published manifests, in log order.
-func verdicts(c *harness.Cluster) []fold.Verdict {
+// publishVerdicts returns the verdicts on all published manifests, in log
+// order.
+func publishVerdicts(c *harness.Cluster) []fold.Verdict {
 	GinkgoHelper()
 	var out []fold.Verdict
 	_, all := c.FoldWith(nil)
@@ -79,7 +84,7 @@
 	return out
 }
 
-func accepted(list []fold.Verdict) int {
+func countAccepted(list []fold.Verdict) int {
 	n := 0
 	for _, v := range list {
 		if v.Accepted {
