--- a/test/budget/losses_test.go
+++ b/test/budget/losses_test.go
@@ -28,7 +28,7 @@
 			Expect(c.Standin.SetState(bg, id, platform.StateGone)).To(Succeed())
 		}
 		Eventually(func() string { return running(c, "tabs") + running(c, "charges") },
-			harness.Patience, harness.Poll).Should(BeEmpty())
+			harness.Timeout, harness.Poll).Should(BeEmpty())
 		Consistently(func() string { return running(c, "tabs") + running(c, "charges") },
 			stillFor, harness.Poll).Should(BeEmpty())
 		c.Check()
--- a/test/graceful/pinned_test.go
+++ b/test/graceful/pinned_test.go
@@ -109,7 +109,7 @@
 		return false, err
 	}
 	req.Header.Set(standin.HeaderRequestID, id)
-	if err := conn.SetDeadline(time.Now().Add(harness.Patience)); err != nil {
+	if err := conn.SetDeadline(time.Now().Add(harness.Timeout)); err != nil {
 		return false, err
 	}
 	if err := req.Write(conn); err != nil {
--- a/test/graceful/rolling_test.go
+++ b/test/graceful/rolling_test.go
@@ -28,7 +28,7 @@
 			Expect(entry.Stop()).To(BeZero(), entry.ID)
 			Expect(control.Stop()).To(BeZero(), control.ID)
 			var got reply
-			Eventually(answered, harness.Patience).Should(Receive(&got))
+			Eventually(answered, harness.Timeout).Should(Receive(&got))
 			Expect(got.err).NotTo(HaveOccurred(), "the slow request was cut")
 			Expect(got.status).To(Equal(http.StatusOK), got.body)
 			next := entry.Successor()
--- a/test/harness/caller.go
+++ b/test/harness/caller.go
@@ -45,7 +45,7 @@
 // callerClient opens a new connection for each request and never retries or
 // follows redirects.
 var callerClient = &http.Client{
-	Timeout:       Patience,
+	Timeout:       Timeout,
 	Transport:     &http.Transport{DisableKeepAlives: true, DisableCompression: true},
 	CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
 }
--- a/test/harness/harness.go
+++ b/test/harness/harness.go
@@ -25,9 +25,9 @@
 	"cyclamenwheel/internal/standin/loopback"
 )
 
-// Patience is the timeout of waits for a condition. It is generous, as only a
+// Timeout is the timeout of waits for a condition. It is generous, as only a
 // failing test waits that long.
-const Patience = 60 * time.Second
+const Timeout = 60 * time.Second
 
 // Poll is the interval between two checks of a condition.
 const Poll = 20 * time.Millisecond
@@ -217,7 +217,7 @@
 	gomega.Eventually(func() bool {
 		planner = c.planner()
 		return planner != nil
-	}, Patience, Poll).Should(gomega.BeTrue(), "no control process holds the planner lease")
+	}, Timeout, Poll).Should(gomega.BeTrue(), "no control process holds the planner lease")
 	return planner
 }
 
--- a/test/harness/levels.go
+++ b/test/harness/levels.go
@@ -85,7 +85,7 @@
 		g.Expect(err).NotTo(gomega.HaveOccurred())
 		g.Expect(l.Goroutines).To(gomega.BeNumerically("<=", rest.Goroutines), "goroutines")
 		g.Expect(l.Files).To(gomega.BeNumerically("<=", rest.Files), "open files")
-	}, Patience, Poll).Should(gomega.Succeed(), p.ID)
+	}, Timeout, Poll).Should(gomega.Succeed(), p.ID)
 }
 
 // PlainLogLines returns the lines of the process's log that are not JSON.
--- a/test/harness/load.go
+++ b/test/harness/load.go
@@ -51,7 +51,7 @@
 		opts.Timeout = defaultTimeout
 	}
 	if opts.Duration == 0 && opts.Count == 0 {
-		opts.Duration = 2 * Patience
+		opts.Duration = 2 * Timeout
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	l := &Load{cancel: cancel, done: make(chan struct{})}
@@ -75,7 +75,7 @@
 // Stop.
 func (l *Load) Finish() load.Summary {
 	ginkgo.GinkgoHelper()
-	gomega.Eventually(l.done, Patience).Should(gomega.BeClosed())
+	gomega.Eventually(l.done, Timeout).Should(gomega.BeClosed())
 	gomega.Expect(l.err).NotTo(gomega.HaveOccurred())
 	gomega.Expect(l.sum.OK()).To(gomega.BeTrue(), "a guarantee to callers was violated: %+v", l.sum)
 	return l.sum
@@ -85,7 +85,7 @@
 // the same expectation as Stop.
 func (l *Load) Wait() load.Summary {
 	ginkgo.GinkgoHelper()
-	gomega.Eventually(l.done, Patience).Should(gomega.BeClosed())
+	gomega.Eventually(l.done, Timeout).Should(gomega.BeClosed())
 	return l.Stop()
 }
 
--- a/test/harness/operate.go
+++ b/test/harness/operate.go
@@ -82,7 +82,7 @@
 // entry.
 func (c *Cluster) Publish(m *manifest.Manifest, flags ...string) ctl.Published {
 	ginkgo.GinkgoHelper()
-	pub, res := c.TryPublish(m, append([]string{"--wait", "--timeout", Patience.String()}, flags...)...)
+	pub, res := c.TryPublish(m, append([]string{"--wait", "--timeout", Timeout.String()}, flags...)...)
 	gomega.Expect(res.Code).To(gomega.Equal(ctl.ExitOK), res.Err)
 	c.generations.raiseFloor(pub.Generation)
 	return pub
@@ -92,7 +92,7 @@
 // progress.
 func (c *Cluster) Settle() {
 	ginkgo.GinkgoHelper()
-	res := c.Ctl("settled", "--platform", c.PlatformURL, "--timeout", Patience.String())
+	res := c.Ctl("settled", "--platform", c.PlatformURL, "--timeout", Timeout.String())
 	gomega.Expect(res.Code).To(gomega.Equal(ctl.ExitOK), res.Err)
 }
 
@@ -122,7 +122,7 @@
 				g.Expect(row.Running).To(gomega.BeEmpty(), row.ID)
 			}
 		}
-	}, Patience, Poll).Should(gomega.Succeed())
+	}, Timeout, Poll).Should(gomega.Succeed())
 	c.Settle()
 }
 
--- a/test/harness/process.go
+++ b/test/harness/process.go
@@ -149,7 +149,7 @@
 func (p *Process) Stop() int {
 	ginkgo.GinkgoHelper()
 	exited := p.signal(syscall.SIGTERM)
-	gomega.Eventually(exited, Patience).Should(gomega.BeClosed(), p.ID+" has not stopped")
+	gomega.Eventually(exited, Timeout).Should(gomega.BeClosed(), p.ID+" has not stopped")
 	return p.ExitCode()
 }
 
--- a/test/inforce/log_test.go
+++ b/test/inforce/log_test.go
@@ -50,7 +50,7 @@
 		}, 3*time.Second, 10*harness.Poll).Should(Succeed())
 		Expect(c.Standin.ClearFaults(bg)).To(Succeed())
 		var generation uint64
-		Eventually(done, harness.Patience).Should(Receive(&generation))
+		Eventually(done, harness.Timeout).Should(Receive(&generation))
 		expectGeneration(c, generation)
 		Expect(countAccepted(publishVerdicts(c))).To(Equal(before + 1))
 		c.Settle()
@@ -89,7 +89,7 @@
 		c.Settle()
 		setLogFault(c, standin.PlatformFault{Down: true})
 		c.Entry(1).Restart()
-		Eventually(c.Entry(1).Generation, harness.Patience, harness.Poll).Should(Equal(generation))
+		Eventually(c.Entry(1).Generation, harness.Timeout, harness.Poll).Should(Equal(generation))
 		Expect(c.Entry(1).Ready()).To(BeFalse())
 		Expect(c.Standin.ClearFaults(bg)).To(Succeed())
 		c.Entry(1).AwaitReady()
--- a/test/keys/caller_test.go
+++ b/test/keys/caller_test.go
@@ -101,7 +101,7 @@
 func got(from <-chan reply) reply {
 	GinkgoHelper()
 	var r reply
-	Eventually(from, harness.Patience).Should(Receive(&r))
+	Eventually(from, harness.Timeout).Should(Receive(&r))
 	return r
 }
 
@@ -164,7 +164,7 @@
 	Eventually(func() bool {
 		r = send(bg, e, ch)
 		return r.answered() || r.refused() && r.problem.Type != dispatch.TypeKeyUnavailable
-	}, harness.Patience, harness.Poll).Should(BeTrue(), func() string { return r.String() })
+	}, harness.Timeout, harness.Poll).Should(BeTrue(), func() string { return r.String() })
 	return r
 }
 
--- a/test/keys/resent_test.go
+++ b/test/keys/resent_test.go
@@ -199,6 +199,6 @@
 		for _, e := range c.Entries()[:2] {
 			Expect(send(bg, e, charge{body: "tab"}).answered()).To(BeTrue())
 		}
-		Eventually(func() []standin.Run { return runsOf(c, "") }, harness.Patience, 10*time.Millisecond).Should(HaveLen(2))
+		Eventually(func() []standin.Run { return runsOf(c, "") }, harness.Timeout, 10*time.Millisecond).Should(HaveLen(2))
 	})
 })
--- a/test/malformed/peers_test.go
+++ b/test/malformed/peers_test.go
@@ -67,12 +67,12 @@
 
 // dial connects as a peer does; the error is of the handshake.
 func (t *target) dial(certificates ...tls.Certificate) (*quic.Conn, error) {
-	ctx, cancel := context.WithTimeout(GinkgoT().Context(), harness.Patience)
+	ctx, cancel := context.WithTimeout(GinkgoT().Context(), harness.Timeout)
 	defer cancel()
 	return quic.DialAddr(ctx, t.entry.PeerAddr(), &tls.Config{
 		InsecureSkipVerify: true, // the test is not the one to be deceived
 		NextProtos:         []string{peerProtocol}, Certificates: certificates,
-	}, &quic.Config{HandshakeIdleTimeout: harness.Patience})
+	}, &quic.Config{HandshakeIdleTimeout: harness.Timeout})
 }
 
 // say opens a stream and sends bytes on it.
--- a/test/notrun/kills_test.go
+++ b/test/notrun/kills_test.go
@@ -30,7 +30,7 @@
 		return dispatch.Problem{}, err
 	}
 	defer func() { _ = conn.Close() }()
-	if err := conn.SetDeadline(time.Now().Add(harness.Patience)); err != nil {
+	if err := conn.SetDeadline(time.Now().Add(harness.Timeout)); err != nil {
 		return dispatch.Problem{}, err
 	}
 	head := append([]string{"POST " + path + " HTTP/1.1", "Host: entry",
@@ -56,7 +56,7 @@
 		return n
 	}
 	want := total() + more
-	Eventually(total, harness.Patience, harness.Poll).Should(BeNumerically(">=", want))
+	Eventually(total, harness.Timeout, harness.Poll).Should(BeNumerically(">=", want))
 }
 
 var _ = Describe("A refusal", func() {
--- a/test/onepool/entries_test.go
+++ b/test/onepool/entries_test.go
@@ -64,7 +64,7 @@
 		frozen.Freeze()
 		publish(c, manifestAfter())
 		expectMoved(c)
-		Eventually(frozen.Exited(), harness.Patience).Should(BeClosed())
+		Eventually(frozen.Exited(), harness.Timeout).Should(BeClosed())
 		Expect(instanceState(c, frozen.Instance).Fenced).To(BeTrue())
 		frozen.Replace()
 		frozen.AwaitReady()
@@ -107,7 +107,7 @@
 			st, err := cut.Status()
 			g.Expect(err).NotTo(HaveOccurred())
 			g.Expect(st.Readiness.Reasons).To(ContainElement(ContainSubstring("cut off")))
-		}, harness.Patience, harness.Poll).Should(Succeed())
+		}, harness.Timeout, harness.Poll).Should(Succeed())
 		Expect(own.Stop().Broken.Count).To(BeZero())
 
 		cut.HealPeers()
--- a/test/onepool/suite_test.go
+++ b/test/onepool/suite_test.go
@@ -82,7 +82,7 @@
 func awaitMoveBegun(c *harness.Cluster) {
 	GinkgoHelper()
 	Eventually(func() pools.Phase { return c.Fold().Pools.Instances[tabsToCharges].Phase },
-		harness.Patience, harness.Poll).Should(Equal(pools.PhaseMoving))
+		harness.Timeout, harness.Poll).Should(Equal(pools.PhaseMoving))
 }
 
 // awaitMoveWaitsFor waits until the planner reports that the move waits for
@@ -103,7 +103,7 @@
 			}
 		}
 		g.Expect(waiting).To(ContainElement(BeElementOf(wanted...)))
-	}, harness.Patience, harness.Poll).Should(Succeed())
+	}, harness.Timeout, harness.Poll).Should(Succeed())
 }
 
 // bootsAfterForm is the number of boots of an instance once the fleet is
--- a/test/whole/load_test.go
+++ b/test/whole/load_test.go
@@ -85,7 +85,7 @@
 		return nil, err
 	}
 	DeferCleanup(conn.Close)
-	if err := conn.SetDeadline(time.Now().Add(harness.Patience)); err != nil {
+	if err := conn.SetDeadline(time.Now().Add(harness.Timeout)); err != nil {
 		return nil, err
 	}
 	if _, err := conn.Write([]byte("GET " + path + " HTTP/1.0\r\n\r\n")); err != nil {
