--- a/test/budget/losses_test.go
+++ b/test/budget/losses_test.go
@@ -28,9 +28,9 @@
 			Expect(c.Standin.SetState(bg, id, platform.StateGone)).To(Succeed())
 		}
 		Eventually(func() string { return running(c, "tabs") + running(c, "charges") },
-			harness.Timeout, harness.Poll).Should(BeEmpty())
+			harness.Timeout, harness.PollInterval).Should(BeEmpty())
 		Consistently(func() string { return running(c, "tabs") + running(c, "charges") },
-			stillFor, harness.Poll).Should(BeEmpty())
+			stillFor, harness.PollInterval).Should(BeEmpty())
 		c.Check()
 
 		for _, id := range lost {
--- a/test/budget/moves_test.go
+++ b/test/budget/moves_test.go
@@ -25,7 +25,7 @@
 			drained := awaitWave(c, "tabs")
 			wanted := []string{drained, serving(c, "tabs")}
 			c.Publish(listing(c, revision, wanted))
-			Eventually(func() []string { return members(c, "charges") }, harness.Timeout, harness.Poll).
+			Eventually(func() []string { return members(c, "charges") }, harness.Timeout, harness.PollInterval).
 				Should(ContainElements(wanted))
 			c.SettledAt("tabs", revision)
 			c.SettledAt("charges", revision)
--- a/test/budget/planners_test.go
+++ b/test/budget/planners_test.go
@@ -28,7 +28,7 @@
 		awaitDecided(old)
 		old.Freeze()
 
-		Eventually(func() int { return withRevision(c, 1) }, harness.Timeout, harness.Poll).
+		Eventually(func() int { return withRevision(c, 1) }, harness.Timeout, harness.PollInterval).
 			Should(BeNumerically(">=", 1), "nobody took the wave over")
 		Expect(c.Planner()).NotTo(BeIdenticalTo(old))
 		awaitWave(c, "charges")
--- a/test/budget/suite_test.go
+++ b/test/budget/suite_test.go
@@ -76,7 +76,7 @@
 	awaitDecided(holder)
 	// The planner shows a decision before its record has reached the platform. With
 	// the delay ended by then, the record would not be late at all.
-	Eventually(func() (int, error) { return c.Standin.Held(bg, holder.ID) }, harness.Timeout, harness.Poll).
+	Eventually(func() (int, error) { return c.Standin.Held(bg, holder.ID) }, harness.Timeout, harness.PollInterval).
 		Should(BeNumerically(">", 0), "the planner's record never came")
 	Expect(c.Standin.ClearFaults(bg)).To(Succeed())
 	return holder
@@ -91,7 +91,7 @@
 	Eventually(func() int {
 		late = c.Verdicts(planner.ID, fleetlog.KindBegin)
 		return len(late)
-	}, harness.Timeout, harness.Poll).Should(BeNumerically(">", before), "the record never came")
+	}, harness.Timeout, harness.PollInterval).Should(BeNumerically(">", before), "the record never came")
 	c.Check()
 	Expect(late[before].Reason).To(Equal(reason))
 }
@@ -166,7 +166,7 @@
 func awaitWave(c *harness.Cluster, pool string) string {
 	GinkgoHelper()
 	var id string
-	Eventually(func() string { id = running(c, pool); return id }, harness.Timeout, harness.Poll).ShouldNot(BeEmpty())
+	Eventually(func() string { id = running(c, pool); return id }, harness.Timeout, harness.PollInterval).ShouldNot(BeEmpty())
 	return id
 }
 
@@ -177,7 +177,7 @@
 		view, err := p.PlannerView()
 		g.Expect(err).NotTo(HaveOccurred())
 		g.Expect(view.Waves.Drains).NotTo(BeEmpty())
-	}, harness.Timeout, harness.Poll).Should(Succeed())
+	}, harness.Timeout, harness.PollInterval).Should(Succeed())
 }
 
 func basedOn(generation uint64) []string {
--- a/test/graceful/suite_test.go
+++ b/test/graceful/suite_test.go
@@ -87,7 +87,7 @@
 	Eventually(func() bool {
 		hist, err := c.Standin.History(GinkgoT().Context(), 1)
 		return err == nil && runs(hist, id) == 1
-	}, harness.Timeout, harness.Poll).Should(BeTrue(), "the slow request has not begun")
+	}, harness.Timeout, harness.PollInterval).Should(BeTrue(), "the slow request has not begun")
 	return out
 }
 
--- a/test/harness/endpointlink.go
+++ b/test/harness/endpointlink.go
@@ -46,7 +46,7 @@
 	ginkgo.DeferCleanup(l.proxy.Stop)
 	gomega.Expect(c.Standin.Change(bg, id, standin.InstanceChange{Addr: l.proxy.Listen})).To(gomega.Succeed())
 	for _, e := range c.Entries() {
-		gomega.Eventually(func() bool { return e.routesTo(l.proxy.Listen) }, Timeout, Poll).Should(gomega.BeTrue(), e.ID)
+		gomega.Eventually(func() bool { return e.routesTo(l.proxy.Listen) }, Timeout, PollInterval).Should(gomega.BeTrue(), e.ID)
 	}
 	return l
 }
--- a/test/harness/harness.go
+++ b/test/harness/harness.go
@@ -29,8 +29,8 @@
 // failing test waits that long.
 const Timeout = 60 * time.Second
 
-// Poll is the interval between two checks of a condition.
-const Poll = 20 * time.Millisecond
+// PollInterval is the interval between two checks of a condition.
+const PollInterval = 20 * time.Millisecond
 
 // Deployment is the deployment name that the tests use.
 const Deployment = "proof"
@@ -217,7 +217,7 @@
 	gomega.Eventually(func() bool {
 		planner = c.planner()
 		return planner != nil
-	}, Timeout, Poll).Should(gomega.BeTrue(), "no control process holds the planner lease")
+	}, Timeout, PollInterval).Should(gomega.BeTrue(), "no control process holds the planner lease")
 	return planner
 }
 
@@ -300,7 +300,7 @@
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(Poll):
+		case <-time.After(PollInterval):
 		}
 	}
 }
--- a/test/harness/inspect.go
+++ b/test/harness/inspect.go
@@ -98,7 +98,7 @@
 		st, err := p.Status()
 		g.Expect(err).NotTo(gomega.HaveOccurred())
 		g.Expect(st.Readiness.Reasons).To(gomega.BeEmpty(), p.ID)
-	}, Timeout, Poll).Should(gomega.Succeed())
+	}, Timeout, PollInterval).Should(gomega.Succeed())
 }
 
 // AwaitMember waits until the running incarnation answers and is a member.
@@ -109,7 +109,7 @@
 		g.Expect(err).NotTo(gomega.HaveOccurred())
 		g.Expect(st.Readiness.Reasons).NotTo(gomega.ContainElement("not yet a member"), p.ID)
 		g.Expect(st.Detail.Offset).NotTo(gomega.BeZero())
-	}, Timeout, Poll).Should(gomega.Succeed())
+	}, Timeout, PollInterval).Should(gomega.Succeed())
 }
 
 // Generation returns the manifest generation that the process reports, or 0
--- a/test/harness/levels.go
+++ b/test/harness/levels.go
@@ -71,7 +71,7 @@
 		gomega.Expect(l.Goroutines).NotTo(gomega.BeZero())
 		gomega.Expect(l.Files).NotTo(gomega.BeZero())
 		most.Goroutines, most.Files = max(most.Goroutines, l.Goroutines), max(most.Files, l.Files)
-		time.Sleep(Poll)
+		time.Sleep(PollInterval)
 	}
 	return most
 }
@@ -85,7 +85,7 @@
 		g.Expect(err).NotTo(gomega.HaveOccurred())
 		g.Expect(l.Goroutines).To(gomega.BeNumerically("<=", rest.Goroutines), "goroutines")
 		g.Expect(l.Files).To(gomega.BeNumerically("<=", rest.Files), "open files")
-	}, Timeout, Poll).Should(gomega.Succeed(), p.ID)
+	}, Timeout, PollInterval).Should(gomega.Succeed(), p.ID)
 }
 
 // PlainLogLines returns the lines of the process's log that are not JSON.
--- a/test/harness/operate.go
+++ b/test/harness/operate.go
@@ -122,7 +122,7 @@
 				g.Expect(row.Running).To(gomega.BeEmpty(), row.ID)
 			}
 		}
-	}, Timeout, Poll).Should(gomega.Succeed())
+	}, Timeout, PollInterval).Should(gomega.Succeed())
 	c.Settle()
 }
 
--- a/test/inforce/log_test.go
+++ b/test/inforce/log_test.go
@@ -47,7 +47,7 @@
 			for _, e := range c.Entries() {
 				g.Expect(e.Ready()).To(BeTrue(), e.ID)
 			}
-		}, 3*time.Second, 10*harness.Poll).Should(Succeed())
+		}, 3*time.Second, 10*harness.PollInterval).Should(Succeed())
 		Expect(c.Standin.ClearFaults(bg)).To(Succeed())
 		var generation uint64
 		Eventually(done, harness.Timeout).Should(Receive(&generation))
@@ -89,7 +89,7 @@
 		c.Settle()
 		setLogFault(c, standin.PlatformFault{Down: true})
 		c.Entry(1).Restart()
-		Eventually(c.Entry(1).Generation, harness.Timeout, harness.Poll).Should(Equal(generation))
+		Eventually(c.Entry(1).Generation, harness.Timeout, harness.PollInterval).Should(Equal(generation))
 		Expect(c.Entry(1).Ready()).To(BeFalse())
 		Expect(c.Standin.ClearFaults(bg)).To(Succeed())
 		c.Entry(1).AwaitReady()
--- a/test/inforce/restart_test.go
+++ b/test/inforce/restart_test.go
@@ -34,7 +34,7 @@
 			}
 		}
 		return false
-	}, harness.Timeout, harness.Poll).Should(BeTrue(), "no snapshot was written")
+	}, harness.Timeout, harness.PollInterval).Should(BeTrue(), "no snapshot was written")
 	Expect(c.Standin.Trim(bg, mark+1)).To(Succeed())
 }
 
@@ -98,7 +98,7 @@
 			st, err := frozen.Status()
 			g.Expect(err).NotTo(HaveOccurred())
 			g.Expect(st.Readiness.Ready).To(BeFalse())
-		}, harness.Timeout, harness.Poll).Should(Succeed())
+		}, harness.Timeout, harness.PollInterval).Should(Succeed())
 		frozen.AwaitReady()
 		Expect(frozen.Generation()).To(BeEquivalentTo(2))
 		frozen.HealPeers()
--- a/test/inforce/suite_test.go
+++ b/test/inforce/suite_test.go
@@ -59,7 +59,7 @@
 func expectGeneration(c *harness.Cluster, generation uint64) {
 	GinkgoHelper()
 	for _, p := range c.All() {
-		Eventually(p.Generation, harness.Timeout, harness.Poll).Should(Equal(generation), p.ID)
+		Eventually(p.Generation, harness.Timeout, harness.PollInterval).Should(Equal(generation), p.ID)
 	}
 }
 
--- a/test/keys/caller_test.go
+++ b/test/keys/caller_test.go
@@ -164,7 +164,7 @@
 	Eventually(func() bool {
 		r = send(bg, e, ch)
 		return r.answered() || r.refused() && r.problem.Type != dispatch.TypeKeyUnavailable
-	}, harness.Timeout, harness.Poll).Should(BeTrue(), func() string { return r.String() })
+	}, harness.Timeout, harness.PollInterval).Should(BeTrue(), func() string { return r.String() })
 	return r
 }
 
--- a/test/keys/measure_test.go
+++ b/test/keys/measure_test.go
@@ -83,7 +83,7 @@
 			g.Expect(err).NotTo(HaveOccurred())
 			g.Expect(st.Reports+st.QueuedClaims+st.QueuedFinishes+st.Awaiting).To(BeZero(), e.ID)
 		}
-	}, harness.Timeout, harness.Poll).Should(Succeed())
+	}, harness.Timeout, harness.PollInterval).Should(Succeed())
 }
 
 func (m measured) row() string {
--- a/test/keys/outage_test.go
+++ b/test/keys/outage_test.go
@@ -61,7 +61,7 @@
 			g.Expect(err).NotTo(HaveOccurred())
 			g.Expect(st.Held+st.Witness).To(BeZero(), e.ID)
 		}
-	}, harness.Timeout, harness.Poll).Should(Succeed())
+	}, harness.Timeout, harness.PollInterval).Should(Succeed())
 }
 
 // runAll runs each charge once by any entry, in an outage.
--- a/test/keys/suite_test.go
+++ b/test/keys/suite_test.go
@@ -68,7 +68,7 @@
 		g.Expect(st.View.Members).To(HaveLen(owners), e.ID)
 		g.Expect(st.View.Pending).To(BeNil(), e.ID)
 		g.Expect(st.CaughtUp).To(BeTrue(), e.ID)
-	}, harness.Timeout, harness.Poll).Should(Succeed())
+	}, harness.Timeout, harness.PollInterval).Should(Succeed())
 }
 
 func keysOf(e *harness.Process) (idempotency.ServiceStatus, error) {
@@ -121,5 +121,5 @@
 // awaitRun waits until an endpoint runs a key.
 func awaitRun(c *harness.Cluster, key string) {
 	GinkgoHelper()
-	Eventually(func() []standin.Run { return runsOf(c, key) }, harness.Timeout, harness.Poll).Should(HaveLen(1))
+	Eventually(func() []standin.Run { return runsOf(c, key) }, harness.Timeout, harness.PollInterval).Should(HaveLen(1))
 }
--- a/test/leaving/leaving_test.go
+++ b/test/leaving/leaving_test.go
@@ -35,7 +35,7 @@
 			routes = append(routes, e.Instance)
 		}
 		g.Expect(routes).NotTo(ContainElement(next))
-	}, harness.Timeout, harness.Poll).Should(Succeed())
+	}, harness.Timeout, harness.PollInterval).Should(Succeed())
 	Expect(routes).NotTo(ContainElement(gone))
 	Expect(routes).NotTo(BeEmpty())
 }
@@ -122,7 +122,7 @@
 		paused.Freeze()
 		ids := leaveAtOnce(c, leavers)
 		over := time.Now().Add(listLag + allowed)
-		Eventually(func() bool { return time.Now().After(over) }, harness.Timeout, harness.Poll).Should(BeTrue())
+		Eventually(func() bool { return time.Now().After(over) }, harness.Timeout, harness.PollInterval).Should(BeTrue())
 		paused.Wake()
 		awaitLater(c, over)
 		l.Stop()
--- a/test/leaving/suite_test.go
+++ b/test/leaving/suite_test.go
@@ -95,7 +95,7 @@
 			}
 		}
 		return n
-	}, harness.Timeout, 10*harness.Poll).Should(BeNumerically(">=", later), "the load has ended")
+	}, harness.Timeout, 10*harness.PollInterval).Should(BeNumerically(">=", later), "the load has ended")
 }
 
 // awaitWork waits until a worker has been given a request.
@@ -109,7 +109,7 @@
 			}
 		}
 		return false
-	}, harness.Timeout, harness.Poll).Should(BeTrue(), id+" gets no work")
+	}, harness.Timeout, harness.PollInterval).Should(BeTrue(), id+" gets no work")
 }
 
 func runs(c *harness.Cluster) []standin.Run {
--- a/test/notrun/kills_test.go
+++ b/test/notrun/kills_test.go
@@ -56,7 +56,7 @@
 		return n
 	}
 	want := total() + more
-	Eventually(total, harness.Timeout, harness.Poll).Should(BeNumerically(">=", want))
+	Eventually(total, harness.Timeout, harness.PollInterval).Should(BeNumerically(">=", want))
 }
 
 var _ = Describe("A refusal", func() {
--- a/test/notrun/suite_test.go
+++ b/test/notrun/suite_test.go
@@ -140,6 +140,6 @@
 			g.Expect(r.EndMicros).NotTo(BeZero(), r.RequestID)
 			ran[r.RequestID]++
 		}
-	}, harness.Timeout, harness.Poll).Should(Succeed())
+	}, harness.Timeout, harness.PollInterval).Should(Succeed())
 	return ran
 }
--- a/test/onepool/entries_test.go
+++ b/test/onepool/entries_test.go
@@ -107,7 +107,7 @@
 			st, err := cut.Status()
 			g.Expect(err).NotTo(HaveOccurred())
 			g.Expect(st.Readiness.Reasons).To(ContainElement(ContainSubstring("cut off")))
-		}, harness.Timeout, harness.Poll).Should(Succeed())
+		}, harness.Timeout, harness.PollInterval).Should(Succeed())
 		Expect(own.Stop().Broken.Count).To(BeZero())
 
 		cut.HealPeers()
--- a/test/onepool/planner_test.go
+++ b/test/onepool/planner_test.go
@@ -35,7 +35,7 @@
 		c.Form(manifestBefore())
 		l := startLoad(c, 2)
 		publish(c, manifestAfter())
-		Eventually(func() string { return instanceState(c, tabsToCharges).Running }, harness.Timeout, harness.Poll/4).ShouldNot(BeEmpty())
+		Eventually(func() string { return instanceState(c, tabsToCharges).Running }, harness.Timeout, harness.PollInterval/4).ShouldNot(BeEmpty())
 		c.Planner().Kill()
 		expectMoved(c)
 		Expect(l.Stop().Broken.Count).To(BeZero())
--- a/test/onepool/suite_test.go
+++ b/test/onepool/suite_test.go
@@ -82,7 +82,7 @@
 func awaitMoveBegun(c *harness.Cluster) {
 	GinkgoHelper()
 	Eventually(func() pools.Phase { return c.Fold().Pools.Instances[tabsToCharges].Phase },
-		harness.Timeout, harness.Poll).Should(Equal(pools.PhaseMoving))
+		harness.Timeout, harness.PollInterval).Should(Equal(pools.PhaseMoving))
 }
 
 // awaitMoveWaitsFor waits until the planner reports that the move waits for
@@ -103,7 +103,7 @@
 			}
 		}
 		g.Expect(waiting).To(ContainElement(BeElementOf(wanted...)))
-	}, harness.Timeout, harness.Poll).Should(Succeed())
+	}, harness.Timeout, harness.PollInterval).Should(Succeed())
 }
 
 // bootsAfterForm is the number of boots of an instance once the fleet is
@@ -119,7 +119,7 @@
 		g.Expect(r.Running).To(BeEmpty())
 		g.Expect(r.Boots).To(Equal(bootsAfterForm))
 		g.Expect(r.Pool).To(Equal("tabs"))
-	}, quietPeriod, harness.Poll).Should(Succeed())
+	}, quietPeriod, harness.PollInterval).Should(Succeed())
 }
 
 // expectMoved waits until the moves are complete and expects one reboot of
