--- a/test/harness/check.go
+++ b/test/harness/check.go
@@ -73,13 +73,13 @@
 	observed.Violations, err = c.Standin.Violations(bg)
 	gomega.Expect(err).NotTo(gomega.HaveOccurred())
 	gomega.Expect(observed.History.Dropped).To(gomega.BeZero(), "the history is incomplete")
-	gomega.Expect(Judge(observed, c.manifests.checkRules())).To(gomega.BeEmpty())
+	gomega.Expect(FindViolations(observed, c.manifests.checkRules())).To(gomega.BeEmpty())
 	gomega.Expect(c.checkLog()).To(gomega.BeEmpty())
 	gomega.Expect(c.generations.currentFindings()).To(gomega.BeEmpty())
 }
 
-// Judge returns all violations in the records of the platform.
-func Judge(observed Observed, rules Rules) []Finding {
+// FindViolations returns all violations in the records of the platform.
+func FindViolations(observed Observed, rules Rules) []Finding {
 	return slices.Concat(
 		checkBudget(observed.Availability, rules.MinAvailable),
 		checkOnePool(observed.History.Runs, rules.PoolsOf),
--- a/test/harness/check_test.go
+++ b/test/harness/check_test.go
@@ -19,7 +19,7 @@
 // findInTimeline checks a timeline of pool "tabs", whose budget is three
 // instances.
 func findInTimeline(points ...standin.AvailabilityPoint) []harness.Finding {
-	return harness.Judge(
+	return harness.FindViolations(
 		harness.Observed{Availability: standin.Availability{Points: points}},
 		harness.Rules{MinAvailable: map[string]int{"tabs": 3}})
 }
@@ -41,7 +41,7 @@
 		Expect(findInTimeline(point(0, 4, 0, 0), point(1, 3, 0, 1), point(10*second, 2, 1, 1))).NotTo(BeEmpty())
 	})
 	It("find a request on an instance of another pool, and an idempotency key that ran twice", func() {
-		found := harness.Judge(
+		found := harness.FindViolations(
 			harness.Observed{History: standin.History{Runs: []standin.Run{
 				{Seq: 1, Service: "tabs", Pool: "tabs", IdempotencyKey: "k"},
 				{Seq: 2, Service: "tabs", Pool: "charges"},
@@ -51,7 +51,7 @@
 		Expect(found).To(HaveLen(2))
 	})
 	It("find requests interrupted by an operation and an exceeded slot limit", func() {
-		found := harness.Judge(harness.Observed{Violations: standin.Violations{
+		found := harness.FindViolations(harness.Observed{Violations: standin.Violations{
 			SlotViolations: map[string]int{"w001": 1}, CutByOperation: 1}}, harness.Rules{})
 		Expect(found).To(HaveLen(2))
 	})
