--- a/test/harness/caller.go
+++ b/test/harness/caller.go
@@ -80,9 +80,9 @@
 	return out
 }
 
-// Own reports whether the reply is the endpoint's complete answer to the
+// IsAnswerTo reports whether the reply is the endpoint's complete answer to the
 // given request: its request ID, service and body hash all match.
-func (r Reply) Own(to Request) bool {
+func (r Reply) IsAnswerTo(to Request) bool {
 	var answer standin.EndpointAnswer
 	if r.Err != nil || r.Refused || json.Unmarshal(r.Body, &answer) != nil {
 		return false
--- a/test/malformed/suite_test.go
+++ b/test/malformed/suite_test.go
@@ -68,7 +68,7 @@
 	t.n++
 	r := harness.Request{ID: fmt.Sprintf("good-%d", t.n), Service: poolTabs}
 	got := t.entry.Send(r)
-	Expect(got.Own(r)).To(BeTrue(), "%d %v %s", got.Status, got.Err, got.Body)
+	Expect(got.IsAnswerTo(r)).To(BeTrue(), "%d %v %s", got.Status, got.Err, got.Body)
 }
 
 // begin notes what the entry holds before a scenario.
--- a/test/whole/suite_test.go
+++ b/test/whole/suite_test.go
@@ -83,7 +83,7 @@
 func (a *soloClient) expectOwnAnswer(r harness.Request) {
 	GinkgoHelper()
 	got := a.send(r)
-	Expect(got.Own(r)).To(BeTrue(), "%s: %d %v %s", r.ID, got.Status, got.Err, truncate(got.Body))
+	Expect(got.IsAnswerTo(r)).To(BeTrue(), "%s: %d %v %s", r.ID, got.Status, got.Err, truncate(got.Body))
 }
 
 // expectOwnAnswerOrError expects the complete answer to the request, a
@@ -93,7 +93,7 @@
 	if got.Err != nil || got.Refused {
 		return
 	}
-	Expect(got.Own(r)).To(BeTrue(), "%s: %d %s", r.ID, got.Status, truncate(got.Body))
+	Expect(got.IsAnswerTo(r)).To(BeTrue(), "%s: %d %s", r.ID, got.Status, truncate(got.Body))
 }
 
 // truncate limits how much of an answer is printed.
