--- a/test/harness/operate.go
+++ b/test/harness/operate.go
@@ -88,9 +88,9 @@
 	return pub
 }
 
-// Settle waits until every pool has its instances and no operation is in
+// AwaitSettled waits until every pool has its instances and no operation is in
 // progress.
-func (c *Cluster) Settle() {
+func (c *Cluster) AwaitSettled() {
 	ginkgo.GinkgoHelper()
 	res := c.Ctl("settled", "--platform", c.PlatformURL, "--timeout", Timeout.String())
 	gomega.Expect(res.Code).To(gomega.Equal(ctl.ExitOK), res.Err)
@@ -102,7 +102,7 @@
 func (c *Cluster) Form(m *manifest.Manifest) {
 	ginkgo.GinkgoHelper()
 	c.Publish(m)
-	c.Settle()
+	c.AwaitSettled()
 	for _, e := range c.Entries() {
 		e.AwaitReady()
 	}
@@ -123,7 +123,7 @@
 			}
 		}
 	}, Timeout, PollInterval).Should(gomega.Succeed())
-	c.Settle()
+	c.AwaitSettled()
 }
 
 // ServicePool describes a pool and the service of the same name that it
--- a/test/inforce/log_test.go
+++ b/test/inforce/log_test.go
@@ -24,7 +24,7 @@
 		}
 		Expect(c.Standin.ClearFaults(bg)).To(Succeed())
 		c.Entry(2).HealLog()
-		c.Settle()
+		c.AwaitSettled()
 		finishAndCheck(c, l)
 	})
 
@@ -53,7 +53,7 @@
 		Eventually(done, harness.Timeout).Should(Receive(&generation))
 		expectGeneration(c, generation)
 		Expect(countAccepted(publishVerdicts(c))).To(Equal(before + 1))
-		c.Settle()
+		c.AwaitSettled()
 		finishAndCheck(c, l)
 	})
 
@@ -76,7 +76,7 @@
 			Expect(v.Accepted || v.Reason == "duplicate").To(BeTrue(), "%+v", v)
 		}
 		expectGeneration(c, second.Generation)
-		c.Settle()
+		c.AwaitSettled()
 		finishAndCheck(c, l)
 	})
 
@@ -86,7 +86,7 @@
 	It("that is down lets a restarted entry get the state from its peers", func() {
 		c, l := startCluster(harness.Options{}, 4)
 		generation := c.Publish(manifestOfSize(4)).Generation
-		c.Settle()
+		c.AwaitSettled()
 		setLogFault(c, standin.PlatformFault{Down: true})
 		c.Entry(1).Restart()
 		Eventually(c.Entry(1).Generation, harness.Timeout, harness.PollInterval).Should(Equal(generation))
@@ -111,7 +111,7 @@
 		Expect(c.Entry(0).Ready()).To(BeTrue())
 		c.Entry(0).HealLog()
 		c.Entry(1).HealLog()
-		c.Settle()
+		c.AwaitSettled()
 		finishAndCheck(c, l)
 	})
 })
--- a/test/inforce/restart_test.go
+++ b/test/inforce/restart_test.go
@@ -44,7 +44,7 @@
 	It("keeps the manifest in force while all processes are restarted one by one", func() {
 		c, l := startCluster(harness.Options{Settings: frequentSnapshots}, 11)
 		generation := c.Publish(manifestOfSize(4)).Generation
-		c.Settle()
+		c.AwaitSettled()
 		for _, p := range c.All() {
 			trimToSnapshot(c)
 			p.Restart()
@@ -53,7 +53,7 @@
 		}
 		generation = c.Publish(manifestOfSize(5)).Generation
 		expectGeneration(c, generation)
-		c.Settle()
+		c.AwaitSettled()
 		finishAndCheck(c, l)
 	})
 
@@ -61,7 +61,7 @@
 	It("keeps the manifest in force when all processes are killed together", func() {
 		c, l := startCluster(harness.Options{Settings: frequentSnapshots}, 12)
 		generation := c.Publish(manifestOfSize(4)).Generation
-		c.Settle()
+		c.AwaitSettled()
 		trimToSnapshot(c)
 		for _, p := range c.All() {
 			p.Kill()
@@ -74,7 +74,7 @@
 			e.AwaitReady()
 		}
 		expectGeneration(c, c.Publish(manifestOfSize(5)).Generation)
-		c.Settle()
+		c.AwaitSettled()
 		finishAndCheck(c, l)
 	})
 
@@ -103,7 +103,7 @@
 		Expect(frozen.Generation()).To(BeEquivalentTo(2))
 		frozen.HealPeers()
 		expectGeneration(c, c.Publish(manifestOfSize(5)).Generation)
-		c.Settle()
+		c.AwaitSettled()
 		finishAndCheck(c, l)
 	})
 })
@@ -120,7 +120,7 @@
 			p.AwaitMember()
 			expectGeneration(c, generation)
 		}
-		c.Settle()
+		c.AwaitSettled()
 		finishAndCheck(c, l)
 	})
 
@@ -139,7 +139,7 @@
 			p.AwaitReady()
 			expectGeneration(c, generation)
 		}
-		c.Settle()
+		c.AwaitSettled()
 		finishAndCheck(c, l)
 	})
 })
--- a/test/onepool/planner_test.go
+++ b/test/onepool/planner_test.go
@@ -57,7 +57,7 @@
 			publish(c, manifestAfter())
 			expectMoved(c)
 			publish(c, manifestBefore())
-			c.Settle()
+			c.AwaitSettled()
 		}
 		expectOneBootPerOperation(c)
 		Expect(l.Stop().Broken.Count).To(BeZero())
--- a/test/onepool/suite_test.go
+++ b/test/onepool/suite_test.go
@@ -126,7 +126,7 @@
 // each instance per operation.
 func expectMoved(c *harness.Cluster) {
 	GinkgoHelper()
-	c.Settle()
+	c.AwaitSettled()
 	Expect(instanceState(c, tabsToCharges).Pool).To(Equal("charges"))
 	Expect(instanceState(c, chargesToTabs).Pool).To(Equal("tabs"))
 	expectOneBootPerOperation(c)
