--- a/test/budget/losses_test.go
+++ b/test/budget/losses_test.go
@@ -36,8 +36,8 @@
 		for _, id := range lost {
 			Expect(c.Standin.SetState(bg, id, platform.StateLive)).To(Succeed())
 		}
-		c.SettledAt("tabs", 1)
-		c.SettledAt("charges", 1)
+		c.AwaitRevision("tabs", 1)
+		c.AwaitRevision("charges", 1)
 		l.Stop()
 		c.Check()
 	})
@@ -51,7 +51,7 @@
 
 		c.Publish(fleetOf(1))
 		Expect(c.Standin.SetState(bg, awaitWave(c, "tabs"), platform.StateGone)).To(Succeed())
-		c.SettledAt("charges", 1)
+		c.AwaitRevision("charges", 1)
 		view, err := c.Planner().PlannerView()
 		Expect(err).NotTo(HaveOccurred())
 		Expect(view.Waves.Halts).To(ContainElement(And(
@@ -75,8 +75,8 @@
 		Expect(c.Standin.SetState(bg, serving(c, "charges"), platform.StateGone)).To(Succeed())
 		expectLateDrain(c, holder, before, fold.ReasonOverBudget)
 
-		c.SettledAt("tabs", 1)
-		c.SettledAt("charges", 1)
+		c.AwaitRevision("tabs", 1)
+		c.AwaitRevision("charges", 1)
 		l.Stop()
 		c.Check()
 	})
--- a/test/budget/moves_test.go
+++ b/test/budget/moves_test.go
@@ -27,8 +27,8 @@
 			c.Publish(listing(c, revision, wanted))
 			Eventually(func() []string { return members(c, "charges") }, harness.Timeout, harness.PollInterval).
 				Should(ContainElements(wanted))
-			c.SettledAt("tabs", revision)
-			c.SettledAt("charges", revision)
+			c.AwaitRevision("tabs", revision)
+			c.AwaitRevision("charges", revision)
 		}
 		Expect(l.Stop().Broken.Count).To(BeZero())
 		c.Check()
--- a/test/budget/planners_test.go
+++ b/test/budget/planners_test.go
@@ -36,8 +36,8 @@
 		expectLateDrain(c, old, before, fold.ReasonStaleEpoch)
 		old.HealLog()
 
-		c.SettledAt("tabs", 1)
-		c.SettledAt("charges", 1)
+		c.AwaitRevision("tabs", 1)
+		c.AwaitRevision("charges", 1)
 		Expect(l.Stop().Broken.Count).To(BeZero())
 		c.Check()
 	})
@@ -63,8 +63,8 @@
 		}
 		frozen.Wake()
 
-		c.SettledAt("tabs", 1)
-		c.SettledAt("charges", 1)
+		c.AwaitRevision("tabs", 1)
+		c.AwaitRevision("charges", 1)
 		Expect(l.Stop().Broken.Count).To(BeZero())
 		c.Check()
 	})
--- a/test/graceful/rolling_test.go
+++ b/test/graceful/rolling_test.go
@@ -54,8 +54,8 @@
 		Expect(c.Standin.Apply(GinkgoT().Context(), standin.Settings{DrainLimitMillis: new(int64(impatient))})).To(Succeed())
 		callers := c.Steady(c.Balance(), poolTabs, poolCharges)
 		c.Publish(fleetManifest(1))
-		c.SettledAt(poolTabs, 1)
-		c.SettledAt(poolCharges, 1)
+		c.AwaitRevision(poolTabs, 1)
+		c.AwaitRevision(poolCharges, 1)
 		for _, sum := range callers.Stop() {
 			Expect(sum.Outcomes[load.Answered]+sum.Outcomes[load.RefusedNo]).To(Equal(sum.Sent), "%+v", sum)
 			Expect(sum.Resent).To(BeZero(), "connections closed under a request")
--- a/test/harness/harness_test.go
+++ b/test/harness/harness_test.go
@@ -27,7 +27,7 @@
 		c.Publish(harness.Manifest(2,
 			harness.ServicePool{Name: "tabs", Count: 5, MinAvailable: 3, Revision: 1},
 			harness.ServicePool{Name: "charges", Count: 4, MinAvailable: 3}))
-		c.SettledAt("tabs", 1)
+		c.AwaitRevision("tabs", 1)
 		c.Entry(0).CutLog()
 		c.Entry(0).HealLog()
 		sum := l.Stop()
--- a/test/harness/operate.go
+++ b/test/harness/operate.go
@@ -109,9 +109,9 @@
 	gomega.Expect(c.Standin.ResetAvailability(bg)).To(gomega.Succeed())
 }
 
-// SettledAt waits until the platform lists every instance of a pool at the
+// AwaitRevision waits until the platform lists every instance of a pool at the
 // maintenance revision or a later one, with no operation in progress.
-func (c *Cluster) SettledAt(pool string, revision int) {
+func (c *Cluster) AwaitRevision(pool string, revision int) {
 	ginkgo.GinkgoHelper()
 	gomega.Eventually(func(g gomega.Gomega) {
 		rows, err := c.Standin.Instances(bg)
--- a/test/spares/spares_test.go
+++ b/test/spares/spares_test.go
@@ -51,7 +51,7 @@
 		c.Form(tabsManifest(4, 0))
 		l := c.Load(load.Options{Services: []string{"tabs"}, Seed: 1})
 		c.Publish(tabsManifest(4, 1))
-		c.SettledAt("tabs", 1)
+		c.AwaitRevision("tabs", 1)
 		Eventually(func() int { return workersInPool(c, "tabs") }, harness.Timeout, harness.PollInterval).Should(Equal(4))
 		c.AwaitSettled()
 		l.Stop()
