--- a/test/graceful/pinned_test.go
+++ b/test/graceful/pinned_test.go
@@ -138,7 +138,7 @@
 		callers := startPinned(c.Balance())
 		for i := range c.Entries() {
 			Expect(c.Entry(i).Stop()).To(BeZero())
-			c.Entry(i).Successor().AwaitReady()
+			c.Entry(i).StartReplacement().AwaitReady()
 		}
 		failures := callers.end()
 		GinkgoWriter.Printf("pinned: %d answers on %d connections\n", callers.answered.Load(), callers.dialled.Load())
--- a/test/graceful/rolling_test.go
+++ b/test/graceful/rolling_test.go
@@ -31,8 +31,8 @@
 			Eventually(answered, harness.Timeout).Should(Receive(&got))
 			Expect(got.err).NotTo(HaveOccurred(), "the slow request was cut")
 			Expect(got.status).To(Equal(http.StatusOK), got.body)
-			next := entry.Successor()
-			control.Successor().AwaitReady()
+			next := entry.StartReplacement()
+			control.StartReplacement().AwaitReady()
 			next.AwaitReady()
 		}
 		c.Planner()
--- a/test/harness/successor.go
+++ b/test/harness/successor.go
@@ -9,11 +9,11 @@
 	"cyclamenwheel/internal/platform"
 )
 
-// Successor starts a replacement for a process that has exited, as a rolling
+// StartReplacement starts a replacement for a process that has exited, as a rolling
 // replacement does: on a new instance, with a new ID and its own certificate.
 // The platform lists the old instance as gone. Entry and Control then return
 // the replacement under the old index.
-func (p *Process) Successor() *Process {
+func (p *Process) StartReplacement() *Process {
 	ginkgo.GinkgoHelper()
 	c := p.cluster
 	gomega.Expect(p.Alive()).To(gomega.BeFalse(), p.ID+" is still running")
--- a/test/keys/resent_test.go
+++ b/test/keys/resent_test.go
@@ -173,7 +173,7 @@
 		})
 		for i := range 2 {
 			Expect(c.Entry(i).Stop()).To(BeZero())
-			next := c.Entry(i).Successor()
+			next := c.Entry(i).StartReplacement()
 			next.AwaitReady()
 			for _, e := range c.Entries() {
 				awaitProven(e, entryCount)
