--- a/test/harness/process.go
+++ b/test/harness/process.go
@@ -179,9 +179,9 @@
 	p.Start()
 }
 
-// LoseHost simulates the sudden loss of the process's instance: the process
+// LoseInstance simulates the sudden loss of the process's instance: the process
 // is killed and the platform lists the instance as gone.
-func (p *Process) LoseHost() {
+func (p *Process) LoseInstance() {
 	ginkgo.GinkgoHelper()
 	if p.Alive() {
 		p.Kill()
--- a/test/inforce/restart_test.go
+++ b/test/inforce/restart_test.go
@@ -115,7 +115,7 @@
 		c, l := startCluster(harness.Options{}, 21)
 		for i, p := range c.Controls() {
 			generation := c.Publish(manifestOfSize(4 + i)).Generation
-			p.LoseHost()
+			p.LoseInstance()
 			p.Replace()
 			p.AwaitMember()
 			expectGeneration(c, generation)
@@ -133,7 +133,7 @@
 			if i%2 == 0 {
 				Expect(p.Stop()).To(BeZero())
 			} else {
-				p.LoseHost()
+				p.LoseInstance()
 			}
 			p.Replace()
 			p.AwaitReady()
--- a/test/keys/history_test.go
+++ b/test/keys/history_test.go
@@ -124,7 +124,7 @@
 		func(_ *harness.Cluster, e *harness.Process) { e.Kill() },
 		func(_ *harness.Cluster, e *harness.Process) { e.Start() }},
 	{"entry's host lost",
-		func(_ *harness.Cluster, e *harness.Process) { e.LoseHost() },
+		func(_ *harness.Cluster, e *harness.Process) { e.LoseInstance() },
 		func(_ *harness.Cluster, e *harness.Process) { e.Replace() }},
 	{"entry cut off from the log",
 		func(_ *harness.Cluster, e *harness.Process) { e.CutLog() },
--- a/test/keys/outage_test.go
+++ b/test/keys/outage_test.go
@@ -128,7 +128,7 @@
 		charges := chargesOf(keys)
 		appendsDown.begin(c)
 		runAll(c, charges)
-		owner.LoseHost()
+		owner.LoseInstance()
 		for i, replies := range allTogether(others(c, owner), charges) {
 			for _, r := range replies {
 				expectRan(r, runsOf(c, charges[i].key)[0].Seq)
@@ -162,7 +162,7 @@
 		Expect(charges).NotTo(BeEmpty())
 		appendsDown.begin(c)
 		runAll(c, charges)
-		owner.LoseHost()
+		owner.LoseInstance()
 		witness.HoldCalls(slowWay)
 		appendsDown.end(c)
 		for n, ch := range charges {
--- a/test/keys/resent_test.go
+++ b/test/keys/resent_test.go
@@ -50,7 +50,7 @@
 		for _, r := range together(others(c, owner), ch) {
 			expectRan(r, run)
 		}
-		owner.LoseHost()
+		owner.LoseInstance()
 		for _, e := range others(c, owner) {
 			awaitProven(e, entryCount-1)
 			expectRan(settled(e, ch), run)
@@ -67,7 +67,7 @@
 		ch := charge{key: keyOf(c, "middle", owner), body: "tab", work: longWork}
 		answer := begin(c.Entry(1), ch)
 		awaitRun(c, ch.key)
-		owner.LoseHost()
+		owner.LoseInstance()
 		run := runsOf(c, ch.key)[0].Seq
 		for _, e := range others(c, owner) {
 			expectRan(settled(e, ch), run)
@@ -134,7 +134,7 @@
 			lost := begin(asker, ch)
 			awaitRun(c, ch.key)
 			waiting := begin(c.Entry(2), ch)
-			asker.LoseHost()
+			asker.LoseInstance()
 			Expect(got(lost).err).To(HaveOccurred())
 			r := got(waiting)
 			Expect(r.refused()).To(BeTrue(), r.String())
