--- a/test/harness/endpointlink.go
+++ b/test/harness/endpointlink.go
@@ -18,7 +18,7 @@
 // Direction is a direction of the bytes through an EndpointLink.
 type Direction string
 
-// Directions.
+// The directions of an EndpointLink.
 const (
 	ToEndpoint   Direction = "upstream"
 	FromEndpoint Direction = "downstream"
--- a/test/harness/process.go
+++ b/test/harness/process.go
@@ -19,7 +19,7 @@
 // Role is the kind of program that a process runs.
 type Role string
 
-// Roles.
+// The roles of the processes in a deployment.
 const (
 	RoleEntry   Role = "entry"
 	RoleControl Role = "control"
@@ -179,8 +179,8 @@
 	p.Start()
 }
 
-// LoseInstance simulates the sudden loss of the process's instance: the process
-// is killed and the platform lists the instance as gone.
+// LoseInstance simulates the sudden loss of the process's instance: the
+// process is killed and the platform lists the instance as gone.
 func (p *Process) LoseInstance() {
 	ginkgo.GinkgoHelper()
 	if p.Alive() {
--- a/test/harness/successor.go
+++ b/test/harness/successor.go
@@ -9,10 +9,10 @@
 	"cyclamenwheel/internal/platform"
 )
 
-// StartReplacement starts a replacement for a process that has exited, as a rolling
-// replacement does: on a new instance, with a new ID and its own certificate.
-// The platform lists the old instance as gone. Entry and Control then return
-// the replacement under the old index.
+// StartReplacement starts a replacement for a process that has exited, as a
+// rolling replacement does: on a new instance, with a new ID and its own
+// certificate. The platform lists the old instance as gone. Entry and Control
+// then return the replacement under the old index.
 func (p *Process) StartReplacement() *Process {
 	ginkgo.GinkgoHelper()
 	c := p.cluster
