--- a/test/budget/planners_test.go
+++ b/test/budget/planners_test.go
@@ -28,7 +28,7 @@
 		awaitDecided(old)
 		old.Freeze()
 
-		Eventually(func() int { return withRevision(c, 1) }, harness.Patience, harness.Poll).
+		Eventually(func() int { return withRevision(c, 1) }, harness.Timeout, harness.PollInterval).
 			Should(BeNumerically(">=", 1), "nobody took the wave over")
 		Expect(c.Planner()).NotTo(BeIdenticalTo(old))
 		awaitWave(c, "charges")
@@ -36,8 +36,8 @@
 		expectLateDrain(c, old, before, fold.ReasonStaleEpoch)
 		old.HealLog()
 
-		c.SettledAt("tabs", 1)
-		c.SettledAt("charges", 1)
+		c.AwaitRevision("tabs", 1)
+		c.AwaitRevision("charges", 1)
 		Expect(l.Stop().Broken.Count).To(BeZero())
 		c.Check()
 	})
@@ -63,8 +63,8 @@
 		}
 		frozen.Wake()
 
-		c.SettledAt("tabs", 1)
-		c.SettledAt("charges", 1)
+		c.AwaitRevision("tabs", 1)
+		c.AwaitRevision("charges", 1)
 		Expect(l.Stop().Broken.Count).To(BeZero())
 		c.Check()
 	})
--- a/test/graceful/pinned_test.go
+++ b/test/graceful/pinned_test.go
@@ -109,7 +109,7 @@
 		return false, err
 	}
 	req.Header.Set(standin.HeaderRequestID, id)
-	if err := conn.SetDeadline(time.Now().Add(harness.Patience)); err != nil {
+	if err := conn.SetDeadline(time.Now().Add(harness.Timeout)); err != nil {
 		return false, err
 	}
 	if err := req.Write(conn); err != nil {
@@ -138,7 +138,7 @@
 		callers := startPinned(c.Balance())
 		for i := range c.Entries() {
 			Expect(c.Entry(i).Stop()).To(BeZero())
-			c.Entry(i).Successor().AwaitReady()
+			c.Entry(i).StartReplacement().AwaitReady()
 		}
 		failures := callers.end()
 		GinkgoWriter.Printf("pinned: %d answers on %d connections\n", callers.answered.Load(), callers.dialled.Load())
--- a/test/graceful/rolling_test.go
+++ b/test/graceful/rolling_test.go
@@ -28,11 +28,11 @@
 			Expect(entry.Stop()).To(BeZero(), entry.ID)
 			Expect(control.Stop()).To(BeZero(), control.ID)
 			var got reply
-			Eventually(answered, harness.Patience).Should(Receive(&got))
+			Eventually(answered, harness.Timeout).Should(Receive(&got))
 			Expect(got.err).NotTo(HaveOccurred(), "the slow request was cut")
 			Expect(got.status).To(Equal(http.StatusOK), got.body)
-			next := entry.Successor()
-			control.Successor().AwaitReady()
+			next := entry.StartReplacement()
+			control.StartReplacement().AwaitReady()
 			next.AwaitReady()
 		}
 		c.Planner()
@@ -54,8 +54,8 @@
 		Expect(c.Standin.ApplySettings(GinkgoT().Context(), standin.Settings{DrainLimitMillis: new(int64(impatient))})).To(Succeed())
 		callers := c.Steady(c.Balance(), poolTabs, poolCharges)
 		c.Publish(fleetManifest(1))
-		c.SettledAt(poolTabs, 1)
-		c.SettledAt(poolCharges, 1)
+		c.AwaitRevision(poolTabs, 1)
+		c.AwaitRevision(poolCharges, 1)
 		for _, sum := range callers.Stop() {
 			Expect(sum.Outcomes[load.Answered]+sum.Outcomes[load.RefusedNo]).To(Equal(sum.Sent), "%+v", sum)
 			Expect(sum.Resent).To(BeZero(), "connections closed under a request")
--- a/test/harness/harness_test.go
+++ b/test/harness/harness_test.go
@@ -18,7 +18,7 @@
 var _ = AfterSuite(harness.RemoveBinaries)
 
 var _ = Describe("A cluster", func() {
-	It("forms, serves, restarts a process and stops without a loss", func() {
+	It("forms, serves, restarts a process and stops without breaking a guarantee", func() {
 		c := harness.New(harness.Options{PeerProxies: true})
 		c.Form(harness.Manifest(2,
 			harness.ServicePool{Name: "tabs", Count: 4, MinAvailable: 3},
@@ -27,7 +27,7 @@
 		c.Publish(harness.Manifest(2,
 			harness.ServicePool{Name: "tabs", Count: 5, MinAvailable: 3, Revision: 1},
 			harness.ServicePool{Name: "charges", Count: 4, MinAvailable: 3}))
-		c.SettledAt("tabs", 1)
+		c.AwaitRevision("tabs", 1)
 		c.Entry(0).CutLog()
 		c.Entry(0).HealLog()
 		sum := l.Stop()
--- a/test/keys/resent_test.go
+++ b/test/keys/resent_test.go
@@ -50,7 +50,7 @@
 		for _, r := range together(others(c, owner), ch) {
 			expectRan(r, run)
 		}
-		owner.LoseHost()
+		owner.LoseInstance()
 		for _, e := range others(c, owner) {
 			awaitProven(e, entryCount-1)
 			expectRan(settled(e, ch), run)
@@ -67,7 +67,7 @@
 		ch := charge{key: keyOf(c, "middle", owner), body: "tab", work: longWork}
 		answer := begin(c.Entry(1), ch)
 		awaitRun(c, ch.key)
-		owner.LoseHost()
+		owner.LoseInstance()
 		run := runsOf(c, ch.key)[0].Seq
 		for _, e := range others(c, owner) {
 			expectRan(settled(e, ch), run)
@@ -134,7 +134,7 @@
 			lost := begin(asker, ch)
 			awaitRun(c, ch.key)
 			waiting := begin(c.Entry(2), ch)
-			asker.LoseHost()
+			asker.LoseInstance()
 			Expect(got(lost).err).To(HaveOccurred())
 			r := got(waiting)
 			Expect(r.refused()).To(BeTrue(), r.String())
@@ -173,7 +173,7 @@
 		})
 		for i := range 2 {
 			Expect(c.Entry(i).Stop()).To(BeZero())
-			next := c.Entry(i).Successor()
+			next := c.Entry(i).StartReplacement()
 			next.AwaitReady()
 			for _, e := range c.Entries() {
 				awaitProven(e, entryCount)
@@ -199,6 +199,6 @@
 		for _, e := range c.Entries()[:2] {
 			Expect(send(bg, e, charge{body: "tab"}).answered()).To(BeTrue())
 		}
-		Eventually(func() []standin.Run { return runsOf(c, "") }, harness.Patience, 10*time.Millisecond).Should(HaveLen(2))
+		Eventually(func() []standin.Run { return runsOf(c, "") }, harness.Timeout, 10*time.Millisecond).Should(HaveLen(2))
 	})
 })
