--- a/internal/measure/fleet/buffer.go
+++ b/internal/measure/fleet/buffer.go
@@ -9,21 +9,21 @@
 	"cyclamenwheel/internal/pools"
 )
 
-// bufferDraws is how many sets of pool sizes are drawn for each line.
+// bufferDraws is the number of random sets of pool sizes for each table row.
 const bufferDraws = 20
 
-type budgetRule struct {
-	name string
-	of   func(int) int
+type budgetPolicy struct {
+	name   string
+	budget func(int) int
 }
 
-var budgetRules = []budgetRule{
-	{"all instances", all}, {"all but one", allButOne}, {"four fifths", fourFifths},
+var budgetPolicies = []budgetPolicy{
+	{"all instances", wholePool}, {"all but one", allButOne}, {"four fifths", fourFifths},
 }
 
-var domains = []manifest.FailureDomain{manifest.DomainInstance, manifest.DomainRack, manifest.DomainZone}
+var failureDomains = []manifest.FailureDomain{manifest.DomainInstance, manifest.DomainRack, manifest.DomainZone}
 
-// measureBuffer compares the shared spare with spares for each pool.
+// measureBuffer compares spares that all pools share with separate spares for each pool.
 func measureBuffer(r report) {
 	r.line("## Buffer cost")
 	r.line("")
@@ -34,41 +34,41 @@
 	r.line("")
 	r.line("| deployment | budget | lost domain | shared | per pool | shared / per pool | kept |")
 	r.line("|---|---|---|---|---|---|---|")
-	for _, d := range both {
-		for _, b := range budgetRules {
-			for _, domain := range domains {
-				bufferLine(r, d, b, domain)
+	for _, d := range deployments {
+		for _, b := range budgetPolicies {
+			for _, domain := range failureDomains {
+				writeBufferRow(r, d, b, domain)
 			}
 		}
 	}
 	r.line("")
-	measureZone(r)
+	measureZoneLoss(r)
 }
 
-func bufferLine(r report, d deployment, b budgetRule, domain manifest.FailureDomain) {
+func writeBufferRow(r report, d deployment, b budgetPolicy, domain manifest.FailureDomain) {
 	rng := rand.New(rand.NewPCG(seed, 1))
-	shared, perPool, kept := 0, 0, 0
+	shared, perPool, restored := 0, 0, 0
 	for range bufferDraws {
-		m := wanted(drawCounts(rng, d.workers, 5), b.of)
+		m := newManifest(drawPoolSizes(rng, d.workers, 5), b.budget)
 		m.Buffer.Survive = domain
 		w := newWorld(d, m)
-		w.settle()
+		w.runUntilIdle()
 		need := pools.SharedSpares{}.Spare(w.poolsInput())
 		shared += need.Needed
 		perPool += pools.PerPoolSpares{}.Spare(w.poolsInput()).Needed
-		w.lose(inDomain(domain, need.Worst))
-		w.settle()
-		if w.short() == 0 {
-			kept++
+		w.takeDown(inDomain(domain, need.Worst))
+		w.runUntilIdle()
+		if w.missingInstances() == 0 {
+			restored++
 		}
 	}
 	r.line("| %s | %s | %s | %.1f | %.1f | %.2f | %d of %d |", d.name, b.name, domain,
-		mean(shared), mean(perPool), float64(shared)/float64(perPool), kept, bufferDraws)
+		meanOfDraws(shared), meanOfDraws(perPool), float64(shared)/float64(perPool), restored, bufferDraws)
 }
 
-func mean(sum int) float64 { return float64(sum) / bufferDraws }
+func meanOfDraws(sum int) float64 { return float64(sum) / bufferDraws }
 
-// inDomain matches the instances of a domain as SpareNeed names it.
+// inDomain returns a matcher for the instances of a failure domain, named as in SpareNeed.
 func inDomain(kind manifest.FailureDomain, name string) func(*pools.Instance) bool {
 	return func(inst *pools.Instance) bool {
 		switch kind {
@@ -81,50 +81,50 @@
 	}
 }
 
-// measureZone tells what the loss of a rack and then of a zone takes, by trying
-// ever more workers.
-func measureZone(r report) {
+// measureZoneLoss reports how many workers are needed to recover from the loss of a rack and
+// then of a zone. It tries fleets of increasing size.
+func measureZoneLoss(r report) {
 	r.line("Workers with which five pools of 8, 9, 9, 10 and 11 (47) are at their budgets again after the")
 	r.line("loss of the worst rack, and then of the worst zone on top of it (tried in steps of a rack):")
 	r.line("")
 	r.line("| deployment | budget | sum of budgets | worst rack | worst rack, then worst zone |")
 	r.line("|---|---|---|---|---|")
 	counts := []int{8, 9, 9, 10, 11}
-	for _, d := range both {
-		for _, b := range budgetRules {
+	for _, d := range deployments {
+		for _, b := range budgetPolicies {
 			sum := 0
 			for _, n := range counts {
-				sum += b.of(n)
+				sum += b.budget(n)
 			}
 			r.line("| %s | %s | %d | %s | %s |", d.name, b.name, sum,
-				leastWorkers(d, counts, b, manifest.DomainRack),
-				leastWorkers(d, counts, b, manifest.DomainRack, manifest.DomainZone))
+				minWorkers(d, counts, b, manifest.DomainRack),
+				minWorkers(d, counts, b, manifest.DomainRack, manifest.DomainZone))
 		}
 	}
 	r.line("")
 }
 
-// leastWorkers finds the smallest fleet that keeps its budgets through losses.
-func leastWorkers(d deployment, counts []int, b budgetRule, losses ...manifest.FailureDomain) string {
-	var tried strings.Builder
-	for d.workers = 48; d.workers <= 120; d.workers += perRack {
-		if survives(d, counts, b, losses) {
+// minWorkers returns the smallest fleet size that meets its budgets again after the losses.
+func minWorkers(d deployment, counts []int, b budgetPolicy, losses ...manifest.FailureDomain) string {
+	var result strings.Builder
+	for d.workers = 48; d.workers <= 120; d.workers += instancesPerRack {
+		if survivesLosses(d, counts, b, losses) {
 			return fmt.Sprintf("%d", d.workers)
 		}
 	}
-	tried.WriteString("more than 120")
-	return tried.String()
+	result.WriteString("more than 120")
+	return result.String()
 }
 
-func survives(d deployment, counts []int, b budgetRule, losses []manifest.FailureDomain) bool {
-	w := newWorld(d, wanted(counts, b.of))
-	w.settle()
+func survivesLosses(d deployment, counts []int, b budgetPolicy, losses []manifest.FailureDomain) bool {
+	w := newWorld(d, newManifest(counts, b.budget))
+	w.runUntilIdle()
 	for _, domain := range losses {
 		w.m.Buffer.Survive = domain
 		need := pools.Spare(w.poolsInput())
-		w.lose(inDomain(domain, need.Worst))
-		w.settle()
-		if w.short() > 0 {
+		w.takeDown(inDomain(domain, need.Worst))
+		w.runUntilIdle()
+		if w.missingInstances() > 0 {
 			return false
 		}
 	}
--- a/internal/measure/fleet/cost.go
+++ b/internal/measure/fleet/cost.go
@@ -23,7 +23,7 @@
 
 var costSizes = []int{50, 500, 5_000, 11_000}
 
-// costCase is one kind of planning round.
+// costCase is a kind of planning round whose cost is measured.
 type costCase struct {
 	name string
 	run  func(w *world, in placement.Input)
@@ -32,12 +32,12 @@
 var costCases = []costCase{
 	{"moves, fill an empty fleet", func(w *world, _ placement.Input) {
 		empty := w.poolsInput()
-		empty.Instances = copyOf(w.instances, func(inst *pools.Instance) { inst.Pool = "" })
+		empty.Instances = copyInstances(w.instances, func(inst *pools.Instance) { inst.Pool = "" })
 		pools.Decide(empty)
 	}},
 	{"moves, a zone lost", func(w *world, _ placement.Input) {
 		lost := w.poolsInput()
-		lost.Instances = copyOf(w.instances, func(inst *pools.Instance) {
+		lost.Instances = copyInstances(w.instances, func(inst *pools.Instance) {
 			if inst.Zone == "z0" {
 				inst.Phase = pools.PhaseDown
 			}
@@ -48,12 +48,12 @@
 	{"spare", func(w *world, _ placement.Input) { pools.Spare(w.poolsInput()) }},
 	{"maintenance, all pools", func(w *world, _ placement.Input) {
 		in := w.waveInput()
-		raised := *w.m
-		raised.Pools = slices.Clone(w.m.Pools)
-		for i := range raised.Pools {
-			raised.Pools[i].Maintenance.Revision++
+		newRevision := *w.m
+		newRevision.Pools = slices.Clone(w.m.Pools)
+		for i := range newRevision.Pools {
+			newRevision.Pools[i].Maintenance.Revision++
 		}
-		in.Manifest = &raised
+		in.Manifest = &newRevision
 		maintenance.Decide(in)
 	}},
 	{"placement, all tasks new", func(_ *world, in placement.Input) {
@@ -62,31 +62,31 @@
 	}},
 	{"placement, nothing to do", func(_ *world, in placement.Input) { placement.Decide(in) }},
 	{"placement, all cancelled", func(w *world, in placement.Input) {
-		in.Manifest = wanted(countsOf(len(w.instances)), allButOne)
+		in.Manifest = newManifest(poolSizes(len(w.instances)), allButOne)
 		placement.Decide(in)
 	}},
 }
 
-// measureCost times one planning round at growing sizes.
+// measureCost measures the time and the allocations of planning rounds at increasing fleet sizes.
 func measureCost(r report, sizes []int) {
 	r.line("## Cost of a planning round")
 	r.line("")
 	r.line("%d pools, %d tasks a worker. Median of %d rounds in ms, and MB allocated by a round; the growth is the", costPools, tasksPerWorker, costRepeats)
 	r.line("slope of a least-squares line through the logarithms of time and size, the smallest size left out (1: linear).")
 	r.line("")
-	header, rule := "| round |", "|---|"
+	header, separator := "| round |", "|---|"
 	for _, size := range sizes {
 		header += fmt.Sprintf(" %d workers |", size)
-		rule += "---|"
+		separator += "---|"
 	}
 	r.line("%s growth | MB at the most |", header)
-	r.line("%s---|---|", rule)
+	r.line("%s---|---|", separator)
 	times := make([][]float64, len(costCases))
 	memory := make([]float64, len(costCases))
 	for _, size := range sizes {
-		w, in := settled(size)
+		w, in := newSettledFleet(size)
 		for i, c := range costCases {
-			ms, mb := cost(func() { c.run(w, in) })
+			ms, mb := measureRound(func() { c.run(w, in) })
 			times[i], memory[i] = append(times[i], ms), mb
 		}
 	}
@@ -95,13 +95,13 @@
 		for _, ms := range times[i] {
 			line += fmt.Sprintf(" %.2f |", ms)
 		}
-		r.line("%s %.2f | %.1f |", line, slope(sizes[1:], times[i][1:]), memory[i])
+		r.line("%s %.2f | %.1f |", line, growthExponent(sizes[1:], times[i][1:]), memory[i])
 	}
 	r.line("")
 }
 
-// countsOf spreads nine tenths of the workers over the pools.
-func countsOf(workers int) []int {
+// poolSizes distributes nine tenths of the workers over the pools.
+func poolSizes(workers int) []int {
 	counts := make([]int, costPools)
 	for i := range counts {
 		counts[i] = max(1, workers*9/10/costPools)
@@ -109,10 +109,10 @@
 	return counts
 }
 
-// settled is a fleet whose pools are full and whose tasks all run.
-func settled(workers int) (*world, placement.Input) {
+// newSettledFleet returns a fleet whose pools are full and whose tasks are all running.
+func newSettledFleet(workers int) (*world, placement.Input) {
 	d := deployment{workers: workers, zones: 4, cores: 16, memoryMB: 64 << 10}
-	w := newWorld(d, wanted(countsOf(workers), allButOne))
+	w := newWorld(d, newManifest(poolSizes(workers), allButOne))
 	for _, m := range pools.Decide(pools.Input{
 		Manifest: w.m, Instances: w.instances, Limits: pools.Limits{MaxMovesInFlight: workers},
 	}).Moves {
@@ -137,7 +137,7 @@
 	return w, in
 }
 
-func copyOf(instances []*pools.Instance, change func(*pools.Instance)) []*pools.Instance {
+func copyInstances(instances []*pools.Instance, change func(*pools.Instance)) []*pools.Instance {
 	copies := make([]*pools.Instance, len(instances))
 	for i, inst := range instances {
 		c := *inst
@@ -147,8 +147,8 @@
 	return copies
 }
 
-// cost is the median time of a round and what it allocates.
-func cost(run func()) (ms, mb float64) {
+// measureRound returns the median time of a round and the memory that the last one allocated.
+func measureRound(run func()) (ms, mb float64) {
 	var before, after runtime.MemStats
 	times := make([]float64, costRepeats)
 	for i := range times {
@@ -164,8 +164,8 @@
 	return times[costRepeats/2], mb
 }
 
-// slope fits a line through the logarithms.
-func slope(sizes []int, times []float64) float64 {
+// growthExponent is the slope of a least-squares line through the logarithms of size and time.
+func growthExponent(sizes []int, times []float64) float64 {
 	var sx, sy, sxx, sxy float64
 	n := float64(len(sizes))
 	for i, size := range sizes {
--- a/internal/measure/fleet/fleet_test.go
+++ b/internal/measure/fleet/fleet_test.go
@@ -11,7 +11,8 @@
 	"cyclamenwheel/internal/measure/fleet"
 )
 
-// outFile names the file that the figures are written to, if set.
+// outFile names the environment variable with the path of a file to write the figures to. If
+// it is set, the full sizes are measured.
 const outFile = "FLEET_MEASURES"
 
 type fullDisk struct{}
@@ -36,7 +37,7 @@
 		}
 	})
 
-	It("says so when the figures can't be written", func() {
+	It("returns a ReportError when the figures can't be written", func() {
 		var failed *fleet.ReportError
 		Expect(errors.As(fleet.RunSizes(fullDisk{}, []int{50, 60, 70}), &failed)).To(BeTrue())
 	})
--- a/internal/measure/fleet/world.go
+++ b/internal/measure/fleet/world.go
@@ -7,38 +7,38 @@
 )
 
 const (
-	// actRounds is how many rounds a move or drain takes.
-	actRounds = 2
-	// roundMillis is the time that one round stands for.
+	// actionRounds is the number of rounds that a move or drain takes.
+	actionRounds = 2
+	// roundMillis is the simulated time of one round.
 	roundMillis = 1000
-	// maxRounds ends a series that does not settle.
+	// maxRounds limits a run that never becomes idle.
 	maxRounds = 2000
 )
 
-// world carries decisions out: an instance that moves or drains is away for
-// some rounds and then back.
+// world simulates a fleet that carries out the planners' decisions: an instance that moves or
+// drains does not serve for actionRounds rounds and then serves again.
 type world struct {
-	instances []*pools.Instance
-	byID      map[string]*pools.Instance
-	m         *manifest.Manifest
-	planner   pools.Planner
-	waves     maintenance.Decider
-	limits    pools.Limits
-	spares    int
-	state     maintenance.WaveState
-	backAt    map[string]int
-	round     int
-	moves     int
-	// broken counts acts that left a pool below its budget.
-	broken int
-	// extras is the most spares that waves held at a time.
-	extras int
+	instances      []*pools.Instance
+	byID           map[string]*pools.Instance
+	m              *manifest.Manifest
+	planner        pools.Planner
+	waves          maintenance.Decider
+	limits         pools.Limits
+	lendableSpares int
+	state          maintenance.WaveState
+	readyRound     map[string]int
+	round          int
+	moves          int
+	// budgetViolations counts moves and drains that left a pool below its budget.
+	budgetViolations int
+	// maxWaveSpares is the largest number of spares that waves requested in one round.
+	maxWaveSpares int
 }
 
 func newWorld(d deployment, m *manifest.Manifest) *world {
 	w := &world{
 		instances: d.instances(), byID: map[string]*pools.Instance{}, m: m,
-		planner: pools.SharedSpares{}, waves: maintenance.Waves{}, backAt: map[string]int{},
+		planner: pools.SharedSpares{}, waves: maintenance.Waves{}, readyRound: map[string]int{},
 	}
 	for _, inst := range w.instances {
 		w.byID[inst.ID] = inst
@@ -53,40 +53,41 @@
 func (w *world) waveInput() maintenance.Input {
 	return maintenance.Input{
 		Manifest: w.m, Instances: w.instances, State: w.state,
-		NowMillis: int64(w.round) * roundMillis, Limits: maintenance.Limits{WaveSpares: w.spares},
+		NowMillis: int64(w.round) * roundMillis, Limits: maintenance.Limits{WaveSpares: w.lendableSpares},
 	}
 }
 
-// step runs one round, and tells whether anything is still under way.
-func (w *world) step() bool {
+// runRound runs one planning round and reports whether any move or drain was started or is in
+// progress.
+func (w *world) runRound() bool {
 	w.round++
-	w.bringBack()
+	w.completeActions()
 	in, waves := w.poolsInput(), w.waveInput()
 	in.Extra = maintenance.SparesNeeded(waves)
 	moves := w.planner.Decide(in)
-	w.beginMoves(moves)
-	waves.Reserved = nil // the moves show in the instances already
+	w.startMoves(moves)
+	waves.Reserved = nil // the instances already show the moves
 	drains := w.waves.Decide(waves)
 	w.state = drains.State
-	w.beginDrains(drains)
-	held := 0
+	w.startDrains(drains)
+	waveSpares := 0
 	for _, n := range drains.NeedSpare {
-		held += n.Count
+		waveSpares += n.Count
 	}
-	w.extras = max(w.extras, held)
-	return len(w.backAt) > 0 || len(moves.Moves)+len(drains.Drains) > 0
+	w.maxWaveSpares = max(w.maxWaveSpares, waveSpares)
+	return len(w.readyRound) > 0 || len(moves.Moves)+len(drains.Drains) > 0
 }
 
-func (w *world) bringBack() {
+func (w *world) completeActions() {
 	revisions := map[string]int{}
 	for _, p := range w.m.Pools {
 		revisions[p.Name] = p.Maintenance.Revision
 	}
-	for id, round := range w.backAt {
+	for id, round := range w.readyRound {
 		if round > w.round {
 			continue
 		}
-		delete(w.backAt, id)
+		delete(w.readyRound, id)
 		inst := w.byID[id]
 		if inst.Phase == pools.PhaseDown {
 			continue
@@ -99,41 +100,43 @@
 	}
 }
 
-func (w *world) beginMoves(d pools.Decision) {
+func (w *world) startMoves(d pools.Decision) {
 	w.moves += len(d.Moves)
 	for _, m := range d.Moves {
 		inst := w.byID[m.Instance]
 		inst.Phase, inst.Target = pools.PhaseMoving, m.To
-		w.backAt[m.Instance] = w.round + actRounds
-		w.check(m.From)
+		w.readyRound[m.Instance] = w.round + actionRounds
+		w.checkBudget(m.From)
 	}
 }
 
-func (w *world) beginDrains(d maintenance.Decision) {
+func (w *world) startDrains(d maintenance.Decision) {
 	for _, drain := range d.Drains {
 		w.byID[drain.Instance].Phase = pools.PhaseDraining
-		w.backAt[drain.Instance] = w.round + actRounds
-		w.check(drain.Pool)
+		w.readyRound[drain.Instance] = w.round + actionRounds
+		w.checkBudget(drain.Pool)
 	}
 }
 
-// check is made after each act that takes an instance out of a pool.
-func (w *world) check(pool string) {
+// checkBudget counts a violation if the pool serves below its budget. It is called after each
+// action that takes an instance out of a pool.
+func (w *world) checkBudget(pool string) {
 	if pool != "" && pools.Serving(w.instances)[pool] < pools.Budget(w.m)[pool] {
-		w.broken++
+		w.budgetViolations++
 	}
 }
 
-// settle runs rounds until nothing happens any more, and returns how many.
-func (w *world) settle() int {
+// runUntilIdle runs rounds until no action is in progress, at most maxRounds, and returns their
+// number.
+func (w *world) runUntilIdle() int {
 	from := w.round
-	for w.step() && w.round-from < maxRounds {
+	for w.runRound() && w.round-from < maxRounds {
 	}
 	return w.round - from
 }
 
-// lose takes down every instance that match names.
-func (w *world) lose(match func(*pools.Instance) bool) {
+// takeDown marks every matching instance as down.
+func (w *world) takeDown(match func(*pools.Instance) bool) {
 	for _, inst := range w.instances {
 		if match(inst) {
 			inst.Phase, inst.Target = pools.PhaseDown, ""
@@ -141,8 +144,8 @@
 	}
 }
 
-// short counts the instances that pools miss to their budgets.
-func (w *world) short() int {
+// missingInstances counts the instances that pools lack to meet their budgets.
+func (w *world) missingInstances() int {
 	serving, short := pools.Serving(w.instances), 0
 	for pool, budget := range pools.Budget(w.m) {
 		short += max(0, budget-serving[pool])
