--- a/internal/measure/load/loopback.go
+++ b/internal/measure/load/loopback.go
@@ -18,31 +18,33 @@
 	"cyclamenwheel/internal/manifest"
 )
 
-// The loopback measurement.
+// Parameters of the loopback measurement.
 const (
-	loopClients  = 32
-	loopWorkers  = 4
-	loopSlots    = 16
-	loopBody     = 512
-	loopTime     = 3 * time.Second
-	loopWarmup   = 500 * time.Millisecond
-	loopRepeats  = 3
-	loopService  = "tabs"
-	loopDeadline = 5000 // ms
+	loopClients   = 32
+	loopEndpoints = 4
+	loopSlots     = 16
+	loopBodyBytes = 512
+	loopDuration  = 3 * time.Second
+	loopWarmup    = 500 * time.Millisecond
+	loopRepeats   = 3
+	loopService   = "tabs"
+	loopDeadline  = 5000 // ms
 )
 
-// WrongAnswerError says that an answer was not the one asked for.
+// WrongAnswerError reports that a server did not echo the request body with status 200.
 type WrongAnswerError struct{ Status int }
 
-func (e *WrongAnswerError) Error() string { return fmt.Sprintf("wrong answer, status %d", e.Status) }
+func (e *WrongAnswerError) Error() string {
+	return fmt.Sprintf("unexpected answer with status %d", e.Status)
+}
 
-// Loopback drives the real handler with closed-loop clients over loopback
-// connections, beside a bare forwarder that only copies requests and answers
-// by net/http. Runs alternate, so that both meet the same machine.
+// Loopback drives the real handler with closed-loop clients over loopback connections
+// and compares it with a bare forwarder that only copies requests and answers using
+// net/http. Runs of the two alternate so that both see the same machine load.
 func Loopback(w io.Writer) error {
 	var servers servers
 	defer servers.close()
-	endpoints, err := servers.workers()
+	endpoints, err := servers.startEndpoints()
 	if err != nil {
 		return err
 	}
@@ -54,24 +56,24 @@
 	if err != nil {
 		return err
 	}
-	t := newTable(fmt.Sprintf("Real loopback: %d clients in closed loop, %d endpoints, %d-byte echo; workers, entry and clients in one process", loopClients, loopWorkers, loopBody),
+	t := newTable(fmt.Sprintf("Real loopback: %d clients in closed loop, %d endpoints, %d-byte echo; workers, entry and clients in one process", loopClients, loopEndpoints, loopBodyBytes),
 		"run", "handler: requests/s", "p50", "p99", "bare forwarder: requests/s", "p50", "p99", "throughput ratio")
 	for i := range loopRepeats {
-		b, err := drive(bare)
+		b, err := runClients(bare)
 		if err != nil {
 			return err
 		}
-		h, err := drive(entry)
+		h, err := runClients(entry)
 		if err != nil {
 			return err
 		}
-		t.row(i+1, fmt.Sprintf("%.0f", h.rate), millis(h.p(50)), millis(h.p(99)),
-			fmt.Sprintf("%.0f", b.rate), millis(b.p(50)), millis(b.p(99)), fmt.Sprintf("%.2f", h.rate/b.rate))
+		t.row(i+1, fmt.Sprintf("%.0f", h.rate), millis(h.percentile(50)), millis(h.percentile(99)),
+			fmt.Sprintf("%.0f", b.rate), millis(b.percentile(50)), millis(b.percentile(99)), fmt.Sprintf("%.2f", h.rate/b.rate))
 	}
 	return t.write(w)
 }
 
-// servers are the loopback servers of one measurement.
+// servers holds the HTTP servers of one loopback measurement.
 type servers struct{ list []*http.Server }
 
 func (s *servers) start(h http.Handler) (addr string, err error) {
@@ -81,7 +83,7 @@
 	}
 	server := &http.Server{Handler: h}
 	s.list = append(s.list, server)
-	go func() { _ = server.Serve(l) }() // ends with close
+	go func() { _ = server.Serve(l) }() // returns once close is called
 	return l.Addr().String(), nil
 }
 
@@ -91,13 +93,13 @@
 	}
 }
 
-func (s *servers) workers() ([]dispatch.Endpoint, error) {
+func (s *servers) startEndpoints() ([]dispatch.Endpoint, error) {
 	var out []dispatch.Endpoint
-	for i := range loopWorkers {
+	for i := range loopEndpoints {
 		e := dispatch.Endpoint{
 			Instance: fmt.Sprintf("w%d", i), BootID: "1", Slots: loopSlots, Connections: 64, Zone: "a",
 		}
-		addr, err := s.start(echoWorker(e))
+		addr, err := s.start(newEchoEndpoint(e))
 		if err != nil {
 			return nil, err
 		}
@@ -107,7 +109,7 @@
 	return out, nil
 }
 
-func echoWorker(e dispatch.Endpoint) http.Handler {
+func newEchoEndpoint(e dispatch.Endpoint) http.Handler {
 	m := http.NewServeMux()
 	m.HandleFunc("/healthz", func(w http.ResponseWriter, _ *http.Request) {
 		_ = json.NewEncoder(w).Encode(map[string]string{"instance": e.Instance, "boot_id": e.BootID, "pool": loopService})
@@ -130,13 +132,12 @@
 		Classes: []manifest.Class{{Name: "all", Idempotent: true, DeadlineMillis: loopDeadline}},
 	}}, map[string][]dispatch.Endpoint{loopService: endpoints})
 	return dispatch.NewHandler(dispatch.Options{
-		Routes: func() *dispatch.RouteTable { return table }, Seed: someSeed,
+		Routes: func() *dispatch.RouteTable { return table }, Seed: defaultSeed,
 	})
 }
 
-// newForwarder is the least that can stand between a caller and an endpoint:
-// each request goes to the next endpoint by an http.Transport, without queue,
-// deadline, checks or accounting.
+// newForwarder returns a minimal proxy as the baseline: it sends each request to the
+// next endpoint through an http.Transport, without queue, deadline, checks or accounting.
 func newForwarder(endpoints []dispatch.Endpoint) http.Handler {
 	transport := &http.Transport{MaxIdleConnsPerHost: loopClients}
 	var next atomic.Uint64
@@ -158,50 +159,50 @@
 	})
 }
 
-// driven is what the clients saw.
-type driven struct {
+// loadResult holds the throughput and latencies that the clients measured.
+type loadResult struct {
 	rate  float64
 	times *hdrhistogram.Histogram
 }
 
-func (d driven) p(q float64) int64 { return d.times.ValueAtQuantile(q) }
+func (d loadResult) percentile(q float64) int64 { return d.times.ValueAtQuantile(q) }
 
-// drive sends requests one after the other from each client, and checks every
-// answer.
-func drive(addr string) (driven, error) {
+// runClients runs loopClients concurrent clients against addr. Each client sends one
+// request at a time and checks every answer.
+func runClients(addr string) (loadResult, error) {
 	transport := &http.Transport{MaxIdleConnsPerHost: loopClients}
 	defer transport.CloseIdleConnections()
 	var (
-		wg    sync.WaitGroup
-		mu    sync.Mutex
-		fault error
+		wg         sync.WaitGroup
+		mu         sync.Mutex
+		clientErrs error
 	)
-	out := driven{times: newHistogram()}
+	out := loadResult{times: newHistogram()}
 	start := time.Now()
 	for range loopClients {
 		wg.Go(func() {
-			times, err := client(transport, addr, start)
+			times, err := runClient(transport, addr, start)
 			mu.Lock()
 			defer mu.Unlock()
 			out.times.Merge(times)
-			fault = errors.CombineErrors(fault, err)
+			clientErrs = errors.CombineErrors(clientErrs, err)
 		})
 	}
 	wg.Wait()
-	out.rate = float64(out.times.TotalCount()) / (loopTime - loopWarmup).Seconds()
-	return out, fault
+	out.rate = float64(out.times.TotalCount()) / (loopDuration - loopWarmup).Seconds()
+	return out, clientErrs
 }
 
-func client(transport http.RoundTripper, addr string, start time.Time) (*hdrhistogram.Histogram, error) {
+func runClient(transport http.RoundTripper, addr string, start time.Time) (*hdrhistogram.Histogram, error) {
 	times := newHistogram()
-	body := bytes.Repeat([]byte("x"), loopBody)
-	for time.Since(start) < loopTime {
-		began := time.Now()
+	body := bytes.Repeat([]byte("x"), loopBodyBytes)
+	for time.Since(start) < loopDuration {
+		sentAt := time.Now()
 		if err := post(transport, addr, body); err != nil {
 			return times, err
 		}
-		if began.Sub(start) >= loopWarmup {
-			record(times, time.Since(began))
+		if sentAt.Sub(start) >= loopWarmup {
+			record(times, time.Since(sentAt))
 		}
 	}
 	return times, nil
@@ -210,7 +211,7 @@
 func post(transport http.RoundTripper, addr string, body []byte) error {
 	req, err := http.NewRequest(http.MethodPost, "http://"+addr+"/"+loopService+"/x", bytes.NewReader(body))
 	if err != nil {
-		return errors.Wrap(err, "request")
+		return errors.Wrap(err, "create request")
 	}
 	resp, err := transport.RoundTrip(req)
 	if err != nil {
@@ -219,7 +220,7 @@
 	defer resp.Body.Close()
 	got, err := io.ReadAll(resp.Body)
 	if err != nil {
-		return errors.Wrap(err, "answer")
+		return errors.Wrap(err, "read answer")
 	}
 	if resp.StatusCode != http.StatusOK || !bytes.Equal(got, body) {
 		return &WrongAnswerError{Status: resp.StatusCode}
--- a/internal/measure/load/model.go
+++ b/internal/measure/load/model.go
@@ -11,52 +11,52 @@
 	"cyclamenwheel/internal/dispatch/retry"
 )
 
-// Work is a kind of request.
+// Work describes one kind of request.
 type Work struct {
 	Kind    string
-	Mean    time.Duration // exponentially distributed service time
-	Part    float64       // of all requests
-	MayRun  bool          // idempotent
+	Mean    time.Duration // mean of the exponentially distributed service time
+	Part    float64       // fraction of all requests
+	MayRun  bool
 	Timeout time.Duration
 }
 
-// Source is a caller that sends at a mean rate, independently of answers.
+// Source is an open-loop caller: it sends at a given mean rate without waiting for answers.
 type Source struct {
 	Name string
-	// Rate returns requests a second at a time since the start.
+	// Rate returns the requests per second at a time since the start of the run.
 	Rate func(at time.Duration) float64
 }
 
-// steady is a constant rate.
+// steady returns a constant rate function.
 func steady(rate float64) func(time.Duration) float64 {
 	return func(time.Duration) float64 { return rate }
 }
 
-// Backend is an endpoint of the model.
+// Backend is a simulated endpoint.
 type Backend struct {
 	pick.Endpoint
-	Slow float64 // factor on service times
-	// Down tells whether it refuses connections, Mute whether it swallows
-	// requests without any answer.
+	Slow float64 // factor applied to service times
+	// Down reports whether the endpoint refuses connections, Mute whether it
+	// accepts requests without ever answering.
 	Down, Mute func(at time.Duration) bool
-	// distrusted: an earlier request was swallowed; connections are made anew
-	// and fail before anything is sent.
-	distrusted bool
+	// mustReconnect is set after a timeout, until a request succeeds. While it is
+	// set, an attempt opens a new connection, which fails before the request is sent.
+	mustReconnect bool
 }
 
-// swallow is an attempt at a mute endpoint.
-func (b *Backend) swallow(left time.Duration) (took time.Duration, result pick.Result, notRun bool) {
-	if b.distrusted {
-		return min(connectAfter, left/3), pick.ResultFailed, true
+// attemptWhileSilent returns the outcome of an attempt at a silent endpoint.
+func (b *Backend) attemptWhileSilent(left time.Duration) (took time.Duration, result pick.Result, notRun bool) {
+	if b.mustReconnect {
+		return min(connectTimeout, left/3), pick.ResultFailed, true
 	}
 	return left, pick.ResultTimeout, false
 }
 
-// Scenario is one run.
+// Scenario configures one simulation run.
 type Scenario struct {
 	Seed     uint64
 	Length   time.Duration
-	Warmup   time.Duration // not counted
+	Warmup   time.Duration // requests that arrive in this time are not measured
 	Work     []Work
 	Sources  []Source
 	Backends []Backend
@@ -65,55 +65,56 @@
 	Retry    retry.Policy
 }
 
-// Result is what callers saw after the warm-up.
+// Result holds what callers observed after the warm-up.
 type Result struct {
-	// Span is the time counted.
+	// Span is the measured time.
 	Span                                   time.Duration
 	Offered, Useful, Late, Refused, Failed int
-	// Work is the service time of useful answers: with mixed work, the number
-	// of answers alone depends on which kinds happened to come.
+	// Work is the total service time of useful answers. With mixed work the number of
+	// answers alone would depend on which kinds of request were drawn.
 	Work time.Duration
-	// ByCaller counts useful answers.
+	// ByCaller counts useful answers by caller.
 	ByCaller map[string]int
-	// OfferedBy counts requests.
+	// OfferedBy counts requests by caller.
 	OfferedBy map[string]int
-	// Latency of useful answers; LatencyOn the same by instance. Refusals is
-	// the time until a refusal. All in microseconds.
+	// Latency is the latency of useful answers, LatencyOn the same by
+	// instance. Refusals is the time until a refusal. All are in microseconds.
 	Latency, Refusals *hdrhistogram.Histogram
 	LatencyOn         map[string]*hdrhistogram.Histogram
-	// RefusalsBy is the time until a refusal by its reason, in microseconds.
+	// RefusalsBy is the time until a refusal in microseconds, by reason.
 	RefusalsBy map[admission.Reason]*hdrhistogram.Histogram
-	// WorstAttempts is the most attempts over requests in any second.
+	// WorstAttempts is the highest ratio of attempts to first attempts in any second.
 	WorstAttempts float64
-	// GoodBySlice is the part of requests answered in time, by time of
-	// arrival.
+	// GoodBySlice is the fraction of requests answered in time, by time slice of
+	// their arrival.
 	GoodBySlice []float64
 }
 
-// Model times.
+// Times used by the simulation.
 const (
-	refusedAfter   = 500 * time.Microsecond  // a refused connection
-	connectAfter   = 1500 * time.Millisecond // a connection attempt given up
-	tick           = 10 * time.Millisecond   // the gate's look at its queue
-	slice          = 250 * time.Millisecond  // of GoodBySlice
-	maxMicros      = int64(time.Hour / time.Microsecond)
-	histogramDigit = 3
+	connectionRefusedAfter = 500 * time.Microsecond  // time until a connection is refused
+	connectTimeout         = 1500 * time.Millisecond // timeout of a connection attempt
+	queuePollInterval      = 10 * time.Millisecond   // interval of the gate's queue timer
+	sliceLength            = 250 * time.Millisecond  // width of a slice of GoodBySlice
+	maxMicros              = int64(time.Hour / time.Microsecond)
+	histogramDigits        = 3
 )
 
 func newHistogram() *hdrhistogram.Histogram {
-	return hdrhistogram.New(1, maxMicros, histogramDigit)
+	return hdrhistogram.New(1, maxMicros, histogramDigits)
 }
 
-// job is a request of the model.
-type job struct {
-	request  admission.Request
-	work     Work
-	attempts int
-	avoid    string
-	service  time.Duration // of the last attempt
+// simRequest is a simulated request.
+type simRequest struct {
+	request       admission.Request
+	work          Work
+	attempts      int
+	avoidInstance string
+	serviceTime   time.Duration // of the last attempt
 }
 
-// event is something that happens at a time.
+// event is a callback scheduled for a point in simulated time. Events at the same time
+// run in the order of seq.
 type event struct {
 	at  time.Time
 	seq int
@@ -137,24 +138,25 @@
 	return last
 }
 
-// worst returns the most attempts over first attempts in any second, moved by
-// tick. Seconds with few requests say nothing.
-func worst(attempts, first []time.Duration) float64 {
-	const few = 50
+// worstAttemptRatio returns the highest ratio of attempts to first attempts in any
+// one-second window, with the window moved by queuePollInterval. Windows with fewer than
+// minRequests first attempts are skipped because their ratio is not meaningful.
+func worstAttemptRatio(attempts, first []time.Duration) float64 {
+	const minRequests = 50
 	if len(attempts) == 0 {
 		return 0
 	}
 	out := 0.0
-	for from := time.Duration(0); from <= attempts[len(attempts)-1]; from += tick {
-		a, f := within(attempts, from), within(first, from)
-		if f >= few {
-			out = max(out, float64(a)/float64(f))
+	for from := time.Duration(0); from <= attempts[len(attempts)-1]; from += queuePollInterval {
+		attemptCount, requestCount := countInSecond(attempts, from), countInSecond(first, from)
+		if requestCount >= minRequests {
+			out = max(out, float64(attemptCount)/float64(requestCount))
 		}
 	}
 	return out
 }
 
-// backends builds n endpoints of the given slots, dealt over zones.
+// backends returns n endpoints with the given number of slots, assigned to zones in turn.
 func backends(n, slots, zones int) []Backend {
 	var out []Backend
 	for i := range n {
--- a/internal/measure/load/refusals.go
+++ b/internal/measure/load/refusals.go
@@ -9,10 +9,10 @@
 	"cyclamenwheel/internal/admission"
 )
 
-// reasons are all reasons of refusals, in the order of the table's rows.
+// reasons lists all refusal reasons in the order of the table's rows.
 var reasons = []admission.Reason{admission.ReasonFull, admission.ReasonDisplaced, admission.ReasonTooLate}
 
-func newRefusals() map[admission.Reason]*hdrhistogram.Histogram {
+func newRefusalHistograms() map[admission.Reason]*hdrhistogram.Histogram {
 	out := map[admission.Reason]*hdrhistogram.Histogram{}
 	for _, reason := range reasons {
 		out[reason] = newHistogram()
@@ -20,12 +20,12 @@
 	return out
 }
 
-// RefusalTimes splits the time until a refusal by its reason: one that is
-// decided at arrival takes none, the others have waited first.
+// RefusalTimes reports the time until a refusal by reason. A refusal on arrival takes no
+// time; the other requests have waited in the queue first.
 func RefusalTimes(w io.Writer) error {
 	t := newTable("Time until a refusal, by reason",
 		"scenario", "reason", "refused", "p50", "p99", "most")
-	for _, c := range refusing() {
+	for _, c := range refusalScenarios() {
 		r := Run(c.scenario)
 		for _, reason := range reasons {
 			h := r.RefusalsBy[reason]
@@ -37,20 +37,20 @@
 	return t.write(w)
 }
 
-type named struct {
+type namedScenario struct {
 	name     string
 	scenario Scenario
 }
 
-// refusing are the scenarios in which the product refuses requests.
-func refusing() []named {
-	var out []named
+// refusalScenarios returns the scenarios in which the product refuses requests.
+func refusalScenarios() []namedScenario {
+	var out []namedScenario
 	for _, factor := range []float64{1.1, 1.2, 2, 5} {
 		out = append(out,
-			named{fmt.Sprintf("plain, %g x", factor), scenario(true, plain(), callers(20, factor*capacity)...)},
-			named{fmt.Sprintf("mixed, %g x", factor), scenario(true, mixed(), callers(20, factor*capacity)...)})
+			namedScenario{fmt.Sprintf("plain, %g x", factor), newScenario(true, plainWork(), callers(20, factor*capacity)...)},
+			namedScenario{fmt.Sprintf("mixed, %g x", factor), newScenario(true, mixedWork(), callers(20, factor*capacity)...)})
 	}
 	return append(out,
-		named{"greedy caller", greedy(true)},
-		named{"bursts", scenario(true, plain(), burst(20)...)})
+		namedScenario{"greedy caller", greedyScenario(true)},
+		namedScenario{"bursts", newScenario(true, plainWork(), burstSources(20)...)})
 }
--- a/internal/measure/load/share.go
+++ b/internal/measure/load/share.go
@@ -10,104 +10,104 @@
 	"cyclamenwheel/internal/slots"
 )
 
-// The fleet of the sharing scenario.
+// Parameters of the sharing scenario.
 const (
-	entries   = 7
-	beat      = 100 * time.Millisecond // between heartbeats
-	peerDelay = 5 * time.Millisecond
-	lossPart  = 0.05 // of messages between entries
-	poolName  = "p"
+	entryCount        = 7
+	heartbeatInterval = 100 * time.Millisecond // between heartbeats
+	peerDelay         = 5 * time.Millisecond
+	messageLossRate   = 0.05 // fraction of the messages between entries that are lost
+	poolName          = "p"
 )
 
-// sharing is how entries divide slots.
-type sharing string
+// divisionKind is the method by which entries divide the endpoints' slots.
+type divisionKind string
 
 const (
-	lending   sharing = "static shares and loans"
-	staticly  sharing = "static shares only"
-	ownCounts sharing = "own count only (baseline)"
+	sharesWithLoans divisionKind = "static shares and loans"
+	staticShares    divisionKind = "static shares only"
+	ownCountOnly    divisionKind = "own count only (baseline)"
 )
 
-// shareFleet is several entries in front of the same endpoints.
-type shareFleet struct {
-	kind    sharing
-	sims    []*sim
-	names   []string
-	sharers []*slots.Sharer
-	rnd     *rand.Rand
-	meters  []slots.Meter
-	most    int // in flight to one endpoint
-	over    int // events at which an endpoint had more than its slots
-	checks  int
+// multiEntrySim simulates several entries that dispatch to the same endpoints.
+type multiEntrySim struct {
+	kind             divisionKind
+	sims             []*sim
+	names            []string
+	sharers          []*slots.Sharer
+	rnd              *rand.Rand
+	meters           []slots.Meter
+	maxInFlight      int // highest number of requests in flight to one endpoint
+	overloadedEvents int // number of events after which an endpoint had more requests than slots
+	checks           int
 }
 
-// Sharing has the balancer send half of all requests to one entry.
+// Sharing compares the divisions of slots when one entry receives half of all requests.
 func Sharing(w io.Writer) error {
 	t := newTable("Seven entries, half of all requests to one, ten endpoints of 8 slots, heartbeats 100 ms apart, 5% lost",
 		"offered / capacity", "division", "most in flight at an endpoint", "events past 8 slots", "useful work / capacity", "useful / offered")
 	for _, factor := range []float64{0.8, 1, 1.5, 3} {
-		for _, kind := range []sharing{lending, staticly, ownCounts} {
-			f := newShareFleet(kind, factor)
+		for _, kind := range []divisionKind{sharesWithLoans, staticShares, ownCountOnly} {
+			f := newMultiEntrySim(kind, factor)
 			f.run()
 			work, good, offered := 0.0, 0, 0
 			for _, s := range f.sims {
 				r := s.finish()
-				work += usefulWork(r)
+				work += usefulWorkRatio(r)
 				good += r.Useful
 				offered += r.Offered
 			}
-			t.row(fmt.Sprint(factor), kind, f.most, percent(float64(f.over)/float64(f.checks)),
+			t.row(fmt.Sprint(factor), kind, f.maxInFlight, percent(float64(f.overloadedEvents)/float64(f.checks)),
 				percent(work), percent(float64(good)/float64(offered)))
 		}
 	}
 	return t.write(w)
 }
 
-func newShareFleet(kind sharing, factor float64) *shareFleet {
-	f := &shareFleet{kind: kind, rnd: rand.New(rand.NewPCG(someSeed, someSeed)), meters: make([]slots.Meter, entries)}
-	for i := range entries {
+func newMultiEntrySim(kind divisionKind, factor float64) *multiEntrySim {
+	f := &multiEntrySim{kind: kind, rnd: rand.New(rand.NewPCG(defaultSeed, defaultSeed)), meters: make([]slots.Meter, entryCount)}
+	for i := range entryCount {
 		f.names = append(f.names, fmt.Sprintf("e%d", i))
 	}
-	for i := range entries {
+	for i := range entryCount {
 		rate := factor * capacity / 2
 		if i > 0 {
-			rate /= entries - 1
+			rate /= entryCount - 1
 		}
-		sc := scenario(true, plain(), callers(20, rate)...)
+		sc := newScenario(true, plainWork(), callers(20, rate)...)
 		sc.Seed = uint64(i + 1)
 		f.sims = append(f.sims, newSim(sc))
 		f.sharers = append(f.sharers, f.newSharer(f.names[i]))
 	}
-	for i := range entries {
-		f.publish(i)
-		f.sims[i].onRefuse = func(j *job) {
-			f.meters[i].Refused(f.sims[i].Queue.Estimate(j.request.Kind))
+	for i := range entryCount {
+		f.applyLimits(i)
+		f.sims[i].onRefuse = func(req *simRequest) {
+			f.meters[i].Refused(f.sims[i].Queue.Estimate(req.request.Kind))
 		}
-		f.sims[i].after(beat*time.Duration(i)/entries, func() { f.heartbeat(i) })
+		f.sims[i].schedule(heartbeatInterval*time.Duration(i)/entryCount, func() { f.heartbeat(i) })
 	}
 	return f
 }
 
-func (f *shareFleet) newSharer(name string) *slots.Sharer {
+func (f *multiEntrySim) newSharer(name string) *slots.Sharer {
 	s := slots.NewSharer(name)
 	s.SetMembers(1, f.names)
 	s.SetAllAcked(1)
 	var list []slots.Instance
-	for _, b := range backends(workers, slotsOf, zones) {
+	for _, b := range backends(endpointCount, slotsPerEndpoint, zones) {
 		list = append(list, slots.Instance{ID: b.Instance, Slots: b.Slots})
 	}
 	s.SetInstances(map[string][]slots.Instance{poolName: list})
 	return s
 }
 
-// publish puts the limits of an entry in force.
-func (f *shareFleet) publish(i int) {
+// applyLimits puts the current slot limits of entry i into force.
+func (f *multiEntrySim) applyLimits(i int) {
 	s := f.sims[i]
 	limits := f.sharers[i].Publish()
 	var list []pick.Endpoint
 	for _, b := range s.Backends {
 		e := b.Endpoint
-		if f.kind != ownCounts {
+		if f.kind != ownCountOnly {
 			e.Slots = limits[e.Instance]
 		}
 		list = append(list, e)
@@ -116,30 +116,30 @@
 	for id := range limits {
 		f.sharers[i].SetInFlight(id, s.Picker.InFlight(id))
 	}
-	s.pump()
+	s.dispatchQueued()
 }
 
-// heartbeat is one round of an entry.
-func (f *shareFleet) heartbeat(i int) {
+// heartbeat runs one heartbeat round of entry i and schedules the next.
+func (f *multiEntrySim) heartbeat(i int) {
 	s := f.sims[i]
 	f.sharers[i].SetDemand(poolName, f.meters[i].Read(s.now))
-	f.publish(i)
-	if f.kind == lending {
+	f.applyLimits(i)
+	if f.kind == sharesWithLoans {
 		for to := range f.sims {
-			if to != i && f.rnd.Float64() >= lossPart {
+			if to != i && f.rnd.Float64() >= messageLossRate {
 				share := f.sharers[i].Outgoing(f.names[to])
 				receiver := f.sims[to]
-				receiver.when(s.now.Add(peerDelay), func() { f.sharers[to].OnPeer(f.names[i], share) })
+				receiver.scheduleAt(s.now.Add(peerDelay), func() { f.sharers[to].OnPeer(f.names[i], share) })
 			}
 		}
 	}
-	if s.at() < s.Length {
-		s.after(beat, func() { f.heartbeat(i) })
+	if s.elapsed() < s.Length {
+		s.schedule(heartbeatInterval, func() { f.heartbeat(i) })
 	}
 }
 
-// run steps the entries in order of time.
-func (f *shareFleet) run() {
+// run processes the events of all entries in order of time.
+func (f *multiEntrySim) run() {
 	for {
 		var next *sim
 		for _, s := range f.sims {
@@ -151,25 +151,25 @@
 			return
 		}
 		next.step()
-		f.check()
+		f.checkSlots()
 		for i, s := range f.sims {
 			f.meters[i].Set(next.now, s.Picker.Total(), s.Queue.Work())
 		}
 	}
 }
 
-func (f *shareFleet) check() {
+func (f *multiEntrySim) checkSlots() {
 	f.checks++
-	past := false
+	overloaded := false
 	for _, b := range f.sims[0].Backends {
 		n := 0
 		for _, s := range f.sims {
 			n += s.Picker.InFlight(b.Instance)
 		}
-		f.most = max(f.most, n)
-		past = past || n > slotsOf
+		f.maxInFlight = max(f.maxInFlight, n)
+		overloaded = overloaded || n > slotsPerEndpoint
 	}
-	if past {
-		f.over++
+	if overloaded {
+		f.overloadedEvents++
 	}
 }
--- a/internal/measure/load/sim.go
+++ b/internal/measure/load/sim.go
@@ -1,7 +1,8 @@
-// Package load measures the decisions under load: admission, picking, retries
-// and the division of slots, each beside its baseline. Most measurements are
-// discrete-event loops around the pure decisions with fixed seeds; one drives
-// the real handler over loopback connections.
+// Package load measures admission, endpoint selection, retries and the division of slots under
+// load, and compares each with a baseline. It runs fixed scenarios: most are discrete-event
+// simulations of the decision code with fixed seeds, and Loopback sends requests to the real
+// handler over loopback connections. The command cyclamen-measure calls Suite, which writes the
+// results as markdown tables.
 package load
 
 import (
@@ -16,26 +17,26 @@
 	"cyclamenwheel/internal/dispatch/retry"
 )
 
-// sim is one run in progress.
+// sim is the state of one simulation run.
 type sim struct {
 	Scenario
-	rnd      *rand.Rand
-	start    time.Time
-	now      time.Time
-	events   events
-	seq      int
-	waiting  map[uint64]*job
-	nextID   uint64
-	backends map[string]*Backend
-	result   Result
-	onRefuse func(*job)
-	first    []time.Duration // times of first attempts
-	attempts []time.Duration // times of all attempts
-	good     []int
-	all      []int
+	rnd             *rand.Rand
+	start           time.Time
+	now             time.Time
+	events          events
+	seq             int
+	waiting         map[uint64]*simRequest
+	lastID          uint64
+	backends        map[string]*Backend
+	result          Result
+	onRefuse        func(*simRequest)
+	firstAttempts   []time.Duration // times of first attempts since the start
+	attemptTimes    []time.Duration // times of all attempts since the start
+	inTimeBySlice   []int
+	arrivalsBySlice []int
 }
 
-// Run carries a scenario out.
+// Run simulates a scenario.
 func Run(sc Scenario) Result {
 	s := newSim(sc)
 	for s.step() {
@@ -45,19 +46,19 @@
 
 func newSim(sc Scenario) *sim {
 	s := &sim{
-		Scenario: sc,
-		rnd:      rand.New(rand.NewPCG(sc.Seed, sc.Seed)),
-		start:    time.Unix(1_800_000_000, 0),
-		waiting:  map[uint64]*job{},
-		backends: map[string]*Backend{},
-		good:     make([]int, sc.Length/slice+1),
-		all:      make([]int, sc.Length/slice+1),
+		Scenario:        sc,
+		rnd:             rand.New(rand.NewPCG(sc.Seed, sc.Seed)),
+		start:           time.Unix(1_800_000_000, 0),
+		waiting:         map[uint64]*simRequest{},
+		backends:        map[string]*Backend{},
+		inTimeBySlice:   make([]int, sc.Length/sliceLength+1),
+		arrivalsBySlice: make([]int, sc.Length/sliceLength+1),
 		result: Result{
 			Span:     sc.Length - sc.Warmup,
 			ByCaller: map[string]int{}, OfferedBy: map[string]int{},
 			Latency: newHistogram(), Refusals: newHistogram(),
 			LatencyOn:  map[string]*hdrhistogram.Histogram{},
-			RefusalsBy: newRefusals(),
+			RefusalsBy: newRefusalHistograms(),
 		},
 	}
 	s.now = s.start
@@ -65,7 +66,7 @@
 	return s
 }
 
-// step runs the next event. It returns false once there is none.
+// step runs the next event. It returns false if no event is left.
 func (s *sim) step() bool {
 	if len(s.events) == 0 {
 		return false
@@ -86,62 +87,64 @@
 	}
 	s.Picker.Set(s.now, list)
 	for _, src := range s.Sources {
-		s.arriveNext(src)
+		s.scheduleArrival(src)
 	}
-	s.after(tick, s.look)
+	s.schedule(queuePollInterval, s.pollQueue)
 }
 
-func (s *sim) at() time.Duration { return s.now.Sub(s.start) }
+func (s *sim) elapsed() time.Duration { return s.now.Sub(s.start) }
 
-func (s *sim) after(d time.Duration, run func()) { s.when(s.now.Add(d), run) }
+func (s *sim) schedule(d time.Duration, run func()) { s.scheduleAt(s.now.Add(d), run) }
 
-func (s *sim) when(at time.Time, run func()) {
+func (s *sim) scheduleAt(at time.Time, run func()) {
 	s.seq++
 	heap.Push(&s.events, event{at: at, seq: s.seq, run: run})
 }
 
-// look is the gate's timer: slots come free by the passing of time too.
-func (s *sim) look() {
+// pollQueue stands for the gate's timer. It is needed because the picker may also free slots
+// with the passing of time, without any request ending.
+func (s *sim) pollQueue() {
 	s.refuse(s.Queue.Expire(s.now))
-	s.pump()
-	if s.at() < s.Length {
-		s.after(tick, s.look)
+	s.dispatchQueued()
+	if s.elapsed() < s.Length {
+		s.schedule(queuePollInterval, s.pollQueue)
 	}
 }
 
-// arriveNext draws the next arrival of a source.
-func (s *sim) arriveNext(src Source) {
-	rate := src.Rate(s.at())
+// scheduleArrival draws the time of the next arrival from a source. While the source's rate
+// is 0 it checks again about once per second.
+func (s *sim) scheduleArrival(src Source) {
+	rate := src.Rate(s.elapsed())
 	if rate <= 0 {
 		rate = 1
 	}
 	wait := time.Duration(s.rnd.ExpFloat64() / rate * float64(time.Second))
-	if s.at()+wait >= s.Length {
+	if s.elapsed()+wait >= s.Length {
 		return
 	}
-	s.after(wait, func() {
-		if src.Rate(s.at()) > 0 {
+	s.schedule(wait, func() {
+		if src.Rate(s.elapsed()) > 0 {
 			s.arrive(src.Name)
 		}
-		s.arriveNext(src)
+		s.scheduleArrival(src)
 	})
 }
 
 func (s *sim) arrive(caller string) {
-	w := s.draw()
-	s.nextID++
-	j := &job{work: w, request: admission.Request{
-		ID: s.nextID, Caller: caller, Kind: w.Kind, Arrived: s.now, Deadline: s.now.Add(w.Timeout),
+	w := s.drawWork()
+	s.lastID++
+	req := &simRequest{work: w, request: admission.Request{
+		ID: s.lastID, Caller: caller, Kind: w.Kind, Arrived: s.now, Deadline: s.now.Add(w.Timeout),
 	}}
-	if s.counted(j) {
+	if s.isMeasured(req) {
 		s.result.Offered++
 		s.result.OfferedBy[caller]++
 	}
-	s.all[s.at()/slice]++
-	s.enter(j)
+	s.arrivalsBySlice[s.elapsed()/sliceLength]++
+	s.admit(req)
 }
 
-func (s *sim) draw() Work {
+func (s *sim) drawWork() Work {
 	x := s.rnd.Float64()
 	for _, w := range s.Work {
 		if x -= w.Part; x < 0 {
@@ -151,38 +154,39 @@
 	return s.Work[len(s.Work)-1]
 }
 
-func (s *sim) counted(j *job) bool { return j.request.Arrived.Sub(s.start) >= s.Warmup }
+func (s *sim) isMeasured(req *simRequest) bool { return req.request.Arrived.Sub(s.start) >= s.Warmup }
 
-// enter mirrors the gate: a free slot at once if nobody waits, else the queue.
-func (s *sim) enter(j *job) {
+// admit mirrors the gate: a request takes a free slot at once if the queue is empty, and is
+// queued otherwise.
+func (s *sim) admit(req *simRequest) {
 	if s.Queue.Len() == 0 {
-		if id, ok := s.Picker.Pick(s.now, j.avoid); ok {
-			s.send(j, id)
+		if id, ok := s.Picker.Pick(s.now, req.avoidInstance); ok {
+			s.startAttempt(req, id)
 			return
 		}
 	}
 	s.Queue.SetSlots(s.Picker.Slots(s.now))
-	s.waiting[j.request.ID] = j
-	s.refuse(s.Queue.Offer(s.now, j.request))
+	s.waiting[req.request.ID] = req
+	s.refuse(s.Queue.Offer(s.now, req.request))
 }
 
 func (s *sim) refuse(list []admission.Refusal) {
 	for _, r := range list {
-		j := s.waiting[r.ID]
+		req := s.waiting[r.ID]
 		delete(s.waiting, r.ID)
 		if s.onRefuse != nil {
-			s.onRefuse(j)
+			s.onRefuse(req)
 		}
-		if s.counted(j) {
+		if s.isMeasured(req) {
 			s.result.Refused++
-			took := s.now.Sub(j.request.Arrived)
+			took := s.now.Sub(req.request.Arrived)
 			record(s.result.Refusals, took)
 			record(s.result.RefusalsBy[r.Reason], took)
 		}
 	}
 }
 
-func (s *sim) pump() {
+func (s *sim) dispatchQueued() {
 	for s.Queue.Len() > 0 {
 		id, ok := s.Picker.Pick(s.now, "")
 		if !ok {
@@ -194,72 +198,73 @@
 			s.Picker.Done(s.now, id, pick.Sample{Result: pick.ResultNone})
 			return
 		}
-		j := s.waiting[r.ID]
+		req := s.waiting[r.ID]
 		delete(s.waiting, r.ID)
-		s.send(j, id)
+		s.startAttempt(req, id)
 	}
 }
 
-// send makes one attempt.
-func (s *sim) send(j *job, id string) {
+// startAttempt sends a request to an endpoint and schedules the outcome.
+func (s *sim) startAttempt(req *simRequest, id string) {
 	b := s.backends[id]
-	j.attempts++
-	s.attempts = append(s.attempts, s.at())
-	if j.attempts == 1 {
-		s.first = append(s.first, s.at())
+	req.attempts++
+	s.attemptTimes = append(s.attemptTimes, s.elapsed())
+	if req.attempts == 1 {
+		s.firstAttempts = append(s.firstAttempts, s.elapsed())
 	}
-	began, expected := s.now, s.Queue.Estimate(j.work.Kind)
-	left := max(j.request.Deadline.Sub(s.now), 0)
-	took := time.Duration(s.rnd.ExpFloat64() * float64(j.work.Mean) * b.Slow)
-	j.service = took
+	startedAt, expected := s.now, s.Queue.Estimate(req.work.Kind)
+	left := max(req.request.Deadline.Sub(s.now), 0)
+	took := time.Duration(s.rnd.ExpFloat64() * float64(req.work.Mean) * b.Slow)
+	req.serviceTime = took
 	result, notRun := pick.ResultOK, false
 	switch {
-	case b.Down != nil && b.Down(s.at()):
-		took, result, notRun = refusedAfter, pick.ResultFailed, true
-	case b.Mute != nil && b.Mute(s.at()):
-		took, result, notRun = b.swallow(left)
+	case b.Down != nil && b.Down(s.elapsed()):
+		took, result, notRun = connectionRefusedAfter, pick.ResultFailed, true
+	case b.Mute != nil && b.Mute(s.elapsed()):
+		took, result, notRun = b.attemptWhileSilent(left)
 	case took > left && left > 0:
 		took, result = left, pick.ResultTimeout
 	}
-	s.after(took, func() {
-		if held := s.now.Sub(began); result == pick.ResultOK || held > expected {
-			s.Queue.Observe(j.work.Kind, held)
+	s.schedule(took, func() {
+		if slotTime := s.now.Sub(startedAt); result == pick.ResultOK || slotTime > expected {
+			s.Queue.Observe(req.work.Kind, slotTime)
 		}
 		if result == pick.ResultOK {
 			s.Retry.Success(s.now)
 		}
-		b.distrusted = result == pick.ResultTimeout || b.distrusted && result != pick.ResultOK
-		s.Picker.Done(s.now, id, pick.Sample{Result: result, Latency: s.now.Sub(began), Expected: s.Queue.Estimate(j.work.Kind)})
-		s.end(j, id, result, notRun)
-		s.pump()
+		b.mustReconnect = result == pick.ResultTimeout || b.mustReconnect && result != pick.ResultOK
+		s.Picker.Done(s.now, id, pick.Sample{Result: result, Latency: s.now.Sub(startedAt), Expected: s.Queue.Estimate(req.work.Kind)})
+		s.finishAttempt(req, id, result, notRun)
+		s.dispatchQueued()
 	})
 }
 
-// end tells the caller, or tries again.
-func (s *sim) end(j *job, id string, result pick.Result, notRun bool) {
+// finishAttempt retries a failed attempt if the retry policy allows it, and otherwise records
+// the answer.
+func (s *sim) finishAttempt(req *simRequest, id string, result pick.Result, notRun bool) {
 	if result != pick.ResultOK {
 		wait, ok := s.Retry.Next(s.now, retry.Failure{
-			NotRun: notRun, Idempotent: j.work.MayRun, Attempts: j.attempts,
-			Deadline: j.request.Deadline, Estimate: s.Queue.Estimate(j.work.Kind),
+			NotRun: notRun, Idempotent: req.work.MayRun, Attempts: req.attempts,
+			Deadline: req.request.Deadline, Estimate: s.Queue.Estimate(req.work.Kind),
 		})
 		if ok {
-			j.avoid = id
-			s.after(wait, func() { s.enter(j) })
+			req.avoidInstance = id
+			s.schedule(wait, func() { s.admit(req) })
 			return
 		}
 	}
-	s.tell(j, id, result)
+	s.recordAnswer(req, id, result)
 }
 
-func (s *sim) tell(j *job, id string, result pick.Result) {
-	inTime := !s.now.After(j.request.Deadline)
+func (s *sim) recordAnswer(req *simRequest, id string, result pick.Result) {
+	inTime := !s.now.After(req.request.Deadline)
 	if result == pick.ResultOK && inTime {
-		s.good[j.request.Arrived.Sub(s.start)/slice]++
+		s.inTimeBySlice[req.request.Arrived.Sub(s.start)/sliceLength]++
 	}
-	if !s.counted(j) {
+	if !s.isMeasured(req) {
 		return
 	}
-	took := s.now.Sub(j.request.Arrived)
+	took := s.now.Sub(req.request.Arrived)
 	switch {
 	case result != pick.ResultOK:
 		s.result.Failed++
@@ -267,24 +272,24 @@
 		s.result.Late++
 	default:
 		s.result.Useful++
-		s.result.Work += j.service
-		s.result.ByCaller[j.request.Caller]++
+		s.result.Work += req.serviceTime
+		s.result.ByCaller[req.request.Caller]++
 		record(s.result.Latency, took)
 		record(s.result.LatencyOn[id], took)
 	}
 }
 
 func record(h *hdrhistogram.Histogram, d time.Duration) {
-	// The range covers an hour; no scenario lasts that long.
+	// RecordValue fails only for values above an hour, which no scenario reaches.
 	_ = h.RecordValue(max(d.Microseconds(), 1))
 }
 
 func (s *sim) finish() Result {
-	s.result.WorstAttempts = worst(s.attempts, s.first)
-	for i, n := range s.all {
+	s.result.WorstAttempts = worstAttemptRatio(s.attemptTimes, s.firstAttempts)
+	for i, n := range s.arrivalsBySlice {
 		part := 1.0
 		if n > 0 {
-			part = float64(s.good[i]) / float64(n)
+			part = float64(s.inTimeBySlice[i]) / float64(n)
 		}
 		s.result.GoodBySlice = append(s.result.GoodBySlice, part)
 	}
