--- a/internal/measure/capacity/capacity.go
+++ b/internal/measure/capacity/capacity.go
@@ -1,6 +1,7 @@
-// Package capacity measures what state, messages and processor time grow with,
-// and fits slopes from which docs/CAPACITY.md works out the aim's size. It
-// drives the same code as the daemons do, in one process.
+// Package capacity measures how state size, message size and processor time grow with the size
+// of the fleet, and fits a line from which docs/CAPACITY.md extrapolates to the target size. It
+// runs the code of the daemons in one process, on generated fleets of several sizes. The command
+// cyclamen-measure calls Run, which writes the results as markdown tables.
 package capacity
 
 import (
@@ -11,14 +12,14 @@
 	"time"
 )
 
-// sizes are the fleet sizes measured; the last is the aim's.
+// sizes are the fleet sizes measured, in instances; the last is the target size.
 var sizes = []int{50, 500, 5000, 11000}
 
-// point is one measurement at a size.
+// point is a measured value y at size x.
 type point struct{ x, y float64 }
 
-// fit is y = a + b·x by least squares, weighted by 1/x² so that the small
-// sizes, which the large ones would drown, count as much.
+// fit returns the least-squares line y = a + b·x, weighted by 1/x² so that large sizes do not
+// dominate the small ones.
 func fit(points []point) (a, b float64) {
 	var w, wx, wy, wxx, wxy float64
 	for _, p := range points {
@@ -37,8 +38,8 @@
 	return (wy - b*wx) / w, b
 }
 
-// exponent is the growth exponent between the first and the last point.
-func exponent(points []point) float64 {
+// growthExponent is the growth growthExponent between the first and the last point.
+func growthExponent(points []point) float64 {
 	first, last := points[0], points[len(points)-1]
 	if first.y <= 0 || last.y <= 0 {
 		return 0
@@ -46,25 +47,25 @@
 	return math.Log(last.y/first.y) / math.Log(last.x/first.x)
 }
 
-// each times f: it repeats it until enough time has passed to measure, and
-// returns the mean.
-func each(f func()) time.Duration {
-	const enough = 50 * time.Millisecond
+// timePerCall returns the mean time of a call of f. It doubles the number of calls until they
+// take long enough together to be measured.
+func timePerCall(f func()) time.Duration {
+	const minMeasuredTime = 50 * time.Millisecond
 	f() // warm up
 	for n := 1; ; n *= 2 {
 		start := time.Now()
 		for range n {
 			f()
 		}
-		if took := time.Since(start); took >= enough {
+		if took := time.Since(start); took >= minMeasuredTime {
 			return took / time.Duration(n)
 		}
 	}
 }
 
-// heapOf returns the heap that what build returns holds. What build makes only
-// once, such as caches of types, is made before.
-func heapOf(build func() any) float64 {
+// heapGrowth returns the heap bytes retained by the result of build. It calls build once before
+// measuring, so that one-time allocations such as type caches are not counted.
+func heapGrowth(build func() any) float64 {
 	var before, after runtime.MemStats
 	build()
 	runtime.GC()
@@ -77,15 +78,15 @@
 	return float64(after.HeapAlloc) - float64(before.HeapAlloc)
 }
 
-// row is one measured quantity over a size.
+// row is one measured quantity at several sizes.
 type row struct {
 	name, unit string
 	points     []point
 }
 
-// table prints rows over the sizes in markdown, with the fit.
-func table(w io.Writer, over string, rows []row) error {
-	if _, err := fmt.Fprintf(w, "\n| %s |", over); err != nil {
+// writeTable prints the rows by size as a markdown table, with the fit and the growth exponent.
+func writeTable(w io.Writer, sizeLabel string, rows []row) error {
+	if _, err := fmt.Fprintf(w, "\n| %s |", sizeLabel); err != nil {
 		return err
 	}
 	for _, p := range rows[0].points {
@@ -102,17 +103,17 @@
 			fmt.Fprintf(w, " %.4g |", p.y)
 		}
 		a, b := fit(r.points)
-		if _, err := fmt.Fprintf(w, " %.3g + %.3g·n | %.2f |\n", a, b, exponent(r.points)); err != nil {
+		if _, err := fmt.Fprintf(w, " %.3g + %.3g·n | %.2f |\n", a, b, growthExponent(r.points)); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// Run measures everything and prints markdown.
+// Run runs all measurements and prints markdown.
 func Run(w io.Writer) error {
 	fmt.Fprintf(w, "Machine: %d cores, %s, %s/%s.\n", runtime.NumCPU(), runtime.Version(), runtime.GOOS, runtime.GOARCH)
-	for _, part := range []func(io.Writer) error{foldCosts, entryCosts, heartbeatCosts} {
+	for _, part := range []func(io.Writer) error{measureFold, measureEntry, measureHeartbeats} {
 		if err := part(w); err != nil {
 			return err
 		}
--- a/internal/measure/capacity/entry.go
+++ b/internal/measure/capacity/entry.go
@@ -11,14 +11,14 @@
 	"cyclamenwheel/internal/slots"
 )
 
-// entryCounts are numbers of entries; 7 is today's, 112 what 11,000 instances
-// would take at today's ratio of one entry to seven or eight instances, divided
-// by the connections that one entry can hold.
+// entryCounts are the numbers of entries measured. Deployments have 7 entries today, one for
+// seven or eight instances. 11,000 instances at that ratio, divided by the connections that one
+// entry can hold, would take 112 entries.
 var entryCounts = []int{7, 14, 28, 56}
 
-// entryCosts measures what an entry does for each round of slot division, by
-// instances and by entries.
-func entryCosts(w io.Writer) error {
+// measureEntry measures the cost of one round of slot division in an entry, by the number of
+// instances and by the number of entries.
+func measureEntry(w io.Writer) error {
 	byInstances := []row{
 		{name: "one round of slot division", unit: "ms"}, {name: "new route table", unit: "ms"},
 		{name: "heartbeat's part for slots, idle", unit: "B"}, {name: "the same, all demand at one entry", unit: "B"},
@@ -26,7 +26,7 @@
 	for _, n := range sizes {
 		addEntryPoints(byInstances, n, 7, float64(n))
 	}
-	if err := table(w, "entry, by instances (7 entries)", byInstances); err != nil {
+	if err := writeTable(w, "entry, by instances (7 entries)", byInstances); err != nil {
 		return err
 	}
 	byEntries := []row{
@@ -36,59 +36,59 @@
 	for _, e := range entryCounts {
 		addEntryPoints(byEntries, 50, e, float64(e))
 	}
-	return table(w, "entry, by entries (50 instances)", byEntries)
+	return writeTable(w, "entry, by entries (50 instances)", byEntries)
 }
 
 func addEntryPoints(rows []row, instances, entries int, x float64) {
-	idle := sharers(instances, entries)
-	idleBytes := shareBytes(idle)
-	took := each(func() { round(idle[0], instances) })
-	build := each(func() { routeTable(instances) })
-	busy := sharers(instances, entries)
-	for range 4 { // demand, loans, and their confirmation
-		busy[0].SetDemand("pool-00", instances*8)
-		exchange(busy, instances)
+	idle := newSharers(instances, entries)
+	idleBytes := messageBytes(idle)
+	took := timePerCall(func() { runDivisionRound(idle[0], instances) })
+	build := timePerCall(func() { routeTable(instances) })
+	loaded := newSharers(instances, entries)
+	for range 4 { // enough rounds to report demand, lend slots and confirm the loans
+		loaded[0].SetDemand("pool-00", instances*8)
+		runExchange(loaded, instances)
 	}
-	for i, y := range []float64{ms(took), ms(build), float64(idleBytes), float64(shareBytes(busy))} {
+	for i, y := range []float64{ms(took), ms(build), float64(idleBytes), float64(messageBytes(loaded))} {
 		rows[i].points = append(rows[i].points, point{x, y})
 	}
 }
 
 func ms(d time.Duration) float64 { return d.Seconds() * 1000 }
 
-func sharers(instances, entries int) []*slots.Sharer {
+func newSharers(instances, entries int) []*slots.Sharer {
 	names := make([]string, entries)
 	for i := range names {
 		names[i] = sharerName(i)
 	}
-	var set []slots.Instance
+	var poolInstances []slots.Instance
 	for i := range instances {
-		set = append(set, slots.Instance{ID: fmt.Sprintf("w-%05d", i), Slots: 8})
+		poolInstances = append(poolInstances, slots.Instance{ID: fmt.Sprintf("w-%05d", i), Slots: 8})
 	}
 	out := make([]*slots.Sharer, entries)
 	for i := range out {
 		s := slots.NewSharer(names[i])
 		s.SetMembers(1, names)
 		s.SetAllAcked(1)
-		s.SetInstances(map[string][]slots.Instance{"pool-00": set})
+		s.SetInstances(map[string][]slots.Instance{"pool-00": poolInstances})
 		out[i] = s
 	}
-	exchange(out, instances)
+	runExchange(out, instances)
 	return out
 }
 
 func sharerName(i int) string { return fmt.Sprintf("entry-%03d@0123456789abcdef", i) }
 
-func round(s *slots.Sharer, _ int) {
+func runDivisionRound(s *slots.Sharer, _ int) {
 	for id := range s.Publish() {
 		s.SetInFlight(id, 0)
 	}
 }
 
-// exchange runs one round in every entry and delivers every message.
-func exchange(all []*slots.Sharer, instances int) {
+// runExchange runs one round in every entry and delivers all messages between them.
+func runExchange(all []*slots.Sharer, instances int) {
 	for _, s := range all {
-		round(s, instances)
+		runDivisionRound(s, instances)
 	}
 	for i, from := range all {
 		for j, to := range all {
@@ -99,8 +99,9 @@
 	}
 }
 
-// shareBytes is the size of the message from an entry that lends.
-func shareBytes(all []*slots.Sharer) int {
+// messageBytes is the encoded size of the share message from the second entry, which lends slots
+// if the first has demand, to the first.
+func messageBytes(all []*slots.Sharer) int {
 	data, err := cbor.Marshal(all[1].Outgoing(sharerName(0)))
 	if err != nil {
 		return 0
--- a/internal/measure/capacity/fold.go
+++ b/internal/measure/capacity/fold.go
@@ -14,58 +14,58 @@
 )
 
 const (
-	poolsAtAim = 33
-	teamsAtAim = 330
-	perPoolMin = 0.7 // part of a pool that must serve
+	maxPools           = 33
+	maxTeams           = 330
+	minServingFraction = 0.7 // fraction of a pool that must serve
 )
 
-// fleetOf folds a fleet of n instances, in as many pools as its size bears.
-type fleetOf struct {
-	state  *fleetlog.State
-	offset uint64
-	epoch  uint64
-	man    *manifest.Manifest
-	ids    []string
+// fleetState is the fleet log state of a fleet, with what is needed to append further records.
+type fleetState struct {
+	state    *fleetlog.State
+	offset   uint64
+	epoch    uint64
+	manifest *manifest.Manifest
+	ids      []string
 }
 
-func buildFleet(n, entries int) *fleetOf {
-	f := &fleetOf{state: fleetlog.NewState(), man: manifestFor(n)}
-	f.write(fleetlog.KindLeaseClaim, planlease.Claim{Holder: "planner", BootID: "b"})
+func newFleetState(n, entries int) *fleetState {
+	f := &fleetState{state: fleetlog.NewState(), manifest: manifestFor(n)}
+	f.apply(fleetlog.KindLeaseClaim, planlease.Claim{Holder: "planner", BootID: "b"})
 	f.epoch = f.state.Lease.Epoch
-	raw, _ := json.Marshal(f.man)
-	f.write(fleetlog.KindPublish, manifest.Publish{Raw: raw, Operator: "measure"})
+	raw, _ := json.Marshal(f.manifest)
+	f.apply(fleetlog.KindPublish, manifest.Publish{Raw: raw, Operator: "measure"})
 	for i := range entries {
 		id := fmt.Sprintf("entry-%03d", i)
-		f.writeBy(id, fleetlog.KindJoin, membership.Join{Member: membership.Member{
+		f.applyBy(id, fleetlog.KindJoin, membership.Join{Member: membership.Member{
 			ID: id, Role: membership.RoleEntry, BootID: "0123456789abcdef", Zone: "zone-a",
 			PeerAddr: "10.0.0.1:7101", OperatorAddr: "10.0.0.1:7102", CallerAddr: "10.0.0.1:7100",
 		}})
 	}
 	for start := 0; start < n; start += 1000 {
-		f.write(fleetlog.KindSeen, pools.Seen{Facts: f.facts(start, min(n, start+1000))})
+		f.apply(fleetlog.KindSeen, pools.Seen{Facts: f.facts(start, min(n, start+1000))})
 	}
 	return f
 }
 
 func manifestFor(n int) *manifest.Manifest {
-	count := max(1, min(poolsAtAim, n/10))
+	count := max(1, min(maxPools, n/10))
 	m := &manifest.Manifest{Version: manifest.Version, Deployment: "measure", Buffer: manifest.Buffer{Survive: manifest.DomainRack}}
 	for i := range count {
 		size := n * 9 / 10 / count
 		name := fmt.Sprintf("pool-%02d", i)
 		m.Pools = append(m.Pools, manifest.Pool{Name: name, Instances: manifest.Selection{Count: size}})
 		m.Services = append(m.Services, manifest.Service{
-			Name: name, Pool: name, MinAvailable: max(1, int(float64(size)*perPoolMin)),
+			Name: name, Pool: name, MinAvailable: max(1, int(float64(size)*minServingFraction)),
 			Classes: []manifest.Class{{Name: "all", DeadlineMillis: 2000}},
 		})
 	}
-	for i := range min(teamsAtAim, n) {
+	for i := range min(maxTeams, n) {
 		m.Teams = append(m.Teams, manifest.Team{Name: fmt.Sprintf("team-%03d", i), Cores: 100, MemoryMB: 100000})
 	}
 	return m
 }
 
-func (f *fleetOf) facts(from, to int) []pools.Fact {
+func (f *fleetState) facts(from, to int) []pools.Fact {
 	facts := make([]pools.Fact, 0, to-from)
 	for i := from; i < to; i++ {
 		id := fmt.Sprintf("w-%05d", i)
@@ -73,22 +73,22 @@
 		facts = append(facts, pools.Fact{
 			ID: id, BootID: "0123456789abcdef", Zone: fmt.Sprintf("zone-%d", i%5), Rack: fmt.Sprintf("rack-%04d", i/4),
 			Addr: "10.0.0.1:8080", Cores: 16, MemoryMB: 65536, Slots: 8, Connections: 64,
-			Pool: f.man.Pools[i%len(f.man.Pools)].Name,
+			Pool: f.manifest.Pools[i%len(f.manifest.Pools)].Name,
 		})
 	}
 	return facts
 }
 
-func (f *fleetOf) write(kind fleetlog.Kind, body any) { f.writeBy("planner", kind, body) }
+func (f *fleetState) apply(kind fleetlog.Kind, body any) { f.applyBy("planner", kind, body) }
 
-func (f *fleetOf) writeBy(author string, kind fleetlog.Kind, body any) {
-	f.state.Apply(f.entry(author, kind, body))
+func (f *fleetState) applyBy(author string, kind fleetlog.Kind, body any) {
+	f.state.Apply(f.nextRecord(author, kind, body))
 }
 
-func (f *fleetOf) entry(author string, kind fleetlog.Kind, body any) platform.LogRecord {
+func (f *fleetState) nextRecord(author string, kind fleetlog.Kind, body any) platform.LogRecord {
 	rec, err := fleetlog.NewRecord(kind, author, f.epoch, body)
 	if err != nil {
-		panic(err) // the bodies here are our own
+		panic(err) // all bodies are built in this file, so encoding cannot fail
 	}
 	data, err := rec.Encode()
 	if err != nil {
@@ -98,38 +98,38 @@
 	return platform.LogRecord{Offset: f.offset, TimeMillis: int64(f.offset), Data: data}
 }
 
-// drainOnce folds a drain and its end: two records.
-func (f *fleetOf) drainOnce(i int) (bytes int) {
+// applyDrain applies the two records of a drain, its begin and its end, and returns their size.
+func (f *fleetState) applyDrain(i int) (bytes int) {
 	in := f.state.Pools.Instances[f.ids[i%len(f.ids)]]
 	op := fleetlog.NewID().String()
-	begin := f.entry("planner", fleetlog.KindBegin, pools.Begin{Items: []pools.BeginItem{{
+	begin := f.nextRecord("planner", fleetlog.KindBegin, pools.Begin{Items: []pools.BeginItem{{
 		Instance: in.ID, From: in.Pool, To: in.Pool, Operation: op, Revision: 1, Why: "maintenance: measure",
 	}}})
 	f.state.Apply(begin)
-	end := f.entry("planner", fleetlog.KindCommit, pools.Commit{Items: []pools.CommitItem{{
+	end := f.nextRecord("planner", fleetlog.KindCommit, pools.Commit{Items: []pools.CommitItem{{
 		Instance: in.ID, Operation: op, BootID: "0123456789abcdef", Addr: in.Addr,
 	}}})
 	f.state.Apply(end)
 	return len(begin.Data) + len(end.Data)
 }
 
-func foldCosts(w io.Writer) error {
+func measureFold(w io.Writer) error {
 	rows := []row{
 		{name: "fold of one record", unit: "µs"}, {name: "bytes of a drain's two records", unit: "B"},
 		{name: "state in memory", unit: "KB"}, {name: "encoded state", unit: "KB"},
 		{name: "encode state", unit: "ms"}, {name: "decode state", unit: "ms"},
 	}
 	for _, n := range sizes {
-		f := buildFleet(n, 7)
+		f := newFleetState(n, 7)
 		i, bytes := 0, 0
-		took := each(func() { bytes = f.drainOnce(i); i++ })
+		took := timePerCall(func() { bytes = f.applyDrain(i); i++ })
 		encoded, err := f.state.Encode()
 		if err != nil {
 			return err
 		}
-		heap := heapOf(func() any { return buildFleet(n, 7) })
-		enc := each(func() { _, _ = f.state.Encode() })
-		dec := each(func() { _, _ = fleetlog.DecodeState(encoded) })
+		heap := heapGrowth(func() any { return newFleetState(n, 7) })
+		enc := timePerCall(func() { _, _ = f.state.Encode() })
+		dec := timePerCall(func() { _, _ = fleetlog.DecodeState(encoded) })
 		for k, y := range []float64{
 			float64(took.Nanoseconds()) / 2000, float64(bytes), heap / 1024,
 			float64(len(encoded)) / 1024, enc.Seconds() * 1000, dec.Seconds() * 1000,
@@ -137,5 +137,5 @@
 			rows[k].points = append(rows[k].points, point{float64(n), y})
 		}
 	}
-	return table(w, "fold, by instances", rows)
+	return writeTable(w, "fold, by instances", rows)
 }
