--- a/internal/measure/load/loss.go
+++ b/internal/measure/load/loss.go
@@ -37,7 +37,7 @@
 			continue
 		}
 		if l.silent {
-			b.Mute = duringOutage
+			b.Silent = duringOutage
 		} else {
 			b.Down = duringOutage
 		}
--- a/internal/measure/load/model.go
+++ b/internal/measure/load/model.go
@@ -36,9 +36,9 @@
 type Backend struct {
 	pick.Endpoint
 	Slow float64 // factor applied to service times
-	// Down reports whether the endpoint refuses connections, Mute whether it
+	// Down reports whether the endpoint refuses connections, Silent whether it
 	// accepts requests without ever answering.
-	Down, Mute func(at time.Duration) bool
+	Down, Silent func(at time.Duration) bool
 	// mustReconnect is set after a timeout, until a request succeeds. While it is
 	// set, an attempt opens a new connection, which fails before the request is sent.
 	mustReconnect bool
--- a/internal/measure/load/sim.go
+++ b/internal/measure/load/sim.go
@@ -220,7 +220,7 @@
 	switch {
 	case b.Down != nil && b.Down(s.elapsed()):
 		took, result, notRun = connectionRefusedAfter, pick.ResultFailed, true
-	case b.Mute != nil && b.Mute(s.elapsed()):
+	case b.Silent != nil && b.Silent(s.elapsed()):
 		took, result, notRun = b.attemptWhileSilent(left)
 	case took > left && left > 0:
 		took, result = left, pick.ResultTimeout
