--- a/internal/measure/load/model.go
+++ b/internal/measure/load/model.go
@@ -13,11 +13,11 @@
 
 // Work describes one kind of request.
 type Work struct {
-	Kind    string
-	Mean    time.Duration // mean of the exponentially distributed service time
-	Part    float64       // fraction of all requests
-	MayRun  bool
-	Timeout time.Duration
+	Kind       string
+	Mean       time.Duration // mean of the exponentially distributed service time
+	Part       float64       // fraction of all requests
+	Idempotent bool
+	Timeout    time.Duration
 }
 
 // Source is an open-loop caller: it sends at a given mean rate without waiting for answers.
--- a/internal/measure/load/scenarios.go
+++ b/internal/measure/load/scenarios.go
@@ -35,14 +35,14 @@
 
 // plainWork is the single kind of work that most scenarios use.
 func plainWork() []Work {
-	return []Work{{Kind: "plain", Mean: meanServiceTime, Part: 1, MayRun: true, Timeout: requestTimeout}}
+	return []Work{{Kind: "plain", Mean: meanServiceTime, Part: 1, Idempotent: true, Timeout: requestTimeout}}
 }
 
 // mixedWork has the same mean service time as plainWork: nine short requests to one long one.
 func mixedWork() []Work {
 	return []Work{
-		{Kind: "short", Mean: 20 * time.Millisecond, Part: 0.9, MayRun: true, Timeout: requestTimeout},
-		{Kind: "long", Mean: 320 * time.Millisecond, Part: 0.1, MayRun: true, Timeout: 3 * time.Second},
+		{Kind: "short", Mean: 20 * time.Millisecond, Part: 0.9, Idempotent: true, Timeout: requestTimeout},
+		{Kind: "long", Mean: 320 * time.Millisecond, Part: 0.1, Idempotent: true, Timeout: 3 * time.Second},
 	}
 }
 
--- a/internal/measure/load/sim.go
+++ b/internal/measure/load/sim.go
@@ -244,7 +244,7 @@
 func (s *sim) finishAttempt(req *simRequest, id string, result pick.Result, notRun bool) {
 	if result != pick.ResultOK {
 		wait, ok := s.Retry.Next(s.now, retry.Failure{
-			NotRun: notRun, Idempotent: req.work.MayRun, Attempts: req.attempts,
+			NotRun: notRun, Idempotent: req.work.Idempotent, Attempts: req.attempts,
 			Deadline: req.request.Deadline, Estimate: s.Queue.Estimate(req.work.Kind),
 		})
 		if ok {
