--- a/internal/measure/load/model.go
+++ b/internal/measure/load/model.go
@@ -35,7 +35,7 @@
 // Backend is a simulated endpoint.
 type Backend struct {
 	pick.Endpoint
-	Slow float64 // factor applied to service times
+	SlowdownFactor float64 // factor applied to service times
 	// Down reports whether the endpoint refuses connections, Silent whether it
 	// accepts requests without ever answering.
 	Down, Silent func(at time.Duration) bool
@@ -160,7 +160,7 @@
 func backends(n, slots, zones int) []Backend {
 	var out []Backend
 	for i := range n {
-		out = append(out, Backend{Slow: 1, Endpoint: pick.Endpoint{
+		out = append(out, Backend{SlowdownFactor: 1, Endpoint: pick.Endpoint{
 			Instance: fmt.Sprintf("w%02d", i), BootID: "1", Zone: fmt.Sprint(i % zones), Slots: slots,
 		}})
 	}
--- a/internal/measure/load/scenarios.go
+++ b/internal/measure/load/scenarios.go
@@ -201,7 +201,7 @@
 
 func slowEndpointScenario(product bool, work []Work, factor float64) Scenario {
 	sc := newScenario(product, work, callers(20, 0.6*capacity)...)
-	sc.Backends[0].Slow = factor
+	sc.Backends[0].SlowdownFactor = factor
 	return sc
 }
 
--- a/internal/measure/load/sim.go
+++ b/internal/measure/load/sim.go
@@ -214,7 +214,7 @@
 	}
 	startedAt, expected := s.now, s.Queue.Estimate(req.work.Kind)
 	left := max(req.request.Deadline.Sub(s.now), 0)
-	took := time.Duration(s.rnd.ExpFloat64() * float64(req.work.Mean) * b.Slow)
+	took := time.Duration(s.rnd.ExpFloat64() * float64(req.work.Mean) * b.SlowdownFactor)
 	req.serviceTime = took
 	result, notRun := pick.ResultOK, false
 	switch {
