--- a/internal/measure/load/loss.go
+++ b/internal/measure/load/loss.go
@@ -63,7 +63,7 @@
 // its end has at least 99% of its requests answered in time.
 func recoveryTime(r Result) string {
 	last := time.Duration(-1)
-	for i, part := range r.GoodBySlice {
+	for i, part := range r.InTimeBySlice {
 		at := time.Duration(i) * sliceLength
 		if duringOutage(at) && part < 0.99 {
 			last = at + sliceLength - outageStart
--- a/internal/measure/load/model.go
+++ b/internal/measure/load/model.go
@@ -85,9 +85,9 @@
 	RefusalsBy map[admission.Reason]*hdrhistogram.Histogram
 	// WorstAttempts is the highest ratio of attempts to first attempts in any second.
 	WorstAttempts float64
-	// GoodBySlice is the fraction of requests answered in time, by time slice of
+	// InTimeBySlice is the fraction of requests answered in time, by time slice of
 	// their arrival.
-	GoodBySlice []float64
+	InTimeBySlice []float64
 }
 
 // Times used by the simulation.
@@ -95,7 +95,7 @@
 	connectionRefusedAfter = 500 * time.Microsecond  // time until a connection is refused
 	connectTimeout         = 1500 * time.Millisecond // timeout of a connection attempt
 	queuePollInterval      = 10 * time.Millisecond   // interval of the gate's queue timer
-	sliceLength            = 250 * time.Millisecond  // width of a slice of GoodBySlice
+	sliceLength            = 250 * time.Millisecond  // width of a slice of InTimeBySlice
 	maxMicros              = int64(time.Hour / time.Microsecond)
 	histogramDigits        = 3
 )
--- a/internal/measure/load/sim.go
+++ b/internal/measure/load/sim.go
@@ -291,7 +291,7 @@
 		if n > 0 {
 			part = float64(s.inTimeBySlice[i]) / float64(n)
 		}
-		s.result.GoodBySlice = append(s.result.GoodBySlice, part)
+		s.result.InTimeBySlice = append(s.result.InTimeBySlice, part)
 	}
 	return s.result
 }
