--- a/internal/measure/load/model.go
+++ b/internal/measure/load/model.go
@@ -77,10 +77,10 @@
 	ByCaller map[string]int
 	// OfferedBy counts requests by caller.
 	OfferedBy map[string]int
-	// Latency is the latency of useful answers, LatencyOn the same by
+	// Latency is the latency of useful answers, LatencyByInstance the same by
 	// instance. Refusals is the time until a refusal. All are in microseconds.
 	Latency, Refusals *hdrhistogram.Histogram
-	LatencyOn         map[string]*hdrhistogram.Histogram
+	LatencyByInstance map[string]*hdrhistogram.Histogram
 	// RefusalsBy is the time until a refusal in microseconds, by reason.
 	RefusalsBy map[admission.Reason]*hdrhistogram.Histogram
 	// WorstAttempts is the highest ratio of attempts to first attempts in any second.
--- a/internal/measure/load/scenarios.go
+++ b/internal/measure/load/scenarios.go
@@ -209,7 +209,7 @@
 // which is the slow one.
 func otherEndpointsP99(r Result) int64 {
 	rest := newHistogram()
-	for id, h := range r.LatencyOn {
+	for id, h := range r.LatencyByInstance {
 		if id != "w00" {
 			rest.Merge(h)
 		}
--- a/internal/measure/load/sim.go
+++ b/internal/measure/load/sim.go
@@ -57,8 +57,8 @@
 			Span:     sc.Length - sc.Warmup,
 			ByCaller: map[string]int{}, OfferedBy: map[string]int{},
 			Latency: newHistogram(), Refusals: newHistogram(),
-			LatencyOn:  map[string]*hdrhistogram.Histogram{},
-			RefusalsBy: newRefusalHistograms(),
+			LatencyByInstance: map[string]*hdrhistogram.Histogram{},
+			RefusalsBy:        newRefusalHistograms(),
 		},
 	}
 	s.now = s.start
@@ -82,7 +82,7 @@
 	for i := range s.Backends {
 		b := &s.Backends[i]
 		s.backends[b.Instance] = b
-		s.result.LatencyOn[b.Instance] = newHistogram()
+		s.result.LatencyByInstance[b.Instance] = newHistogram()
 		list = append(list, b.Endpoint)
 	}
 	s.Picker.Set(s.now, list)
@@ -275,7 +275,7 @@
 		s.result.Work += req.serviceTime
 		s.result.ByCaller[req.request.Caller]++
 		record(s.result.Latency, took)
-		record(s.result.LatencyOn[id], took)
+		record(s.result.LatencyByInstance[id], took)
 	}
 }
 
