--- a/internal/measure/capacity/capacity.go
+++ b/internal/measure/capacity/capacity.go
@@ -38,7 +38,7 @@
 	return (wy - b*wx) / w, b
 }
 
-// growthExponent is the growth growthExponent between the first and the last point.
+// growthExponent is the exponent of the power law through the first and the last point.
 func growthExponent(points []point) float64 {
 	first, last := points[0], points[len(points)-1]
 	if first.y <= 0 || last.y <= 0 {
--- a/internal/measure/capacity/fold.go
+++ b/internal/measure/capacity/fold.go
@@ -14,12 +14,13 @@
 )
 
 const (
-	maxPools           = 33
-	maxTeams           = 330
+	maxPools           = 33  // at the target size
+	maxTeams           = 330 // at the target size
 	minServingFraction = 0.7 // fraction of a pool that must serve
 )
 
-// fleetState is the fleet log state of a fleet, with what is needed to append further records.
+// fleetState is the fleet log state of a generated fleet, with what is needed to append records.
+// Small fleets have fewer pools: one per ten instances, up to maxPools.
 type fleetState struct {
 	state    *fleetlog.State
 	offset   uint64
